--- /dev/null
+++ b/tests/cluster_settings.rs
@@ -0,0 +1,94 @@
+//! The operator's table of a cluster: every key with what it sets, and every error's text, as `check-config` says it.
+
+use std::net::SocketAddrV4;
+
+use dewladder::edge::cluster::Table;
+use dewladder_membership::{MemberId, Place, Settings};
+
+const EVERY_KEY: &str = include_str!("golden/cluster_table.toml");
+const ERRORS: &str = include_str!("golden/cluster_table_errors.txt");
+
+fn table(text: &str) -> Table {
+    toml::from_str(text).expect("a table")
+}
+
+#[test]
+fn every_key_of_the_table_sets_what_it_names() {
+    let table = table(EVERY_KEY);
+    assert!(table.enabled);
+    assert_eq!(table.listen, "127.0.0.2:7001".parse::<SocketAddrV4>().unwrap());
+    let checked = table.check("n0").expect("a table that can be");
+    let expected = Settings {
+        name: "blue".to_owned(),
+        place: Place { ip: [10, 0, 0, 9], port: 7_002 },
+        incarnation: 0,
+        seeds: vec![Place { ip: [10, 0, 0, 1], port: 7_946 }, Place { ip: [10, 0, 0, 2], port: 7_947 }],
+        probe_every: 1_500_000,
+        probe_timeout: 250_000,
+        indirect: 4,
+        suspicion: 5.0,
+        suspicion_most: 7.0,
+        confirmations: 2,
+        retransmit: 5,
+        sync_every: 12_000_000,
+        forget_after: 1_800_000_000,
+        tick_every: 25_000,
+    };
+    assert_eq!(checked.settings, expected);
+    let expected = dewladder_replica::Settings {
+        me: MemberId::of("blue"),
+        life: 0,
+        members: ["blue", "red", "green", "white"].map(MemberId::of).to_vec(),
+        copies: 4,
+        quorum: 3,
+        window: 300_000_000,
+        most_records: 5_000,
+        most_hints: 600,
+        settle: 1_000_000,
+        again_after: 100_000,
+        compare_every: 500_000,
+    };
+    assert_eq!(checked.replica, Some(expected));
+}
+
+#[test]
+fn absent_keys_have_the_values_of_the_example_file() {
+    let example: toml::Table =
+        toml::from_str(include_str!("../deploy/fronts.toml")).expect("the example file");
+    let example: Table = example["cluster"].clone().try_into().expect("a table");
+    let key = "000102030405060708090a0b0c0d0e0f";
+    let shown = |table: Table| {
+        let checked = Table { key: key.to_owned(), ..table }.check("n0").expect("a table that can be");
+        (checked.settings, checked.replica)
+    };
+    assert_eq!(shown(example), shown(table("")));
+}
+
+/// Each case of the golden file: the table's lines, and behind `=> ` what is said of them.
+fn cases() -> Vec<(String, String)> {
+    let mut cases = Vec::new();
+    let mut lines = String::new();
+    for line in ERRORS.lines() {
+        match line.strip_prefix("=> ") {
+            Some(said) => cases.push((std::mem::take(&mut lines), said.to_owned())),
+            None => lines += &format!("{line}\n"),
+        }
+    }
+    cases
+}
+
+/// What is said of a table, on one line.
+fn said(text: &str) -> String {
+    match toml::from_str::<Table>(text) {
+        Ok(table) => table.check("n0").map_or_else(|error| error.to_string(), |_| "nothing".to_owned()),
+        Err(error) => error.message().replace('\n', " "),
+    }
+}
+
+#[test]
+fn what_is_wrong_with_a_table_is_told_in_the_words_of_the_golden_file() {
+    let cases = cases();
+    assert!(cases.len() > 30);
+    let text: String = cases.iter().map(|(lines, _)| format!("{lines}=> {}\n", said(lines))).collect();
+    assert_eq!(text, ERRORS);
+}
