--- a/benches/scale/membership.rs
+++ b/benches/scale/membership.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use dewladder_lab::{name, Lab, SECOND};
-use dewladder_membership::{Settings, Standing};
+use dewladder_membership::{MemberState, Settings};
 use dewladder_scale::options;
 use dewladder_scale::results::{MembershipEvent, MembershipSample};
 use pico_args::Arguments;
@@ -33,7 +33,7 @@
 
 impl Cluster {
     fn formed(members: usize) -> Result<Self, Failure> {
-        let settings = Settings { tick_every: 100_000, ..Settings::default() };
+        let settings = Settings { tick_interval: 100_000, ..Settings::default() };
         let mut lab = Lab::new(members, settings, 7);
         let forms = lab.until(FORMS_IN, Lab::all_alive);
         forms.ok_or("the cluster does not form")?;
@@ -76,7 +76,7 @@
     let killed = members / 2;
     cluster.lab.kill(killed);
     let all_know = |lab: &Lab| {
-        let gone = |at| lab.held(at, killed).is_none_or(|standing| standing == Standing::Dead);
+        let gone = |at| lab.held(at, killed).is_none_or(|standing| standing == MemberState::Dead);
         lab.running().into_iter().all(gone)
     };
     let known = cluster.lab.until(MOST, all_know);
--- a/crates/lab/benches/membership.rs
+++ b/crates/lab/benches/membership.rs
@@ -5,7 +5,7 @@
 
 use dewladder_lab::{Lab, SECOND};
 use dewladder_membership::codec::Codec;
-use dewladder_membership::{Body, Membership, Message, Micros, Settings, Standing};
+use dewladder_membership::{Body, MemberState, Membership, Message, Micros, Settings};
 use hdrhistogram::Histogram;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -46,7 +46,7 @@
 fn membership(members: usize, loss: f64, trials: u64) -> Row {
     let mut row = Row::new();
     for seed in 0..trials {
-        let settings = Settings { tick_every: 100_000, ..Settings::default() };
+        let settings = Settings { tick_interval: 100_000, ..Settings::default() };
         let mut lab = Lab::new(members, settings, seed);
         assert!(lab.until(600 * SECOND, Lab::all_alive).is_some(), "it forms");
         lab.net.loss = loss;
@@ -63,7 +63,7 @@
         let name = dewladder_lab::name(killed);
         let mut knowing = std::collections::BTreeSet::new();
         for (at, when, change) in lab.changes() {
-            let first = change.standing == Standing::Dead && change.name == name && when >= start;
+            let first = change.state == MemberState::Dead && change.name == name && when >= start;
             if first && knowing.insert(at) {
                 row.detected.record((when - start) / 1_000).expect("in range");
             }
@@ -77,9 +77,9 @@
 
 /// Membership's smallest message, sealed the same way.
 fn heartbeat_bytes() -> usize {
-    let me = Membership::new(Settings::default(), 1, 0).expect("settings").me();
+    let me = Membership::new(Settings::default(), 1, 0).expect("settings").own_update();
     let codec = Codec::new("lab", &[7; 32]).expect("a key");
-    let message = Message { from: me, body: Body::Gossip, updates: Vec::new() };
+    let message = Message { sender: me, body: Body::Gossip, updates: Vec::new() };
     codec.seal(&message).expect("it fits").len()
 }
 
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -6,7 +6,7 @@
 
 use dewladder_membership::codec::Codec;
 use dewladder_membership::{
-    Change, Effect, Event, Member, MemberId, Membership, Micros, Place, Settings, Standing,
+    Address, Change, Effect, Event, Member, MemberId, MemberState, Membership, Micros, Settings,
 };
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -71,9 +71,9 @@
     format!("n{at}")
 }
 
-fn place(at: usize) -> Place {
+fn address(at: usize) -> Address {
     let [.., high, low] = (at as u32).to_be_bytes();
-    Place { ip: [127, 1, high, low], port: 7_946 }
+    Address { ip: [127, 1, high, low], port: 7_946 }
 }
 
 impl Lab {
@@ -109,15 +109,15 @@
 
     /// Starts an instance, anew where it has run: it knows its seeds only.
     pub fn start(&mut self, at: usize) {
-        let seeds = if at == 0 { vec![place(1)] } else { vec![place(0)] };
-        let settings = Settings { name: name(at), place: place(at), seeds, ..self.template.clone() };
+        let seeds = if at == 0 { vec![address(1)] } else { vec![address(0)] };
+        let settings = Settings { name: name(at), address: address(at), seeds, ..self.template.clone() };
         let membership =
             Membership::new(settings, self.rng.next_u64(), self.now).expect("settings that can be");
         let node = &mut self.nodes[at];
         (node.membership, node.paused) = (Some(membership), None);
         node.life += 1;
         let life = node.life;
-        let first = self.rng.next_u64() % self.template.tick_every;
+        let first = self.rng.next_u64() % self.template.tick_interval;
         self.push(self.now + first, Due::Tick { at, life });
     }
 
@@ -174,7 +174,7 @@
                     if self.nodes[at].life != life {
                         continue;
                     }
-                    self.push(now + self.template.tick_every, Due::Tick { at, life });
+                    self.push(now + self.template.tick_interval, Due::Tick { at, life });
                     // Timers of one that stands still are not kept: it gets one tick on waking.
                     if self.nodes[at].paused.is_none() {
                         self.step(at, Event::Tick);
@@ -182,7 +182,7 @@
                 }
                 Due::Arrives { at, bytes } => {
                     if let Ok(message) = self.codec.open(&bytes) {
-                        self.step(at, Event::Heard(message));
+                        self.step(at, Event::MessageReceived(message));
                     }
                 }
             }
@@ -204,11 +204,11 @@
 
     /// How an instance holds another; `None` where it does not know it, or does not run.
     #[must_use]
-    pub fn held(&self, at: usize, other: usize) -> Option<Standing> {
+    pub fn held(&self, at: usize, other: usize) -> Option<MemberState> {
         let id = MemberId::of(&name(other));
         let membership = self.nodes[at].membership.as_ref()?;
         let found = membership.others().find(|(other, _)| *other == id);
-        found.map(|(_, member)| member.standing)
+        found.map(|(_, member)| member.state)
     }
 
     /// The instances that run.
@@ -223,7 +223,7 @@
         let running = self.running();
         running.iter().all(|&a| {
             let Some(membership) = &self.nodes[a].membership else { return false };
-            let alive = |(_, member): &(MemberId, &Member)| member.standing == Standing::Alive;
+            let alive = |(_, member): &(MemberId, &Member)| member.state == MemberState::Alive;
             membership.others().filter(alive).count() + 1 >= running.len()
         })
     }
@@ -242,7 +242,7 @@
         let running: BTreeSet<MemberId> =
             self.running().into_iter().map(|at| MemberId::of(&name(at))).collect();
         let dead = |(_, _, change): &(usize, Micros, &Change)| {
-            change.standing == Standing::Dead && running.contains(&change.id)
+            change.state == MemberState::Dead && running.contains(&change.id)
         };
         self.changes().filter(dead).count()
     }
@@ -286,13 +286,13 @@
                     self.nodes[at].messages_out += 1;
                     self.send(at, to, bytes);
                 }
-                Effect::Changed(change) => self.nodes[at].seen.push((self.now, change)),
+                Effect::MemberChanged(change) => self.nodes[at].seen.push((self.now, change)),
                 Effect::Refuted { .. } | Effect::Paused(_) => {}
             }
         }
     }
 
-    fn send(&mut self, from: usize, to: Place, bytes: Vec<u8>) {
+    fn send(&mut self, from: usize, to: Address, bytes: Vec<u8>) {
         let to = usize::from(to.ip[2]) * 256 + usize::from(to.ip[3]);
         let lot = self.rng.next_u64() as f64 / u64::MAX as f64;
         if lot < self.net.loss || self.net.cuts.contains(&(from, to)) {
--- a/crates/lab/tests/membership.rs
+++ b/crates/lab/tests/membership.rs
@@ -1,11 +1,11 @@
 //! The faults that membership is for, in virtual time, each over many seeds. Times are in probe times.
 
 use dewladder_lab::{Lab, SECOND};
-use dewladder_membership::{Micros, Settings, Standing};
+use dewladder_membership::{MemberState, Micros, Settings};
 
 /// Probe time 1 s, whole states every 5 s.
 fn settings() -> Settings {
-    Settings { sync_every: 5 * SECOND, ..Settings::default() }
+    Settings { sync_interval: 5 * SECOND, ..Settings::default() }
 }
 
 /// A cluster in which all know each other.
@@ -18,9 +18,9 @@
 /// The bound of the design note: a round of probes, the longest suspicion, and the news to the last.
 fn bound(count: usize) -> Micros {
     let settings = settings();
-    let round = 2 * count as Micros * settings.probe_every;
+    let round = 2 * count as Micros * settings.probe_interval;
     let (least, most) = settings.suspicion_bounds(count);
-    round + most + least + 5 * settings.probe_every
+    round + most + least + 5 * settings.probe_interval
 }
 
 #[test]
@@ -28,7 +28,7 @@
     for seed in 0..40 {
         let mut lab = formed(5, seed);
         lab.kill(3);
-        let known = |lab: &Lab| lab.running().iter().all(|&at| lab.held(at, 3) == Some(Standing::Dead));
+        let known = |lab: &Lab| lab.running().iter().all(|&at| lab.held(at, 3) == Some(MemberState::Dead));
         assert!(lab.until(bound(5), known).is_some(), "seed {seed}");
         assert_eq!(lab.false_deaths(), 0, "seed {seed}");
     }
@@ -58,11 +58,11 @@
         lab.pass(120 * SECOND);
         lab.wake(2);
         let by_it =
-            lab.changes().filter(|(at, _, change)| *at == 2 && change.standing == Standing::Dead).count();
+            lab.changes().filter(|(at, _, change)| *at == 2 && change.state == MemberState::Dead).count();
         assert_eq!(by_it, 0, "seed {seed}: it finds fault with nobody for the time that it stood still");
         assert!(lab.until(20 * SECOND, Lab::all_alive).is_some(), "seed {seed}: alive everywhere");
         let by_it =
-            lab.changes().filter(|(at, _, change)| *at == 2 && change.standing == Standing::Dead).count();
+            lab.changes().filter(|(at, _, change)| *at == 2 && change.state == MemberState::Dead).count();
         assert_eq!(by_it, 0, "seed {seed}");
     }
 }
@@ -74,7 +74,7 @@
         lab.net.cuts.insert((0, 1));
         lab.pass(120 * SECOND);
         // Others are asked, and they get answers: nobody is even suspected.
-        let doubted = lab.changes().filter(|(_, _, change)| change.standing != Standing::Alive);
+        let doubted = lab.changes().filter(|(_, _, change)| change.state != MemberState::Alive);
         assert_eq!(doubted.count(), 0, "seed {seed}");
     }
 }
@@ -97,7 +97,7 @@
         let apart = |lab: &Lab| {
             [0, 1].iter().all(|&a| {
                 [2, 3, 4].iter().all(|&b| {
-                    lab.held(a, b) == Some(Standing::Dead) && lab.held(b, a) == Some(Standing::Dead)
+                    lab.held(a, b) == Some(MemberState::Dead) && lab.held(b, a) == Some(MemberState::Dead)
                 })
             })
         };
@@ -110,7 +110,7 @@
         let side = |at: usize| at < 2;
         let own = lab.changes().filter(|(at, _, change)| {
             let other = change.name[1..].parse::<usize>().expect("a number");
-            change.standing == Standing::Dead && side(*at) == side(other)
+            change.state == MemberState::Dead && side(*at) == side(other)
         });
         assert_eq!(own.count(), 0, "seed {seed}");
     }
@@ -121,7 +121,7 @@
     for seed in 0..20 {
         let mut lab = formed(5, seed);
         lab.leave(4);
-        let left = |lab: &Lab| (0..4).all(|at| lab.held(at, 4) == Some(Standing::Left));
+        let left = |lab: &Lab| (0..4).all(|at| lab.held(at, 4) == Some(MemberState::Left));
         assert!(lab.until(10 * SECOND, left).is_some(), "seed {seed}");
         lab.kill(3);
         lab.pass(bound(5));
@@ -129,7 +129,7 @@
         lab.start(4);
         assert!(lab.until(20 * SECOND, Lab::all_alive).is_some(), "seed {seed}: both are back");
         let suspected = |(_, _, change): &(usize, Micros, &dewladder_membership::Change)| {
-            change.name == "n4" && matches!(change.standing, Standing::Suspect | Standing::Dead)
+            change.name == "n4" && matches!(change.state, MemberState::Suspect | MemberState::Dead)
         };
         assert_eq!(lab.changes().filter(suspected).count(), 0, "seed {seed}");
     }
@@ -163,7 +163,7 @@
 #[test]
 fn dead_members_are_forgotten_by_all_and_do_not_come_back_by_hearsay() {
     for seed in 0..12 {
-        let short = Settings { forget_after: 60 * SECOND, ..settings() };
+        let short = Settings { dead_retention: 60 * SECOND, ..settings() };
         let mut lab = Lab::new(5, short, seed);
         assert!(lab.until(60 * SECOND, Lab::all_alive).is_some());
         lab.kill(3);
--- a/crates/membership/src/codec.rs
+++ b/crates/membership/src/codec.rs
@@ -1,150 +1,170 @@
-//! Messages as bytes, in datagrams under [`MOST_BYTES`].
+//! Messages as bytes, in datagrams of at most [`MAX_DATAGRAM_BYTES`].
 //!
 //! ```text
 //! 'D' 'W' | version (1 byte) | channel (1) | cluster (8, little-endian) | HMAC-SHA-256 (32) | body (postcard)
 //! ```
 //!
-//! The HMAC is over all that stands before and behind it, with the cluster's key. An old datagram that is sent once
-//! more passes; incarnations, and the numbers that answers carry, make it say nothing new.
+//! The HMAC covers everything before and behind it, with the cluster's key. A replayed datagram passes; incarnations,
+//! and the nonces of answers, make it without effect.
 
 use hmac::{Hmac, KeyInit, Mac};
 use serde::{Deserialize, Serialize};
 use sha2::Sha256;
 use thiserror::Error;
 
-use crate::member::{MemberId, Update};
-use crate::membership::Message;
+use crate::identity::MemberId;
+use crate::message::Message;
 
-/// A datagram is no longer, so that it need not be cut into pieces on its way.
-pub const MOST_BYTES: usize = 1_400;
-/// The version of the form that this program writes, and the only one it reads.
+/// The longest datagram, so that it need not be fragmented on its way.
+pub const MAX_DATAGRAM_BYTES: usize = 1_400;
+/// The version of the encoding that this program writes, and the only one that it reads.
 pub const VERSION: u8 = 1;
-/// A key holds so many bytes at least.
-pub const LEAST_KEY: usize = 16;
+/// The shortest key.
+pub const MIN_KEY_BYTES: usize = 16;
 
 const MAGIC: [u8; 2] = *b"DW";
-const HEAD: usize = 2 + 1 + 1 + 8;
-const MAC: usize = 32;
-
-/// Whose messages a datagram holds.
+const VERSION_AT: usize = 2;
+const CHANNEL_AT: usize = 3;
+const CLUSTER_AT: usize = 4;
+const HEADER_BYTES: usize = CLUSTER_AT + 8;
+const HMAC_BYTES: usize = 32;
+/// An upper bound of a message's sender, beside its updates.
+const MAX_SENDER_BYTES: usize = 100;
+/// An upper bound of a message's body and the count of its updates.
+const MAX_BODY_BYTES: usize = 60;
+/// Space for updates in a message.
+pub(crate) const MAX_UPDATES_BYTES: usize =
+    MAX_DATAGRAM_BYTES - HEADER_BYTES - HMAC_BYTES - MAX_SENDER_BYTES - MAX_BODY_BYTES;
+
+/// Which part of the program a datagram is for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Channel {
-    /// Of who is alive.
+    /// Membership: which instances are alive.
     #[default]
     Membership = 0,
-    /// Of what is known together.
+    /// Replicated records.
     Replica = 1,
 }
 
-/// Why bytes were not taken.
+/// Why a datagram was not opened.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Refused {
+pub enum OpenError {
     /// Not a message of this protocol, or too long.
     #[error("no message of this protocol")]
-    Foreign,
+    NotThisProtocol,
     /// A version that this program does not know.
     #[error("unknown version {0}")]
-    Version(u8),
-    /// Another cluster's.
+    UnknownVersion(u8),
+    /// A message of another cluster.
     #[error("another cluster's message")]
-    Cluster,
+    OtherCluster,
     /// Not made with this cluster's key.
     #[error("wrong HMAC")]
-    Mac,
+    WrongHmac,
     /// Made with the key, and yet unreadable.
     #[error("unreadable body")]
-    Body,
+    UnreadableBody,
 }
 
 /// A key that is too short.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("{0} bytes, at least {LEAST_KEY} are needed")]
-pub struct ShortKey(pub usize);
+#[error("{length_bytes} bytes, at least {MIN_KEY_BYTES} are needed")]
+pub struct ShortKey {
+    /// The key's length.
+    pub length_bytes: usize,
+}
 
-/// What seals and opens messages of one cluster.
+/// Seals and opens the messages of one cluster on one channel.
 #[derive(Clone)]
 pub struct Codec {
     channel: Channel,
     cluster: [u8; 8],
-    mac: Hmac<Sha256>,
+    hmac: Hmac<Sha256>,
 }
 
 impl std::fmt::Debug for Codec {
-    fn fmt(&self, to: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        to.debug_struct("Codec").finish_non_exhaustive() // the key is nobody's to read
+    fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        formatter.debug_struct("Codec").finish_non_exhaustive() // never shows the key
     }
 }
 
 impl Codec {
-    /// For the cluster of that name, with its key.
+    /// The codec of a cluster, by its name and key, on the membership channel.
     ///
     /// # Errors
     /// A key that is too short.
     pub fn new(cluster: &str, key: &[u8]) -> Result<Self, ShortKey> {
-        if key.len() < LEAST_KEY {
-            return Err(ShortKey(key.len()));
+        let short_key = ShortKey { length_bytes: key.len() };
+        if key.len() < MIN_KEY_BYTES {
+            return Err(short_key);
         }
-        let mac = <Hmac<Sha256> as KeyInit>::new_from_slice(key).map_err(|_| ShortKey(key.len()))?;
-        Ok(Self { channel: Channel::default(), cluster: MemberId::of(cluster).0.to_le_bytes(), mac })
+        let hmac = <Hmac<Sha256> as KeyInit>::new_from_slice(key).map_err(|_| short_key)?;
+        Ok(Self { channel: Channel::default(), cluster: MemberId::of(cluster).0.to_le_bytes(), hmac })
     }
 
-    /// The same for another channel: what is sealed for one is not opened for another.
+    /// The same codec for another channel: what is sealed for one is not opened for another.
     #[must_use]
     pub fn on(&self, channel: Channel) -> Self {
         Self { channel, ..self.clone() }
     }
 
-    /// Whether bytes claim to be of this codec's channel; only opening them shows that they are.
+    /// Whether bytes claim to be of this codec's channel; only opening them proves it.
     #[must_use]
     pub fn is_addressed(&self, bytes: &[u8]) -> bool {
-        bytes.get(3) == Some(&(self.channel as u8))
+        bytes.get(CHANNEL_AT) == Some(&(self.channel as u8))
     }
 
     /// A body as a datagram. `None` where it would be too long.
     #[must_use]
     pub fn seal_body<T: Serialize>(&self, body: &T) -> Option<Vec<u8>> {
         let body = postcard::to_allocvec(body).ok()?;
-        let mut bytes = Vec::with_capacity(HEAD + MAC + body.len());
+        let mut bytes = Vec::with_capacity(HEADER_BYTES + HMAC_BYTES + body.len());
         bytes.extend(MAGIC);
         bytes.push(VERSION);
         bytes.push(self.channel as u8);
         bytes.extend(self.cluster);
-        let mut mac = self.mac.clone();
-        mac.update(&bytes);
-        mac.update(&body);
-        bytes.extend(mac.finalize().into_bytes());
+        let mut hmac = self.hmac.clone();
+        hmac.update(&bytes);
+        hmac.update(&body);
+        bytes.extend(hmac.finalize().into_bytes());
         bytes.extend(body);
-        (bytes.len() <= MOST_BYTES).then_some(bytes)
+        (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
     }
 
-    /// What a datagram says.
+    /// The body of a datagram.
     ///
     /// # Errors
-    /// Why it is not taken.
-    pub fn open_body<T: for<'a> Deserialize<'a>>(&self, bytes: &[u8]) -> Result<T, Refused> {
-        if bytes.len() < HEAD + MAC || bytes.len() > MOST_BYTES || !bytes.starts_with(&MAGIC) {
-            return Err(Refused::Foreign);
+    /// Why it was not opened.
+    pub fn open_body<T: for<'a> Deserialize<'a>>(&self, bytes: &[u8]) -> Result<T, OpenError> {
+        self.check_header(bytes)?;
+        let (header, rest) = bytes.split_at(HEADER_BYTES);
+        let (given, body) = rest.split_at(HMAC_BYTES);
+        let mut hmac = self.hmac.clone();
+        hmac.update(header);
+        hmac.update(body);
+        hmac.verify_slice(given).map_err(|_| OpenError::WrongHmac)?;
+        match postcard::take_from_bytes(body) {
+            Ok((message, [])) => Ok(message),
+            _ => Err(OpenError::UnreadableBody),
         }
-        if bytes[2] != VERSION {
-            return Err(Refused::Version(bytes[2]));
+    }
+
+    fn check_header(&self, bytes: &[u8]) -> Result<(), OpenError> {
+        let lengths = HEADER_BYTES + HMAC_BYTES..=MAX_DATAGRAM_BYTES;
+        if !lengths.contains(&bytes.len()) || !bytes.starts_with(&MAGIC) {
+            return Err(OpenError::NotThisProtocol);
         }
-        if bytes[3] != self.channel as u8 {
-            return Err(Refused::Foreign);
+        if bytes[VERSION_AT] != VERSION {
+            return Err(OpenError::UnknownVersion(bytes[VERSION_AT]));
         }
-        if bytes[4..HEAD] != self.cluster {
-            return Err(Refused::Cluster);
+        if bytes[CHANNEL_AT] != self.channel as u8 {
+            return Err(OpenError::NotThisProtocol);
         }
-        let (head, rest) = bytes.split_at(HEAD);
-        let (given, body) = rest.split_at(MAC);
-        let mut mac = self.mac.clone();
-        mac.update(head);
-        mac.update(body);
-        mac.verify_slice(given).map_err(|_| Refused::Mac)?;
-        match postcard::take_from_bytes(body) {
-            Ok((message, [])) => Ok(message),
-            _ => Err(Refused::Body),
+        if bytes[CLUSTER_AT..HEADER_BYTES] != self.cluster {
+            return Err(OpenError::OtherCluster);
         }
+        Ok(())
     }
 
     /// A message as a datagram. `None` where it would be too long.
@@ -156,16 +176,8 @@
     /// The message in a datagram.
     ///
     /// # Errors
-    /// Why it is not taken.
-    pub fn open(&self, bytes: &[u8]) -> Result<Message, Refused> {
+    /// Why it was not opened.
+    pub fn open(&self, bytes: &[u8]) -> Result<Message, OpenError> {
         self.open_body(bytes)
     }
 }
-
-/// The most bytes that an update takes, from above: varints at their longest.
-pub(crate) fn most_bytes(update: &Update) -> usize {
-    10 + 2 + update.name.len() + 4 + 3 + 10 + 1 + 10 + 5
-}
-
-/// Room for updates in a message, beside its head, its sender and its body.
-pub(crate) const ROOM_FOR_UPDATES: usize = MOST_BYTES - HEAD - MAC - 100 - 60;
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,140 +1,147 @@
-//! Members, and what is said of them.
+//! Members, as this instance knows them, and the table of them.
 
-use std::fmt;
+use std::collections::BTreeMap;
 
-use serde::{Deserialize, Serialize};
+use rand_core::RngCore;
 
+use crate::identity::{Address, MemberId};
+use crate::settings::Settings;
 use crate::suspicion::Suspicion;
+use crate::update::{MemberState, Update};
 use crate::Micros;
 
-/// A member, by a stable hash of its name.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct MemberId(pub u64);
-
-impl MemberId {
-    /// The id of a name: the same at every instance.
-    #[must_use]
-    pub fn of(name: &str) -> Self {
-        Self(xxhash_rust::xxh3::xxh3_64(name.as_bytes()))
-    }
-}
-
-/// Where a member hears: an IPv4 address and a UDP port.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Place {
-    /// The address.
-    pub ip: [u8; 4],
-    /// The port.
-    pub port: u16,
-}
-
-impl fmt::Display for Place {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let [a, b, c, d] = self.ip;
-        write!(to, "{a}.{b}.{c}.{d}:{}", self.port)
-    }
-}
-
-/// How a member stands, in the order in which the later holds at one incarnation.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Standing {
-    /// It answers, directly or through others.
-    Alive,
-    /// It did not answer; it may refute.
-    Suspect,
-    /// It did not refute in time.
-    Dead,
-    /// It said that it leaves.
-    Left,
-}
-
-impl Standing {
-    /// Is asked, and counted in all that depends on the number of members.
-    #[must_use]
-    pub fn is_up(self) -> bool {
-        matches!(self, Self::Alive | Self::Suspect)
-    }
-
-    /// The name in logs and answers.
-    #[must_use]
-    pub fn name(self) -> &'static str {
-        match self {
-            Self::Alive => "alive",
-            Self::Suspect => "suspect",
-            Self::Dead => "dead",
-            Self::Left => "left",
-        }
-    }
-}
-
-/// What is said of a member.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Update {
-    /// Whom it is about.
-    pub id: MemberId,
-    /// Its name.
-    pub name: String,
-    /// Where it hears.
-    pub place: Place,
-    /// Its incarnation: only the member itself makes a new one, to refute what is said of the old.
-    pub incarnation: u64,
-    /// How it stands in that incarnation.
-    pub standing: Standing,
-    /// Who found that, for what counts as found independently; the member itself where it says so.
-    pub by: MemberId,
-    /// For how many seconds it has stood so: by that, all forget a dead member at about the same time.
-    pub age_s: u32,
-}
-
-impl Update {
-    /// Whether this holds over what was known. A new incarnation holds over the old, dead or not, and
-    /// within one incarnation only a later standing does: the same in whatever order news arrive.
-    #[must_use]
-    pub fn holds_over(&self, incarnation: u64, standing: Standing) -> bool {
-        (self.incarnation, self.standing) > (incarnation, standing)
-    }
-}
+/// Members that are remembered; updates about further strangers are not taken.
+const MAX_MEMBERS: usize = 10_000;
 
 /// A member, as this instance knows it.
 #[derive(Clone, Debug)]
 pub struct Member {
     /// Its name.
     pub name: String,
-    /// Where it hears.
-    pub place: Place,
-    /// Its last incarnation that was heard of.
+    /// Where it receives messages.
+    pub address: Address,
+    /// The latest incarnation known.
     pub incarnation: u64,
-    /// How it stands.
-    pub standing: Standing,
-    /// Since when.
+    /// Its state in that incarnation.
+    pub state: MemberState,
+    /// Since when it is in that state.
     pub since: Micros,
-    /// Who found that.
-    pub by: MemberId,
+    /// Who found that state.
+    pub reported_by: MemberId,
+    /// The running time to refute, where it is suspected.
     pub(crate) suspicion: Option<Suspicion>,
 }
 
 impl Member {
-    pub(crate) fn new(update: &Update, now: Micros) -> Self {
+    /// The member that an update describes.
+    pub(crate) fn new(update: &Update, suspicion: Option<Suspicion>, now: Micros) -> Self {
         Self {
             name: update.name.clone(),
-            place: update.place,
+            address: update.address,
             incarnation: update.incarnation,
-            standing: update.standing,
+            state: update.state,
             since: now.saturating_sub(Micros::from(update.age_s) * 1_000_000),
-            by: update.by,
-            suspicion: None,
+            reported_by: update.reported_by,
+            suspicion,
         }
     }
 
+    /// What this instance says of the member.
     pub(crate) fn update(&self, id: MemberId, now: Micros) -> Update {
         Update {
             id,
             name: self.name.clone(),
-            place: self.place,
+            address: self.address,
             incarnation: self.incarnation,
-            standing: self.standing,
-            by: self.by,
+            state: self.state,
+            reported_by: self.reported_by,
             age_s: u32::try_from(now.saturating_sub(self.since) / 1_000_000).unwrap_or(u32::MAX),
         }
     }
 }
+
+/// The other members that this instance knows, dead ones included.
+#[derive(Debug, Default)]
+pub(crate) struct MemberTable {
+    members: BTreeMap<MemberId, Member>,
+}
+
+impl MemberTable {
+    pub(crate) fn get(&self, id: MemberId) -> Option<&Member> {
+        self.members.get(&id)
+    }
+
+    pub(crate) fn get_mut(&mut self, id: MemberId) -> Option<&mut Member> {
+        self.members.get_mut(&id)
+    }
+
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (MemberId, &Member)> {
+        self.members.iter().map(|(&id, member)| (id, member))
+    }
+
+    /// Adds a member; false where the table is full.
+    pub(crate) fn insert(&mut self, id: MemberId, member: Member) -> bool {
+        if self.members.len() >= MAX_MEMBERS {
+            return false;
+        }
+        self.members.insert(id, member);
+        true
+    }
+
+    pub(crate) fn is_up(&self, id: MemberId) -> bool {
+        self.get(id).is_some_and(|member| member.state.is_up())
+    }
+
+    /// How many are up.
+    pub(crate) fn count_up(&self) -> usize {
+        self.members.values().filter(|member| member.state.is_up()).count()
+    }
+
+    /// Those that are up, but for one.
+    pub(crate) fn up_except(&self, except: Option<MemberId>) -> Vec<MemberId> {
+        let up = self.iter().filter(|(id, member)| member.state.is_up() && Some(*id) != except);
+        up.map(|(id, _)| id).collect()
+    }
+
+    /// So many different ones that are up, but for one, drawn at random; all where there are fewer.
+    pub(crate) fn draw_up(
+        &self,
+        count: usize,
+        except: Option<MemberId>,
+        rng: &mut impl RngCore,
+    ) -> Vec<MemberId> {
+        let mut up = self.up_except(except);
+        for at in 0..count.min(up.len()) {
+            let other = at + rng.next_u64() as usize % (up.len() - at);
+            up.swap(at, other);
+        }
+        up.truncate(count);
+        up
+    }
+
+    /// Gives all suspected members so much more time to refute.
+    pub(crate) fn extend_suspicions(&mut self, by: Micros) {
+        for member in self.members.values_mut() {
+            if let Some(suspicion) = &mut member.suspicion {
+                suspicion.since += by;
+            }
+        }
+    }
+
+    /// Suspected members whose time to refute is over, in a cluster of so many members that are up.
+    pub(crate) fn expired_suspicions(&self, now: Micros, up: usize, settings: &Settings) -> Vec<Update> {
+        let mut expired = Vec::new();
+        for (id, member) in self.iter() {
+            let Some(suspicion) = &member.suspicion else { continue };
+            if suspicion.ends_at(up, settings) <= now {
+                expired.push(member.update(id, now));
+            }
+        }
+        expired
+    }
+
+    /// Forgets members that have been dead or gone for so long.
+    pub(crate) fn forget_dead(&mut self, now: Micros, retention: Micros) {
+        self.members.retain(|_, member| member.state.is_up() || now < member.since + retention);
+    }
+}
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -1,70 +1,48 @@
-//! How long a suspected member has to refute: long while one instance alone suspects it, shorter with each
-//! that found the same by itself (Lifeguard's dynamic suspicion timeout).
+//! How long a suspected member has to refute: long while one instance alone suspects it, shorter with each independent
+//! confirmation (Lifeguard's dynamic suspicion timeout).
 
-use crate::member::MemberId;
+use crate::identity::MemberId;
 use crate::settings::Settings;
 use crate::Micros;
 
+/// The running time of a suspected member to refute.
 #[derive(Clone, Debug)]
-pub(crate) struct Suspicion {
+pub struct Suspicion {
+    /// When it began.
     pub(crate) since: Micros,
-    /// Those that found it by themselves, the first included.
-    by: Vec<MemberId>,
-    /// Another holds it for dead: it has the least time, whoever confirms.
-    pub(crate) told_dead: bool,
+    /// Who suspects it independently, the first one included.
+    reporters: Vec<MemberId>,
+    /// Another instance declared it dead: it has the minimum time, whoever confirms.
+    pub(crate) declared_dead: bool,
 }
 
 impl Suspicion {
-    pub(crate) fn new(by: MemberId, now: Micros) -> Self {
-        Self { since: now, by: vec![by], told_dead: false }
+    /// A suspicion that a member has just reported.
+    #[must_use]
+    pub fn new(reported_by: MemberId, now: Micros) -> Self {
+        Self { since: now, reporters: vec![reported_by], declared_dead: false }
     }
 
-    /// One more has found it; false where that is known, or so many have that more make no difference.
-    pub(crate) fn confirm(&mut self, by: MemberId, settings: &Settings) -> bool {
-        let new = self.by.len() <= settings.confirmations && !self.by.contains(&by);
-        if new {
-            self.by.push(by);
+    /// Counts one more reporter; false where it is counted already, or further ones make no difference.
+    pub fn confirm(&mut self, reported_by: MemberId, settings: &Settings) -> bool {
+        let is_new = self.reporters.len() <= settings.confirmations && !self.reporters.contains(&reported_by);
+        if is_new {
+            self.reporters.push(reported_by);
         }
-        new
+        is_new
     }
 
-    /// When it counts as dead, in a cluster of so many members that are up.
-    pub(crate) fn ends_at(&self, up: usize, settings: &Settings) -> Micros {
-        let (least, most) = settings.suspicion_bounds(up);
-        // As many as can be had: with three members, one other at most can confirm.
+    /// When the member is declared dead, in a cluster of so many members that are up.
+    #[must_use]
+    pub fn ends_at(&self, up: usize, settings: &Settings) -> Micros {
+        let (min, max) = settings.suspicion_bounds(up);
+        // As many as there can be: with three members, one other at most can confirm.
         let wanted = settings.confirmations.min(up.saturating_sub(2));
-        let found = self.by.len().saturating_sub(1);
-        if self.told_dead || wanted == 0 || found >= wanted {
-            return self.since + least;
+        let confirmed = self.reporters.len().saturating_sub(1);
+        if self.declared_dead || wanted == 0 || confirmed >= wanted {
+            return self.since + min;
         }
-        let part = ((found + 1) as f64).ln() / ((wanted + 1) as f64).ln();
-        self.since + most - ((most - least) as f64 * part) as Micros
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn it_grows_shorter_with_each_that_found_it_by_itself_down_to_the_least() {
-        let settings = Settings::default();
-        let (least, most) = settings.suspicion_bounds(9);
-        let mut suspicion = Suspicion::new(MemberId(1), 0);
-        let mut ends = vec![suspicion.ends_at(9, &settings)];
-        for by in [1, 2, 2, 3, 4, 5] {
-            suspicion.confirm(MemberId(by), &settings);
-            ends.push(suspicion.ends_at(9, &settings));
-        }
-        assert_eq!(ends[0], most);
-        assert_eq!(ends[1], most, "its own finder confirms nothing");
-        assert!(ends[2] < most && ends[3] == ends[2], "one that says it twice counts once");
-        assert_eq!(&ends[5..], [least, least]);
-    }
-
-    #[test]
-    fn where_nobody_can_confirm_the_least_holds() {
-        let settings = Settings::default();
-        assert_eq!(Suspicion::new(MemberId(1), 7).ends_at(2, &settings), 7 + settings.suspicion_bounds(2).0);
+        let progress = ((confirmed + 1) as f64).ln() / ((wanted + 1) as f64).ln();
+        self.since + max - ((max - min) as f64 * progress) as Micros
     }
 }
--- a/crates/membership/tests/datagrams.rs
+++ b/crates/membership/tests/datagrams.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write as _;
 
 use dewladder_membership::codec::{Channel, Codec};
-use dewladder_membership::{Body, MemberId, Message, Place, Standing, Update};
+use dewladder_membership::{Address, Body, MemberId, MemberState, Message, Update};
 
 const GOLDEN: &str = include_str!("golden/datagrams.txt");
 
@@ -26,35 +26,38 @@
         .collect()
 }
 
-fn update(name: &str, standing: Standing) -> Update {
+fn update(name: &str, state: MemberState) -> Update {
     Update {
         id: MemberId::of(name),
         name: name.to_owned(),
-        place: Place { ip: [10, 20, 30, 40], port: 7_946 },
+        address: Address { ip: [10, 20, 30, 40], port: 7_946 },
         incarnation: 1_700_000_000_123,
-        standing,
-        by: MemberId(0x0102_0304_0506_0708),
+        state,
+        reported_by: MemberId(0x0102_0304_0506_0708),
         age_s: 300,
     }
 }
 
 fn message(body: Body, updates: Vec<Update>) -> Message {
-    Message { from: update("a", Standing::Alive), body, updates }
+    Message { sender: update("a", MemberState::Alive), body, updates }
 }
 
 /// Each kind of message and each standing of a member, by the name that the golden file has for it.
 fn messages() -> Vec<(&'static str, Message)> {
     let (nonce, target) = (0x8899_aabb, MemberId::of("b"));
-    let place = Place { ip: [192, 168, 0, 1], port: 65_535 };
-    let all = [Standing::Alive, Standing::Suspect, Standing::Dead, Standing::Left];
+    let address = Address { ip: [192, 168, 0, 1], port: 65_535 };
+    let all = [MemberState::Alive, MemberState::Suspect, MemberState::Dead, MemberState::Left];
     vec![
         ("ping", message(Body::Ping { nonce, target }, Vec::new())),
         ("ack", message(Body::Ack { nonce }, Vec::new())),
         ("nack", message(Body::Nack { nonce }, Vec::new())),
-        ("indirect-ping", message(Body::Ask { nonce, target, place }, Vec::new())),
-        ("sync-wanting", message(Body::Sync { want: true }, vec![update("b", Standing::Alive)])),
-        ("sync-answering", message(Body::Sync { want: false }, vec![update("b", Standing::Suspect)])),
-        ("gossip", message(Body::Gossip, all.map(|standing| update("b", standing)).to_vec())),
+        ("indirect-ping", message(Body::IndirectPing { nonce, target, address }, Vec::new())),
+        ("sync-wanting", message(Body::Sync { wants_reply: true }, vec![update("b", MemberState::Alive)])),
+        (
+            "sync-answering",
+            message(Body::Sync { wants_reply: false }, vec![update("b", MemberState::Suspect)]),
+        ),
+        ("gossip", message(Body::Gossip, all.map(|state| update("b", state)).to_vec())),
     ]
 }
 
@@ -87,7 +90,8 @@
 fn members_are_known_by_the_same_numbers_and_standings_by_the_same_words() {
     let ids = ["n0", "dewladder"].map(|name| MemberId::of(name).0);
     assert_eq!(ids, [16_059_159_448_129_433_833, 8_305_114_003_831_970_156]);
-    let names = [Standing::Alive, Standing::Suspect, Standing::Dead, Standing::Left].map(Standing::name);
+    let names = [MemberState::Alive, MemberState::Suspect, MemberState::Dead, MemberState::Left]
+        .map(MemberState::name);
     assert_eq!(names, ["alive", "suspect", "dead", "left"]);
-    assert_eq!(Place { ip: [10, 20, 30, 40], port: 7_946 }.to_string(), "10.20.30.40:7946");
+    assert_eq!(Address { ip: [10, 20, 30, 40], port: 7_946 }.to_string(), "10.20.30.40:7946");
 }
--- a/crates/membership/tests/decisions.rs
+++ b/crates/membership/tests/decisions.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 
 use dewladder_membership::codec::Codec;
-use dewladder_membership::{Effect, Event, MemberId, Membership, Micros, Place, Settings, Standing};
+use dewladder_membership::{Address, Effect, Event, MemberId, MemberState, Membership, Micros, Settings};
 use rand_core::{RngCore as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 use sha2::{Digest as _, Sha256};
@@ -13,17 +13,17 @@
 const SECOND: Micros = 1_000_000;
 const INSTANCES: usize = 5;
 
-fn place(at: usize) -> Place {
-    Place { ip: [127, 0, 0, 1], port: 7_000 + at as u16 }
+fn address(at: usize) -> Address {
+    Address { ip: [127, 0, 0, 1], port: 7_000 + at as u16 }
 }
 
 fn settings(at: usize) -> Settings {
-    let seeds = if at == 0 { Vec::new() } else { vec![place(0)] };
+    let seeds = if at == 0 { Vec::new() } else { vec![address(0)] };
     Settings {
         name: format!("n{at}"),
-        place: place(at),
+        address: address(at),
         seeds,
-        sync_every: 5 * SECOND,
+        sync_interval: 5 * SECOND,
         ..Settings::default()
     }
 }
@@ -46,12 +46,12 @@
                 self.hash.update(codec.seal(message).expect("it fits"));
                 self.messages += 1;
             }
-            Effect::Changed(change) => {
-                let was = change.was.map_or("unknown", Standing::name);
-                self.change(format!("n{at}: {} {was}->{}", change.name, change.standing.name()));
+            Effect::MemberChanged(change) => {
+                let was = change.previous.map_or("unknown", MemberState::name);
+                self.change(format!("n{at}: {} {was}->{}", change.name, change.state.name()));
             }
-            Effect::Refuted { said, incarnation, .. } => {
-                self.change(format!("n{at}: refuted {} in {incarnation}", said.name()));
+            Effect::Refuted { claimed, incarnation, .. } => {
+                self.change(format!("n{at}: refuted {} in {incarnation}", claimed.name()));
             }
             Effect::Paused(gap) => self.change(format!("n{at}: paused {gap}")),
         }
@@ -96,7 +96,7 @@
                 let Effect::Send { to, message } = effect else { continue };
                 let to = usize::from(to.port) - 7_000;
                 if !is_lost(&mut rng, now, at, to) {
-                    events.push_back((to, Event::Heard(message)));
+                    events.push_back((to, Event::MessageReceived(message)));
                 }
             }
         }
@@ -105,8 +105,15 @@
 }
 
 fn counts(instance: &Membership) -> [u64; 6] {
-    let counts = instance.counts();
-    [counts.probes, counts.failed_probes, counts.deaths, counts.refuted, counts.pauses, counts.namesakes]
+    let counts = instance.counters();
+    [
+        counts.probes,
+        counts.failed_probes,
+        counts.deaths,
+        counts.refutations,
+        counts.pauses,
+        counts.name_conflicts,
+    ]
 }
 
 #[test]
--- a/src/edge/cluster/file.rs
+++ b/src/edge/cluster/file.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddrV4;
 
 use dewladder_membership::codec::Codec;
-use dewladder_membership::{MemberId, Place, Settings};
+use dewladder_membership::{Address, MemberId, Settings};
 use dewladder_replica as replica;
 use serde::Deserialize;
 
@@ -145,19 +145,19 @@
             enabled: false,
             name: String::new(),
             cluster: "dewladder".to_owned(),
-            listen: SocketAddrV4::new(std::net::Ipv4Addr::LOCALHOST, usual.place.port),
+            listen: SocketAddrV4::new(std::net::Ipv4Addr::LOCALHOST, usual.address.port),
             advertise: None,
             key: String::new(),
             seeds: Vec::new(),
-            probe_every_s: seconds(usual.probe_every),
+            probe_every_s: seconds(usual.probe_interval),
             probe_timeout_s: seconds(usual.probe_timeout),
-            indirect: usual.indirect,
-            suspicion: usual.suspicion,
-            suspicion_most: usual.suspicion_most,
+            indirect: usual.indirect_probes,
+            suspicion: usual.suspicion_multiplier,
+            suspicion_most: usual.max_suspicion_multiplier,
             confirmations: usual.confirmations,
-            retransmit: usual.retransmit,
-            sync_every_s: seconds(usual.sync_every),
-            forget_after_s: seconds(usual.forget_after),
+            retransmit: usual.retransmit_multiplier,
+            sync_every_s: seconds(usual.sync_interval),
+            forget_after_s: seconds(usual.dead_retention),
             replica: ReplicaTable::default(),
         }
     }
@@ -184,19 +184,19 @@
         }
         let settings = Settings {
             name: if self.name.is_empty() { name.to_owned() } else { self.name.clone() },
-            place: place(reached),
+            address: place(reached),
             incarnation: 0,
             seeds: self.seeds.iter().copied().map(place).collect(),
-            probe_every: micros(self.probe_every_s),
+            probe_interval: micros(self.probe_every_s),
             probe_timeout: micros(self.probe_timeout_s),
-            indirect: self.indirect,
-            suspicion: self.suspicion,
-            suspicion_most: self.suspicion_most,
+            indirect_probes: self.indirect,
+            suspicion_multiplier: self.suspicion,
+            max_suspicion_multiplier: self.suspicion_most,
             confirmations: self.confirmations,
-            retransmit: self.retransmit,
-            sync_every: micros(self.sync_every_s),
-            forget_after: micros(self.forget_after_s),
-            tick_every: crate::edge::clock::micros(TICK),
+            retransmit_multiplier: self.retransmit,
+            sync_interval: micros(self.sync_every_s),
+            dead_retention: micros(self.forget_after_s),
+            tick_interval: crate::edge::clock::micros(TICK),
         };
         settings.check().map_err(|error| format!("cluster.{error}"))?;
         let replica = Some(&self.replica).filter(|table| table.enabled);
@@ -207,6 +207,6 @@
 
 /// An address as messages have it.
 #[must_use]
-pub fn place(at: SocketAddrV4) -> Place {
-    Place { ip: at.ip().octets(), port: at.port() }
+pub fn place(at: SocketAddrV4) -> Address {
+    Address { ip: at.ip().octets(), port: at.port() }
 }
--- a/src/edge/cluster/mod.rs
+++ b/src/edge/cluster/mod.rs
@@ -9,8 +9,8 @@
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::time::Duration;
 
-use dewladder_membership::codec::{Channel, Codec, Refused, MOST_BYTES};
-use dewladder_membership::{Change, Effect, Event, MemberId, Membership, Place, Settings, Standing};
+use dewladder_membership::codec::{Channel, Codec, OpenError, MAX_DATAGRAM_BYTES};
+use dewladder_membership::{Address, Change, Effect, Event, MemberId, MemberState, Membership, Settings};
 use dewladder_replica::{self as replica, Replica};
 use log::{debug, info, warn};
 use tokio::net::UdpSocket;
@@ -110,9 +110,9 @@
         };
         let own = socket.local_addr().unwrap_or(SocketAddr::V4(listen));
         if let (SocketAddr::V4(own), false) = (own, advertised) {
-            settings.place = file::place(own);
+            settings.address = file::place(own);
         }
-        info!("cluster: {} listens on {own}, reached at {}", settings.name, settings.place);
+        info!("cluster: {} listens on {own}, reached at {}", settings.name, settings.address);
         let membership = match Membership::new(settings, seed, clock.now()) {
             Ok(membership) => membership,
             Err(error) => return warn!("cluster: can't run: {error}"),
@@ -126,7 +126,7 @@
         let mut member = Running { codec, sealed, membership, replica, offers, socket, clock, view };
         let mut ticks = tokio::time::interval(TICK);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut bytes = [0; MOST_BYTES + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         let mut shown = 0;
         loop {
             tokio::select! {
@@ -178,14 +178,14 @@
             }
         } else {
             match self.codec.open(bytes) {
-                Ok(message) => return self.step(Event::Heard(message)),
+                Ok(message) => return self.step(Event::MessageReceived(message)),
                 Err(why) => why,
             }
         };
         self.refuse(refused, from);
     }
 
-    fn refuse(&self, why: Refused, from: SocketAddr) {
+    fn refuse(&self, why: OpenError, from: SocketAddr) {
         if self.view.refuse(why) {
             warn!("cluster: from {from}: {why}; more of the kind are only counted");
         }
@@ -204,9 +204,9 @@
         for effect in effects {
             match effect {
                 replica::Effect::Send { to, message } => {
-                    let body = (self.membership.me().id, message);
+                    let body = (self.membership.own_update().id, message);
                     // One that was never heard of can't be reached; what is for it is sent again.
-                    if let Some(place) = self.membership.place_of(to) {
+                    if let Some(place) = self.membership.address_of(to) {
                         self.send_bytes(place, self.sealed.seal_body(&body));
                     }
                 }
@@ -233,8 +233,8 @@
             changed |= !matches!(effect, Effect::Send { .. });
             match effect {
                 Effect::Send { to, message } => self.send(to, &message),
-                Effect::Changed(change) => tell(&change, self.membership.up()),
-                Effect::Refuted { said, by, incarnation } => {
+                Effect::MemberChanged(change) => tell(&change, self.membership.up()),
+                Effect::Refuted { claimed: said, reported_by: by, incarnation } => {
                     info!(said = said.name(), by:% = format!("{:016x}", by.0), incarnation; "cluster: refuted");
                 }
                 Effect::Paused(gap) => {
@@ -252,11 +252,11 @@
         self.view.show(&self.membership, self.replica.as_ref(), self.clock.now());
     }
 
-    fn send(&self, to: Place, message: &dewladder_membership::Message) {
+    fn send(&self, to: Address, message: &dewladder_membership::Message) {
         self.send_bytes(to, self.codec.seal(message));
     }
 
-    fn send_bytes(&self, to: Place, bytes: Option<Vec<u8>>) {
+    fn send_bytes(&self, to: Address, bytes: Option<Vec<u8>>) {
         let Some(bytes) = bytes else {
             return warn!("cluster: a message to {to} is too long and not sent");
         };
@@ -270,9 +270,9 @@
 }
 
 fn tell(change: &Change, up: usize) {
-    let (member, state) = (change.name.as_str(), change.standing.name());
-    let (was, incarnation) = (change.was.map_or("unknown", Standing::name), change.incarnation);
-    let (at, by) = (change.place.to_string(), format!("{:016x}", change.by.0));
+    let (member, state) = (change.name.as_str(), change.state.name());
+    let (was, incarnation) = (change.previous.map_or("unknown", MemberState::name), change.incarnation);
+    let (at, by) = (change.address.to_string(), format!("{:016x}", change.reported_by.0));
     info!(member, state, was, incarnation, at:%, by:%, up; "cluster: a member changed");
 }
 
--- a/src/edge/cluster/view.rs
+++ b/src/edge/cluster/view.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use dewladder_membership::codec::Refused;
+use dewladder_membership::codec::OpenError;
 use dewladder_membership::Membership;
 use dewladder_replica::Replica;
 use serde_json::{json, Value};
@@ -33,13 +33,13 @@
     }
 
     /// Counts a datagram that was not taken; true for the first of its kind.
-    pub(super) fn refuse(&self, why: Refused) -> bool {
+    pub(super) fn refuse(&self, why: OpenError) -> bool {
         let kind = match why {
-            Refused::Foreign => "foreign",
-            Refused::Version(_) => "version",
-            Refused::Cluster => "cluster",
-            Refused::Mac => "mac",
-            Refused::Body => "body",
+            OpenError::NotThisProtocol => "foreign",
+            OpenError::UnknownVersion(_) => "version",
+            OpenError::OtherCluster => "cluster",
+            OpenError::WrongHmac => "mac",
+            OpenError::UnreadableBody => "body",
         };
         let mut shown = self.shown();
         let count = shown.refused.entry(kind).or_default();
@@ -48,16 +48,16 @@
     }
 
     pub(super) fn show(&self, membership: &Membership, replica: Option<&Replica>, now: Micros) {
-        let me = membership.me();
+        let me = membership.own_update();
         let members: Vec<Value> = membership
             .others()
             .map(|(_, member)| {
-                json!({"name": member.name, "address": member.place.to_string(),
-                    "state": member.standing.name(), "incarnation": member.incarnation,
+                json!({"name": member.name, "address": member.address.to_string(),
+                    "state": member.state.name(), "incarnation": member.incarnation,
                     "for_s": now.saturating_sub(member.since) / 1_000_000})
             })
             .collect();
-        let counts = membership.counts();
+        let counts = membership.counters();
         let replica = replica.map(|replica| {
             let counts = replica.counts();
             json!({"records": replica.store().len(), "ranges_behind": replica.behind(), "hints": replica.hinted(),
@@ -66,11 +66,11 @@
         });
         self.shown().membership = json!({
             "replica": replica,
-            "me": {"name": me.name, "address": me.place.to_string(), "state": me.standing.name(),
+            "me": {"name": me.name, "address": me.address.to_string(), "state": me.state.name(),
                 "incarnation": me.incarnation, "health": membership.health_score()},
             "members": members,
             "counts": {"probes": counts.probes, "failed_probes": counts.failed_probes, "deaths": counts.deaths,
-                "refuted": counts.refuted, "pauses": counts.pauses, "namesakes": counts.namesakes},
+                "refuted": counts.refutations, "pauses": counts.pauses, "namesakes": counts.name_conflicts},
         });
     }
 
--- a/tests/cluster_settings.rs
+++ b/tests/cluster_settings.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddrV4;
 
 use dewladder::edge::cluster::Table;
-use dewladder_membership::{MemberId, Place, Settings};
+use dewladder_membership::{Address, MemberId, Settings};
 
 const EVERY_KEY: &str = include_str!("golden/cluster_table.toml");
 const ERRORS: &str = include_str!("golden/cluster_table_errors.txt");
@@ -20,19 +20,19 @@
     let checked = table.check("n0").expect("a table that can be");
     let expected = Settings {
         name: "blue".to_owned(),
-        place: Place { ip: [10, 0, 0, 9], port: 7_002 },
+        address: Address { ip: [10, 0, 0, 9], port: 7_002 },
         incarnation: 0,
-        seeds: vec![Place { ip: [10, 0, 0, 1], port: 7_946 }, Place { ip: [10, 0, 0, 2], port: 7_947 }],
-        probe_every: 1_500_000,
+        seeds: vec![Address { ip: [10, 0, 0, 1], port: 7_946 }, Address { ip: [10, 0, 0, 2], port: 7_947 }],
+        probe_interval: 1_500_000,
         probe_timeout: 250_000,
-        indirect: 4,
-        suspicion: 5.0,
-        suspicion_most: 7.0,
+        indirect_probes: 4,
+        suspicion_multiplier: 5.0,
+        max_suspicion_multiplier: 7.0,
         confirmations: 2,
-        retransmit: 5,
-        sync_every: 12_000_000,
-        forget_after: 1_800_000_000,
-        tick_every: 25_000,
+        retransmit_multiplier: 5,
+        sync_interval: 12_000_000,
+        dead_retention: 1_800_000_000,
+        tick_interval: 25_000,
     };
     assert_eq!(checked.settings, expected);
     let expected = dewladder_replica::Settings {
