--- a/crates/replica/benches/catch_up.rs
+++ b/crates/replica/benches/catch_up.rs
@@ -9,7 +9,7 @@
 
 use dewladder_membership::MemberId;
 use dewladder_replica::{
-    AttemptId, Effect, Event, Message, Micros, Ran, Record, RecordId, Replica, Settings, Stage,
+    AttemptId, Effect, Event, Message, Micros, Outcome, Record, RecordId, Replica, Settings, Stage,
 };
 
 const TICK: Micros = 25_000;
@@ -22,17 +22,17 @@
 
 fn settings(at: usize, records: usize) -> Settings {
     Settings {
-        me: member(at),
-        life: START,
+        own_id: member(at),
+        incarnation: START,
         members: (0..3).map(member).collect(),
         copies: 3,
         quorum: 2,
-        window: 100_000_000_000,
-        most_records: 2 * records,
-        most_hints: 10,
-        settle: 1_000_000,
-        again_after: 100_000,
-        compare_every: 500_000,
+        retention: 100_000_000_000,
+        max_records: 2 * records,
+        max_hints: 10,
+        settle_time: 1_000_000,
+        retry_after: 100_000,
+        compare_interval: 500_000,
     }
 }
 
@@ -54,14 +54,17 @@
             (self.bytes, self.datagrams) = (self.bytes + size + 44, self.datagrams + 1);
             self.numbers += 1;
             let to = to.0 as usize - 1;
-            self.due.insert((now + WAY, self.numbers), (to, Event::Heard { from: member(at), message }));
+            self.due.insert(
+                (now + WAY, self.numbers),
+                (to, Event::MessageReceived { from: member(at), message }),
+            );
         }
     }
 
     /// Until the last one is caught up; how long that took.
     fn catch_up(&mut self) -> Micros {
         let mut now = START;
-        while self.replicas[2].behind() > 0 {
+        while self.replicas[2].ranges_behind() > 0 {
             for at in 0..3 {
                 self.step(at, now, Event::Tick);
             }
@@ -77,8 +80,8 @@
 
 fn records(count: usize) -> impl Iterator<Item = (RecordId, Record)> {
     (0..count as u64).map(|number| {
-        let attempt = AttemptId { owner: member(number as usize % 3), life: START, number };
-        let ran = Stage::Ran(Ran { whole: true, digest: 0 });
+        let attempt = AttemptId { owner: member(number as usize % 3), incarnation: START, number };
+        let ran = Stage::Executed(Outcome { complete: true, digest: 0 });
         (RecordId::of("tenant", &number.to_string()), Record::new(attempt, ran, START + 100_000_000_000))
     })
 }
@@ -100,16 +103,16 @@
                 .iter()
                 .map(|one| postcard::to_allocvec(one).map_or(0, |bytes| bytes.len()))
                 .sum::<usize>();
-            let message = Message::Put { number: 0, records: some.to_vec() };
+            let message = Message::Write { number: 0, records: some.to_vec() };
             plain += postcard::to_allocvec(&message).map_or(0, |bytes| bytes.len()) + 44;
             for at in 0..2 {
-                let event = Event::Heard { from: member(2), message: message.clone() };
+                let event = Event::MessageReceived { from: member(2), message: message.clone() };
                 run.replicas[at].handle(START, event, &mut Vec::new());
             }
         }
         let up: BTreeSet<MemberId> = (0..3).map(member).collect();
         for at in 0..3 {
-            run.step(at, START, Event::Up(up.clone()));
+            run.step(at, START, Event::MembersUp(up.clone()));
         }
         let took = run.catch_up();
         assert_eq!(run.replicas[2].store().len(), count, "all of it");
--- a/crates/replica/src/record.rs
+++ b/crates/replica/src/record.rs
@@ -1,4 +1,4 @@
-//! What is known of a request that must not run twice, and how two copies become one.
+//! What is known of a request that must not run twice, and how two copies are merged.
 
 use std::collections::BTreeMap;
 
@@ -8,12 +8,12 @@
 
 use crate::Micros;
 
-/// A request, by its tenant and the key that its client gave: the same at all instances.
+/// A request, by a hash of its tenant and the key that its client gave: the same at all instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RecordId(pub [u8; 16]);
 
 impl RecordId {
-    /// Of a tenant's request with that key; no other tenant's key gives the same.
+    /// The id of a tenant's request with that key; no other tenant's key gives the same.
     #[must_use]
     pub fn of(tenant: &str, key: &str) -> Self {
         let mut hash = Sha256::new();
@@ -26,69 +26,69 @@
     }
 }
 
-/// One try to run a request: by whom, in which of its lives, and which one there. Never used twice.
+/// One attempt to execute a request. An id is never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptId {
-    /// The instance.
+    /// The instance that makes it.
     pub owner: MemberId,
-    /// When it started.
-    pub life: u64,
+    /// When that instance started: no two of its incarnations have the same.
+    pub incarnation: u64,
     /// Counted from its start.
     pub number: u64,
 }
 
-/// How far an attempt is. It only goes forward, in this order; of two ends that differ the later holds, as what
-/// happened at a server is not undone by one that did not see it.
+/// How far an attempt is. It only moves forward, in this order; of two final stages that differ the later one is kept,
+/// as what happened at a server is not undone by one that did not see it. The order of variants is that of encoding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Stage {
-    /// Its instance may send it once enough hold this.
+    /// Its instance may send it once a quorum holds this.
     Offered,
-    /// Enough did: its first byte may have gone to a server.
-    Running,
-    /// Its instance knows that it never ran.
-    NeverRan,
-    /// It is over, and may have run.
-    MayHaveRun,
-    /// It ran.
-    Ran(Ran),
+    /// A quorum did: its first byte may have gone to a server.
+    Executing,
+    /// Its instance knows that it never executed.
+    NeverExecuted,
+    /// It is over, and may have executed.
+    MayHaveExecuted,
+    /// It executed.
+    Executed(Outcome),
 }
 
-/// What came of one that ran.
+/// The result of an attempt that executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Ran {
-    /// The answer came whole.
-    pub whole: bool,
-    /// A number for the answer's content; of two, the higher holds, everywhere the same.
+pub struct Outcome {
+    /// The answer came to its end.
+    pub complete: bool,
+    /// A digest of the answer's content; of two, the higher one is kept, at all instances alike.
     pub digest: u64,
 }
 
-/// What a request's copies say together.
+/// What the copies of a request's record say together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Verdict {
-    /// Nobody has it, or all attempts are known never to have run.
+pub enum RequestStatus {
+    /// No attempt is known, or all are known never to have executed.
     Free,
-    /// One may be about to run, or running.
+    /// An attempt may be about to execute, or executing.
     Open,
-    /// One may have run.
-    MayHaveRun,
-    /// One ran.
-    Ran(Ran),
+    /// An attempt may have executed.
+    MayHaveExecuted,
+    /// An attempt executed.
+    Executed(Outcome),
 }
 
-/// A copy: each attempt that it knows of with its furthest stage. Copies become one by taking the furthest of each:
-/// in any order, any number of times, the same comes out.
+/// A copy of a request's record: each attempt that it knows of with its furthest stage. Merging takes the furthest of
+/// each: in any order, any number of times, the result is the same.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     attempts: BTreeMap<AttemptId, Stage>,
-    /// When all forget it (Unix time, us): what has gone by then is not taken from anybody any more.
+    /// When all instances forget it (Unix time): an expired copy is not taken from any of them.
     pub expires: Micros,
 }
 
 impl Record {
-    /// Attempts that a copy holds at most: a request that never ran so often is not offered again.
-    pub const MOST_ATTEMPTS: usize = 8;
+    /// Attempts that a copy holds at most: a request that never executed so often is not offered again.
+    pub const MAX_ATTEMPTS: usize = 8;
 
-    /// A copy that knows one thing.
+    /// A copy that knows of one attempt.
     #[must_use]
     pub fn new(attempt: AttemptId, stage: Stage, expires: Micros) -> Self {
         Self { attempts: BTreeMap::from([(attempt, stage)]), expires }
@@ -107,16 +107,16 @@
         changed
     }
 
-    /// What all of it says.
+    /// What all attempts say together.
     #[must_use]
-    pub fn verdict(&self) -> Verdict {
-        let says = |stage: &Stage| match *stage {
-            Stage::NeverRan => Verdict::Free,
-            Stage::Offered | Stage::Running => Verdict::Open,
-            Stage::MayHaveRun => Verdict::MayHaveRun,
-            Stage::Ran(ran) => Verdict::Ran(ran),
+    pub fn status(&self) -> RequestStatus {
+        let status = |stage: &Stage| match *stage {
+            Stage::NeverExecuted => RequestStatus::Free,
+            Stage::Offered | Stage::Executing => RequestStatus::Open,
+            Stage::MayHaveExecuted => RequestStatus::MayHaveExecuted,
+            Stage::Executed(outcome) => RequestStatus::Executed(outcome),
         };
-        self.attempts.values().map(says).max().unwrap_or(Verdict::Free)
+        self.attempts.values().map(status).max().unwrap_or(RequestStatus::Free)
     }
 
     /// How far an attempt is, as far as this copy knows.
@@ -131,17 +131,19 @@
         self.attempts.len()
     }
 
-    /// Whether a new attempt may be offered beside what is known.
+    /// Whether an attempt may be offered beside what is known.
     #[must_use]
     pub fn admits(&self, attempt: AttemptId) -> bool {
         match self.stage(attempt) {
-            // Asked again, as an answer was lost; one that was taken back stays so.
-            Some(stage) => matches!(stage, Stage::Offered | Stage::Running) && self.others_free(attempt),
-            None => self.verdict() == Verdict::Free && self.attempts.len() < Self::MOST_ATTEMPTS,
+            // Offered again, as an answer was lost; one that was withdrawn stays so.
+            Some(stage) => {
+                matches!(stage, Stage::Offered | Stage::Executing) && self.others_never_executed(attempt)
+            }
+            None => self.status() == RequestStatus::Free && self.attempts.len() < Self::MAX_ATTEMPTS,
         }
     }
 
-    fn others_free(&self, attempt: AttemptId) -> bool {
-        self.attempts.iter().all(|(&other, &stage)| other == attempt || stage == Stage::NeverRan)
+    fn others_never_executed(&self, attempt: AttemptId) -> bool {
+        self.attempts.iter().all(|(&other, &stage)| other == attempt || stage == Stage::NeverExecuted)
     }
 }
--- a/crates/replica/tests/datagrams.rs
+++ b/crates/replica/tests/datagrams.rs
@@ -6,7 +6,8 @@
 
 use dewladder_membership::MemberId;
 use dewladder_replica::{
-    AttemptId, Message, Note, Ran, Ranges, Record, RecordId, Said, Stage, Stamp, Store, RANGES,
+    AttemptId, Message, Note, Outcome, Placement, Record, RecordId, RecordStore, ServerStatus, Stage,
+    Timestamp, RANGES,
 };
 
 const GOLDEN: &str = include_str!("golden/datagrams.txt");
@@ -26,18 +27,18 @@
 }
 
 fn attempt(number: u64) -> AttemptId {
-    AttemptId { owner: MemberId(0x1122_3344_5566_7788), life: 1_700_000_000_000_000, number }
+    AttemptId { owner: MemberId(0x1122_3344_5566_7788), incarnation: 1_700_000_000_000_000, number }
 }
 
 /// A copy in which each stage stands once.
 fn record() -> Record {
     let stages = [
         Stage::Offered,
-        Stage::Running,
-        Stage::NeverRan,
-        Stage::MayHaveRun,
-        Stage::Ran(Ran { whole: true, digest: 0 }),
-        Stage::Ran(Ran { whole: false, digest: u64::MAX }),
+        Stage::Executing,
+        Stage::NeverExecuted,
+        Stage::MayHaveExecuted,
+        Stage::Executed(Outcome { complete: true, digest: 0 }),
+        Stage::Executed(Outcome { complete: false, digest: u64::MAX }),
     ];
     let mut all = Record::new(attempt(0), stages[0], 9_000_000);
     for (number, stage) in stages.into_iter().enumerate() {
@@ -46,27 +47,38 @@
     all
 }
 
-fn note(said: Said) -> Note {
-    let stamp = Stamp { wall_ms: 1_700_000_000_000, count: 3, by: MemberId(200) };
-    Note { server: 0xfeed, said, stamp, expires: 77_000 }
+fn note(status: ServerStatus) -> Note {
+    let timestamp = Timestamp { wall_ms: 1_700_000_000_000, counter: 3, writer: MemberId(200) };
+    Note { server: 0xfeed, status, timestamp, expires: 77_000 }
 }
 
 /// Each kind of message, by the name that the golden file has for it.
 fn messages() -> Vec<(&'static str, Message)> {
     let (id, attempt) = (RecordId::of("tenant", "key"), attempt(300));
-    let said = [Said::Nothing, Said::Draining, Said::Gone, Said::ColdSince(1_700_000_000_456)];
+    let status = [
+        ServerStatus::Cleared,
+        ServerStatus::Draining,
+        ServerStatus::Gone,
+        ServerStatus::SlowStartSince(1_700_000_000_456),
+    ];
     vec![
         ("offer", Message::Offer { id, attempt, expires: 600_000_000 }),
-        ("held", Message::Held { id, attempt }),
-        ("found", Message::Found { id, attempt, record: Some(record()) }),
-        ("found-no-room", Message::Found { id, attempt, record: None }),
-        ("behind", Message::Behind { id, attempt }),
-        ("put", Message::Put { number: 129, records: vec![(id, record())] }),
-        ("taken", Message::Taken { number: 129 }),
-        ("compare", Message::Compare { range: 63, digests: vec![0, 1, u64::MAX] }),
-        ("compared-equal", Message::Compared { range: 0, equal: true, ready: false, differ: 0 }),
-        ("compared-differing", Message::Compared { range: 9, equal: false, ready: true, differ: 1 << 63 }),
-        ("notes", Message::Notes(said.map(note).to_vec())),
+        ("held", Message::OfferAccepted { id, attempt }),
+        ("found", Message::OfferRefused { id, attempt, known: Some(record()) }),
+        ("found-no-room", Message::OfferRefused { id, attempt, known: None }),
+        ("behind", Message::NotCaughtUp { id, attempt }),
+        ("put", Message::Write { number: 129, records: vec![(id, record())] }),
+        ("taken", Message::WriteAcknowledged { number: 129 }),
+        ("compare", Message::CompareDigests { range: 63, digests: vec![0, 1, u64::MAX] }),
+        (
+            "compared-equal",
+            Message::DigestsCompared { range: 0, equal: true, caught_up: false, differing: 0 },
+        ),
+        (
+            "compared-differing",
+            Message::DigestsCompared { range: 9, equal: false, caught_up: true, differing: 1 << 63 },
+        ),
+        ("notes", Message::Notes(status.map(note).to_vec())),
     ]
 }
 
@@ -104,7 +116,7 @@
 #[test]
 fn ranges_lie_at_the_same_holders_at_every_instance() {
     let members: Vec<MemberId> = (0..5).map(|at| MemberId::of(&format!("n{at}"))).collect();
-    let ranges = Ranges::new(&members, 3);
+    let ranges = Placement::new(&members, 3);
     let holders: Vec<String> = (0..RANGES)
         .map(|range| {
             let at = |id: &MemberId| members.iter().position(|one| one == id).expect("a member").to_string();
@@ -117,15 +129,16 @@
          423 124 013 234 204 013 034 134 421 204 031 130 420 231 013 103 412 024 123 023 321 214 432 230 310 134 \
          410 041 042 432 321 042 230 041 210 431 013 320"
     );
-    assert_eq!(Ranges::of(RecordId([0x7f; 16])), 63);
+    assert_eq!(Placement::range_of(RecordId([0x7f; 16])), 63);
 }
 
 #[test]
 fn digests_of_equal_records_are_the_same_at_every_instance() {
-    let mut store = Store::default();
+    let mut store = RecordStore::default();
     let (one, other) = (RecordId([5; 16]), RecordId([6; 16]));
     store.merge(one, &record(), 0);
     store.merge(other, &Record::new(attempt(1), Stage::Offered, 10), 0);
-    let digests = [store.digests(5)[Store::bucket_of(one)], store.digests(6)[Store::bucket_of(other)]];
+    let digests =
+        [store.digests(5)[RecordStore::bucket_of(one)], store.digests(6)[RecordStore::bucket_of(other)]];
     assert_eq!(digests, [578_917_391_079_517_639, 12_805_864_076_106_418_075]);
 }
--- a/crates/replica/tests/decisions.rs
+++ b/crates/replica/tests/decisions.rs
@@ -6,7 +6,8 @@
 
 use dewladder_membership::MemberId;
 use dewladder_replica::{
-    Denied, Effect, Event, Micros, Ran, RecordId, Replica, Said, Settings, Stage, Ticket, Verdict,
+    Denial, Effect, Event, Micros, OfferId, Outcome, RecordId, Replica, RequestStatus, ServerStatus,
+    Settings, Stage,
 };
 use rand_core::{RngCore as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
@@ -23,17 +24,17 @@
 
 fn new_replica(at: usize, now: Micros) -> Replica {
     let settings = Settings {
-        me: member(at),
-        life: now,
+        own_id: member(at),
+        incarnation: now,
         members: (0..INSTANCES).map(member).collect(),
         copies: 3,
         quorum: 2,
-        window: 60 * SECOND,
-        most_records: 400,
-        most_hints: 15,
-        settle: SECOND,
-        again_after: 50 * MS,
-        compare_every: 100 * MS,
+        retention: 60 * SECOND,
+        max_records: 400,
+        max_hints: 15,
+        settle_time: SECOND,
+        retry_after: 50 * MS,
+        compare_interval: 100 * MS,
     };
     Replica::new(settings, now).expect("settings that can be")
 }
@@ -46,7 +47,7 @@
     hash: Sha256,
     messages: u64,
     tickets: u64,
-    open: Vec<(usize, Ticket)>,
+    open: Vec<(usize, OfferId)>,
     answers: [u64; 7],
 }
 
@@ -74,21 +75,21 @@
         self.below(10) == 0 || cut
     }
 
-    fn answered(&mut self, at: usize, ticket: Ticket, denied: Option<Denied>) {
+    fn answered(&mut self, at: usize, offer: OfferId, denied: Option<Denial>) {
         let kind: u8 = match denied {
             None => 0,
-            Some(Denied::Found(Verdict::Free | Verdict::Open)) => 1,
-            Some(Denied::Found(Verdict::MayHaveRun)) => 2,
-            Some(Denied::Found(Verdict::Ran(_))) => 3,
-            Some(Denied::NoQuorum) => 4,
-            Some(Denied::Behind) => 5,
-            Some(Denied::Full) => 6,
+            Some(Denial::Conflict(RequestStatus::Free | RequestStatus::Open)) => 1,
+            Some(Denial::Conflict(RequestStatus::MayHaveExecuted)) => 2,
+            Some(Denial::Conflict(RequestStatus::Executed(_))) => 3,
+            Some(Denial::NoQuorum) => 4,
+            Some(Denial::NotCaughtUp) => 5,
+            Some(Denial::StoreFull) => 6,
         };
         self.answers[usize::from(kind)] += 1;
         self.hash.update([at as u8, kind]);
-        self.hash.update(ticket.0.to_le_bytes());
+        self.hash.update(offer.0.to_le_bytes());
         if denied.is_none() {
-            self.open.push((at, ticket));
+            self.open.push((at, offer));
         }
     }
 
@@ -105,13 +106,13 @@
                         self.hash.update(postcard::to_allocvec(&message).expect("it can be written"));
                         let to = (0..INSTANCES).find(|&one| member(one) == to).expect("a member");
                         if !self.is_lost(at, to) {
-                            events.push_back((to, Event::Heard { from: member(at), message }));
+                            events.push_back((to, Event::MessageReceived { from: member(at), message }));
                         }
                     }
-                    Effect::Granted(ticket) => self.answered(at, ticket, None),
-                    Effect::Denied(ticket, denied) => self.answered(at, ticket, Some(denied)),
+                    Effect::Granted(offer) => self.answered(at, offer, None),
+                    Effect::Denied(offer, denied) => self.answered(at, offer, Some(denied)),
                     Effect::CaughtUp(range) => self.hash.update([at as u8, range as u8]),
-                    Effect::Noted(note) => {
+                    Effect::NoteReceived(note) => {
                         self.hash.update(postcard::to_allocvec(&note).expect("it can be written"));
                     }
                 }
@@ -123,21 +124,29 @@
         if self.below(2) == 0 {
             let at = self.below(INSTANCES as u64) as usize;
             self.tickets += 1;
-            let (ticket, id) = (Ticket(self.tickets), RecordId::of("tenant", &self.below(900).to_string()));
-            self.step(at, Event::Offer { ticket, id, deadline: self.now + 500 * MS });
+            let (offer, id) = (OfferId(self.tickets), RecordId::of("tenant", &self.below(900).to_string()));
+            self.step(at, Event::Offer { offer, id, deadline: self.now + 500 * MS });
         }
         if !self.open.is_empty() && self.below(3) == 0 {
             let one = self.below(self.open.len() as u64) as usize;
-            let (at, ticket) = self.open.swap_remove(one);
-            let stages =
-                [Stage::NeverRan, Stage::MayHaveRun, Stage::Ran(Ran { whole: true, digest: self.below(2) })];
+            let (at, offer) = self.open.swap_remove(one);
+            let stages = [
+                Stage::NeverExecuted,
+                Stage::MayHaveExecuted,
+                Stage::Executed(Outcome { complete: true, digest: self.below(2) }),
+            ];
             let stage = stages[self.below(3) as usize];
-            self.step(at, Event::Ended { ticket, stage });
+            self.step(at, Event::Finished { offer, stage });
         }
         if self.below(200) == 0 {
-            let said = [Said::Nothing, Said::Draining, Said::Gone, Said::ColdSince(self.now / MS)];
-            let (said, server) = (said[self.below(4) as usize], self.below(5));
-            self.step(3, Event::Note { server, said, lasts: 20 * SECOND });
+            let status = [
+                ServerStatus::Cleared,
+                ServerStatus::Draining,
+                ServerStatus::Gone,
+                ServerStatus::SlowStartSince(self.now / MS),
+            ];
+            let (status, server) = (status[self.below(4) as usize], self.below(5));
+            self.step(3, Event::ServerStatusLearned { server, status, valid_for: 20 * SECOND });
         }
     }
 
@@ -150,7 +159,7 @@
     fn tell_up(&mut self) {
         for at in 0..INSTANCES {
             let up: BTreeSet<MemberId> = (0..INSTANCES).filter(|&other| other != at).map(member).collect();
-            self.step(at, Event::Up(up));
+            self.step(at, Event::MembersUp(up));
         }
     }
 
@@ -175,9 +184,10 @@
         let digest: String = self.hash.finalize().iter().map(|byte| format!("{byte:02x}")).collect();
         let mut text = format!("{} messages, answers {:?}, {digest}\n", self.messages, self.answers);
         for (at, replica) in self.replicas.iter().enumerate() {
-            let counts = replica.counts();
-            let counts = [counts.granted, counts.found, counts.no_quorum, counts.full, counts.hints_lost];
-            let (records, hints, behind) = (replica.store().len(), replica.hinted(), replica.behind());
+            let counts = replica.counters();
+            let counts =
+                [counts.granted, counts.conflicts, counts.no_quorum, counts.store_full, counts.hints_dropped];
+            let (records, hints, behind) = (replica.store().len(), replica.hints(), replica.ranges_behind());
             text += &format!("n{at}: {counts:?}, {records} records, {hints} hints, {behind} behind\n");
         }
         text
--- a/src/edge/clients/repeats.rs
+++ b/src/edge/clients/repeats.rs
@@ -13,7 +13,7 @@
 use dewladder_ledger::{
     canonical, Effect, Ending, EntryId, Figures, Fingerprints, Ledger, Name, Offer, Policy, Read, Verdict,
 };
-use dewladder_replica::{Denied, RecordId};
+use dewladder_replica::{Denial, RecordId};
 use dewladder_router::mix;
 use http_body::{Body, Frame};
 use http_body_util::BodyExt as _;
@@ -307,11 +307,11 @@
 }
 
 /// What a request comes to that other instances do not let pass.
-fn denied(why: Denied) -> Ending {
+fn denied(why: Denial) -> Ending {
     match why {
         // Another attempt, at this instance or another, may have run or may be running.
-        Denied::Found(_) => Ending::Failed { may_have_run: true },
-        Denied::NoQuorum | Denied::Behind | Denied::Full => Ending::Refused { retry_in: 0 },
+        Denial::Conflict(_) => Ending::Failed { may_have_run: true },
+        Denial::NoQuorum | Denial::NotCaughtUp | Denial::StoreFull => Ending::Refused { retry_in: 0 },
     }
 }
 
--- a/src/edge/cluster/file.rs
+++ b/src/edge/cluster/file.rs
@@ -90,17 +90,17 @@
 impl ReplicaTable {
     fn check(&self, name: &str) -> Result<replica::Settings, String> {
         let settings = replica::Settings {
-            me: MemberId::of(name),
-            life: 0,
+            own_id: MemberId::of(name),
+            incarnation: 0,
             members: self.members.iter().map(|name| MemberId::of(name)).collect(),
             copies: self.copies,
             quorum: self.quorum,
-            window: micros(self.window_s),
-            most_records: self.most_records,
-            most_hints: self.most_hints,
-            settle: micros(self.settle_s),
-            again_after: AGAIN_AFTER,
-            compare_every: COMPARE_EVERY,
+            retention: micros(self.window_s),
+            max_records: self.most_records,
+            max_hints: self.most_hints,
+            settle_time: micros(self.settle_s),
+            retry_after: AGAIN_AFTER,
+            compare_interval: COMPARE_EVERY,
         };
         settings.check().map_err(|error| format!("cluster.replica.{error}"))?;
         Ok(settings)
--- a/src/edge/cluster/mod.rs
+++ b/src/edge/cluster/mod.rs
@@ -55,7 +55,7 @@
     pub fn bind(table: &Table, name: &str, shared: bool, clock: Clock, seed: u64) -> Result<Self, String> {
         let file::Checked { codec, mut settings, mut replica } = table.check(name)?;
         if let Some(replica) = &mut replica {
-            replica.life = clock.now();
+            replica.incarnation = clock.now();
         }
         // Above that of an earlier life, unless the clock was set back: then it is refuted as any other.
         settings.incarnation = clock.now() / 1_000;
@@ -173,7 +173,9 @@
     fn heard(&mut self, bytes: &[u8], from: SocketAddr) {
         let refused = if self.replica.is_some() && self.sealed.is_addressed(bytes) {
             match self.sealed.open_body::<(MemberId, replica::Message)>(bytes) {
-                Ok((from, message)) => return self.replicate(replica::Event::Heard { from, message }),
+                Ok((from, message)) => {
+                    return self.replicate(replica::Event::MessageReceived { from, message })
+                }
                 Err(why) => why,
             }
         } else {
@@ -213,14 +215,14 @@
                 replica::Effect::Granted(ticket) => self.offers.tell(ticket, Ok(())),
                 replica::Effect::Denied(ticket, why) => self.offers.tell(ticket, Err(why)),
                 replica::Effect::CaughtUp(range) => {
-                    let behind = self.replica.as_ref().map_or(0, Replica::behind);
+                    let behind = self.replica.as_ref().map_or(0, Replica::ranges_behind);
                     debug!("cluster: caught up with range {range}, {behind} to go");
                     if behind == 0 {
                         info!("cluster: caught up with all ranges; this instance holds records for others");
                         self.show();
                     }
                 }
-                replica::Effect::Noted(note) => debug!("cluster: {note:?}"),
+                replica::Effect::NoteReceived(note) => debug!("cluster: {note:?}"),
             }
         }
     }
@@ -243,7 +245,7 @@
             }
         }
         if changed {
-            self.replicate(replica::Event::Up(self.membership.others_up().into_iter().collect()));
+            self.replicate(replica::Event::MembersUp(self.membership.others_up().into_iter().collect()));
             self.show();
         }
     }
--- a/src/edge/cluster/quorum.rs
+++ b/src/edge/cluster/quorum.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
-use dewladder_replica::{Denied, Event, Ran, RecordId, Stage, Ticket};
+use dewladder_replica::{Denial, Event, OfferId, Outcome, RecordId, Stage};
 use tokio::sync::{mpsc, oneshot};
 
 use crate::interface::Micros;
@@ -12,8 +12,8 @@
 /// What a front asks the cluster's loop for.
 #[derive(Debug)]
 pub(super) enum Asked {
-    Offer { ticket: Ticket, id: RecordId, deadline: Micros, tell: oneshot::Sender<Result<(), Denied>> },
-    Ended { ticket: Ticket, stage: Stage },
+    Offer { ticket: OfferId, id: RecordId, deadline: Micros, tell: oneshot::Sender<Result<(), Denial>> },
+    Ended { ticket: OfferId, stage: Stage },
 }
 
 /// Where the loop hears of it.
@@ -36,15 +36,15 @@
     ///
     /// # Errors
     /// Why it must not be sent on.
-    pub async fn offer(&self, id: RecordId, deadline: Micros) -> Result<Grant, Denied> {
-        let ticket = Ticket(self.tickets.fetch_add(1, Ordering::Relaxed));
+    pub async fn offer(&self, id: RecordId, deadline: Micros) -> Result<Grant, Denial> {
+        let ticket = OfferId(self.tickets.fetch_add(1, Ordering::Relaxed));
         let (tell, told) = oneshot::channel();
-        let mut grant = Grant { to: self.to.clone(), ticket, ended: Stage::NeverRan };
+        let mut grant = Grant { to: self.to.clone(), ticket, ended: Stage::NeverExecuted };
         // A loop that has ended holds nothing for anybody.
         let _ = self.to.send(Asked::Offer { ticket, id, deadline, tell });
-        match told.await.unwrap_or(Err(Denied::NoQuorum)) {
+        match told.await.unwrap_or(Err(Denial::NoQuorum)) {
             Ok(()) => {
-                grant.ended = Stage::MayHaveRun;
+                grant.ended = Stage::MayHaveExecuted;
                 Ok(grant)
             }
             Err(why) => Err(why),
@@ -56,19 +56,19 @@
 #[derive(Debug)]
 pub struct Grant {
     to: mpsc::UnboundedSender<Asked>,
-    ticket: Ticket,
+    ticket: OfferId,
     ended: Stage,
 }
 
 impl Grant {
     /// It is known never to have run.
     pub fn never_ran(mut self) {
-        self.ended = Stage::NeverRan;
+        self.ended = Stage::NeverExecuted;
     }
 
     /// It ran, and its answer came whole or not. What it said stays with this instance: others tell only that it ran.
     pub fn ran(mut self, whole: bool) {
-        self.ended = Stage::Ran(Ran { whole, digest: 0 });
+        self.ended = Stage::Executed(Outcome { complete: whole, digest: 0 });
     }
 }
 
@@ -81,7 +81,7 @@
 /// Who waits for what.
 #[derive(Debug, Default)]
 pub(super) struct Offers {
-    waiting: HashMap<Ticket, oneshot::Sender<Result<(), Denied>>>,
+    waiting: HashMap<OfferId, oneshot::Sender<Result<(), Denial>>>,
 }
 
 impl Offers {
@@ -89,16 +89,16 @@
         match asked {
             Asked::Offer { ticket, id, deadline, tell } => {
                 self.waiting.insert(ticket, tell);
-                Event::Offer { ticket, id, deadline }
+                Event::Offer { offer: ticket, id, deadline }
             }
             Asked::Ended { ticket, stage } => {
                 self.waiting.remove(&ticket);
-                Event::Ended { ticket, stage }
+                Event::Finished { offer: ticket, stage }
             }
         }
     }
 
-    pub(super) fn tell(&mut self, ticket: Ticket, what: Result<(), Denied>) {
+    pub(super) fn tell(&mut self, ticket: OfferId, what: Result<(), Denial>) {
         if let Some(waits) = self.waiting.remove(&ticket) {
             // One that no longer waits has said so by its grant's end.
             let _ = waits.send(what);
--- a/src/edge/cluster/view.rs
+++ b/src/edge/cluster/view.rs
@@ -59,10 +59,10 @@
             .collect();
         let counts = membership.counters();
         let replica = replica.map(|replica| {
-            let counts = replica.counts();
-            json!({"records": replica.store().len(), "ranges_behind": replica.behind(), "hints": replica.hinted(),
-                "granted": counts.granted, "found": counts.found, "no_quorum": counts.no_quorum,
-                "full": counts.full, "hints_lost": counts.hints_lost})
+            let counts = replica.counters();
+            json!({"records": replica.store().len(), "ranges_behind": replica.ranges_behind(), "hints": replica.hints(),
+                "granted": counts.granted, "found": counts.conflicts, "no_quorum": counts.no_quorum,
+                "full": counts.store_full, "hints_lost": counts.hints_dropped})
         });
         self.shown().membership = json!({
             "replica": replica,
--- a/tests/cluster_settings.rs
+++ b/tests/cluster_settings.rs
@@ -36,17 +36,17 @@
     };
     assert_eq!(checked.settings, expected);
     let expected = dewladder_replica::Settings {
-        me: MemberId::of("blue"),
-        life: 0,
+        own_id: MemberId::of("blue"),
+        incarnation: 0,
         members: ["blue", "red", "green", "white"].map(MemberId::of).to_vec(),
         copies: 4,
         quorum: 3,
-        window: 300_000_000,
-        most_records: 5_000,
-        most_hints: 600,
-        settle: 1_000_000,
-        again_after: 100_000,
-        compare_every: 500_000,
+        retention: 300_000_000,
+        max_records: 5_000,
+        max_hints: 600,
+        settle_time: 1_000_000,
+        retry_after: 100_000,
+        compare_interval: 500_000,
     };
     assert_eq!(checked.replica, Some(expected));
 }
