--- a/src/edge/clients/repeats.rs
+++ b/src/edge/clients/repeats.rs
@@ -317,11 +317,11 @@
 
 fn told_to_others(grant: Grant, ending: &Ending) {
     match ending {
-        Ending::Whole => grant.ran(true),
-        Ending::Cut(_) => grant.ran(false),
+        Ending::Whole => grant.executed(true),
+        Ending::Cut(_) => grant.executed(false),
         Ending::Refused { .. }
         | Ending::Failed { may_have_run: false }
-        | Ending::LetGo { may_have_run: false } => grant.never_ran(),
+        | Ending::LetGo { may_have_run: false } => grant.never_executed(),
         // Its end says as much by itself.
         Ending::Failed { may_have_run: true } | Ending::LetGo { may_have_run: true } => drop(grant),
     }
--- a/src/edge/cluster/mod.rs
+++ b/src/edge/cluster/mod.rs
@@ -1,79 +1,121 @@
-//! The instances of a cluster: carries out what [`Membership`] and [`Replica`] decide, on one UDP socket. Off unless the
-//! operator's file turns it on.
-
-pub mod file;
+//! The instances of a cluster: carries out what [`Membership`] and [`Replica`] decide, on one UDP socket. Off unless
+//! the operator's file turns it on.
+//!
+//! | module | contents |
+//! | --- | --- |
+//! | [`table`] | the table `[cluster]` of the operator's file, and its errors |
+//! | `instance` | the running instance: events in, effects out |
+//! | `socket` | the UDP socket |
+//! | [`quorum`] | by which fronts have other instances hold a record of a request |
+//! | `view` | what `GET /cluster/members` shows |
+
+mod instance;
 pub mod quorum;
+mod socket;
+pub mod table;
 mod view;
 
 use std::io;
-use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
+use std::net::{SocketAddr, SocketAddrV4};
+use std::pin::Pin;
 use std::time::Duration;
 
-use dewladder_membership::codec::{Channel, Codec, OpenError, MAX_DATAGRAM_BYTES};
-use dewladder_membership::{Address, Change, Effect, Event, MemberId, MemberState, Membership, Settings};
+use dewladder_membership::codec::{Channel, Codec, MAX_DATAGRAM_BYTES};
+use dewladder_membership::{Membership, Settings};
 use dewladder_replica::{self as replica, Replica};
 use log::{debug, info, warn};
+use thiserror::Error;
 use tokio::net::UdpSocket;
 use tokio::sync::oneshot;
-use tokio::time::MissedTickBehavior;
+use tokio::time::{sleep, Interval, MissedTickBehavior};
 
 use crate::edge::clock::Clock;
-pub use file::Table;
-use quorum::{Asked, Asking, Quorum};
+use instance::Instance;
+use quorum::{PendingOffers, Quorum, QuorumRequests};
+pub use table::{Table, TableError};
 pub use view::View;
 
-/// Time is told to the decisions this often.
+/// How often the state machines are told the time.
 pub const TICK: Duration = Duration::from_millis(25);
-/// After a socket that failed, and between tries for an address that another process still has.
-const PAUSE: Duration = Duration::from_millis(50);
-/// What [`View`] shows is no older, changes or not.
-const SHOWN_EVERY: u32 = 20;
+/// How long nothing is received after an error of the socket.
+const PAUSE_AFTER_ERROR: Duration = Duration::from_millis(50);
+/// What [`View`] shows is updated at least once in so many ticks.
+const TICKS_PER_VIEW_UPDATE: u32 = 20;
+
+/// Why an instance could not be set up: one plain line.
+#[derive(Debug, Error)]
+pub enum BindError {
+    /// The table is invalid.
+    #[error(transparent)]
+    Table(#[from] TableError),
+    /// The address can't be listened on.
+    #[error("cluster.listen: can't listen on {address}: {source}")]
+    Listen {
+        /// The address.
+        address: SocketAddrV4,
+        /// What the system says.
+        source: io::Error,
+    },
+}
+
+/// Why an instance could not be started.
+#[derive(Debug, Error)]
+enum StartError {
+    #[error(transparent)]
+    Membership(#[from] dewladder_membership::InvalidSettings),
+    #[error(transparent)]
+    Replica(#[from] replica::InvalidSettings),
+}
 
-/// An instance of a cluster, not yet running.
+/// An instance of a cluster that does not run yet.
 #[derive(Debug)]
 pub struct Cluster {
     codec: Codec,
     settings: Settings,
     listen: SocketAddrV4,
-    /// Where others reach it is where it listens.
-    advertised: bool,
+    /// The operator has named the address at which others reach this instance; otherwise it is where it listens.
+    is_address_given: bool,
+    /// `None` where another process has the address still.
     socket: Option<UdpSocket>,
     clock: Clock,
     seed: u64,
     view: View,
     replica: Option<replica::Settings>,
     quorum: Quorum,
-    asked: Asking,
+    requests: QuorumRequests,
 }
 
 impl Cluster {
     /// Listens where the table says; where the address is `shared` and another process of this instance still has
-    /// it, once that one has gone.
+    /// it, [`Cluster::run`] does so once that process has gone.
     ///
     /// # Errors
-    /// One plain line that says what can't be.
-    pub fn bind(table: &Table, name: &str, shared: bool, clock: Clock, seed: u64) -> Result<Self, String> {
-        let file::Checked { codec, mut settings, mut replica } = table.check(name)?;
+    /// An invalid table, or an address that can't be listened on.
+    pub fn bind(table: &Table, name: &str, shared: bool, clock: Clock, seed: u64) -> Result<Self, BindError> {
+        let checked = table.check(name)?;
+        let (mut settings, mut replica) = (checked.membership, checked.replica);
         if let Some(replica) = &mut replica {
             replica.incarnation = clock.now();
         }
-        // Above that of an earlier life, unless the clock was set back: then it is refuted as any other.
+        // Above that of the last run; where the clock was set back, it is refuted like any other.
         settings.incarnation = clock.now() / 1_000;
-        let socket = match bind(table.listen) {
-            Ok(socket) => Some(socket),
-            Err(error) if shared && error.kind() == io::ErrorKind::AddrInUse => {
-                info!("cluster: {} is taken by another process; waiting for it", table.listen);
-                None
-            }
-            Err(error) => return Err(format!("cluster.listen: can't listen on {}: {error}", table.listen)),
-        };
-        let view = View::new(&table.cluster);
-        let (listen, advertised) = (table.listen, table.advertise.is_some());
-        let (quorum, asked) = quorum::pair();
-        Ok(Self { codec, settings, listen, advertised, socket, clock, seed, view, replica, quorum, asked })
+        let (quorum, requests) = quorum::pair();
+        Ok(Self {
+            codec: checked.codec,
+            settings,
+            listen: table.listen,
+            is_address_given: table.advertise.is_some(),
+            socket: bind_unless_shared(table.listen, shared)?,
+            clock,
+            seed,
+            view: View::new(&table.cluster),
+            replica,
+            quorum,
+            requests,
+        })
     }
 
-    /// By which fronts have others hold a record of a request; `None` where that is off.
+    /// By which fronts have other instances hold a record of a request; `None` where that is off.
     #[must_use]
     pub fn quorum(&self) -> Option<Quorum> {
         self.replica.as_ref().map(|_| self.quorum.clone())
@@ -85,210 +127,95 @@
         self.view.clone()
     }
 
-    /// Runs until `leave` comes, then tells the others. Dropping it instead is a death.
-    pub async fn run(self, leave: oneshot::Receiver<()>) {
-        let Self {
-            codec,
-            mut settings,
-            listen,
-            advertised,
-            socket,
-            clock,
-            seed,
-            view,
-            replica,
-            quorum: _own,
-            mut asked,
-        } = self;
+    /// Runs until `leave` comes, then tells the other members. If it is dropped instead, they find it dead.
+    pub async fn run(mut self, leave: oneshot::Receiver<()>) {
         let mut leave = std::pin::pin!(leave);
-        let socket = match socket {
+        let socket = match self.socket.take() {
             Some(socket) => socket,
             None => tokio::select! {
-                socket = free(listen) => socket,
+                socket = socket::bind_when_free(self.listen) => socket,
                 _ = &mut leave => return,
             },
         };
-        let own = socket.local_addr().unwrap_or(SocketAddr::V4(listen));
-        if let (SocketAddr::V4(own), false) = (own, advertised) {
-            settings.address = file::place(own);
-        }
-        info!("cluster: {} listens on {own}, reached at {}", settings.name, settings.address);
-        let membership = match Membership::new(settings, seed, clock.now()) {
-            Ok(membership) => membership,
-            Err(error) => return warn!("cluster: can't run: {error}"),
-        };
-        let replica = match replica.map(|settings| Replica::new(settings, clock.now())).transpose() {
-            Ok(replica) => replica,
-            Err(error) => return warn!("cluster: can't run: {error}"),
-        };
-        let sealed = codec.on(Channel::Replica);
-        let offers = quorum::Offers::default();
-        let mut member = Running { codec, sealed, membership, replica, offers, socket, clock, view };
-        let mut ticks = tokio::time::interval(TICK);
-        ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
-        let mut shown = 0;
-        loop {
-            tokio::select! {
-                biased; // a flood of datagrams does not stop the clock
-                _ = &mut leave => {
-                    member.step(Event::Leave);
-                    return info!("cluster: the others are told that this instance leaves");
-                }
-                _ = ticks.tick() => {
-                    member.step(Event::Tick);
-                    member.replicate(replica::Event::Tick);
-                    shown += 1;
-                    if shown % SHOWN_EVERY == 0 {
-                        member.show();
-                    }
-                }
-                Some(what) = asked.recv() => member.asked(what),
-                heard = member.socket.recv_from(&mut bytes) => match heard {
-                    Ok((length, from)) => member.heard(&bytes[..length], from),
-                    // An earlier datagram that could not be delivered may be told of here.
-                    Err(error) => {
-                        debug!("cluster: {error}");
-                        tokio::time::sleep(PAUSE).await;
-                    }
-                },
-            }
+        // Its sender is kept, so that the channel stays open where no front has one.
+        let _quorum = self.quorum.clone();
+        match self.start(socket) {
+            Ok((instance, requests)) => run_instance(instance, requests, leave).await,
+            Err(error) => warn!(reason:% = error; "cluster: not started"),
         }
     }
-}
 
-struct Running {
-    codec: Codec,
-    /// The same for the replicas' messages.
-    sealed: Codec,
-    membership: Membership,
-    replica: Option<Replica>,
-    offers: quorum::Offers,
-    socket: UdpSocket,
-    clock: Clock,
-    view: View,
-}
-
-impl Running {
-    fn heard(&mut self, bytes: &[u8], from: SocketAddr) {
-        let refused = if self.replica.is_some() && self.sealed.is_addressed(bytes) {
-            match self.sealed.open_body::<(MemberId, replica::Message)>(bytes) {
-                Ok((from, message)) => {
-                    return self.replicate(replica::Event::MessageReceived { from, message })
-                }
-                Err(why) => why,
-            }
-        } else {
-            match self.codec.open(bytes) {
-                Ok(message) => return self.step(Event::MessageReceived(message)),
-                Err(why) => why,
-            }
+    /// Creates the state machines, on a socket.
+    fn start(self, socket: UdpSocket) -> Result<(Instance, QuorumRequests), StartError> {
+        let Self {
+            codec, mut settings, listen, is_address_given, clock, seed, view, replica, requests, ..
+        } = self;
+        let own_address = socket.local_addr().unwrap_or(SocketAddr::V4(listen));
+        if let (SocketAddr::V4(own_address), false) = (own_address, is_address_given) {
+            settings.address = table::member_address(own_address);
+        }
+        info!(member = settings.name.as_str(), address:% = own_address, advertised:% = settings.address;
+            "cluster: listening");
+        let membership = Membership::new(settings, seed, clock.now())?;
+        let replica = match replica {
+            Some(settings) => Some(Replica::new(settings, clock.now())?),
+            None => None,
         };
-        self.refuse(refused, from);
+        let replica_codec = codec.on(Channel::Replica);
+        let pending_offers = PendingOffers::default();
+        let instance =
+            Instance { codec, replica_codec, membership, replica, pending_offers, socket, clock, view };
+        Ok((instance, requests))
     }
+}
 
-    fn refuse(&self, why: OpenError, from: SocketAddr) {
-        if self.view.refuse(why) {
-            warn!("cluster: from {from}: {why}; more of the kind are only counted");
+/// The socket of an address; `None` where it is shared and another process of this instance still has it.
+fn bind_unless_shared(address: SocketAddrV4, shared: bool) -> Result<Option<UdpSocket>, BindError> {
+    match socket::bind(address) {
+        Ok(socket) => Ok(Some(socket)),
+        Err(error) if shared && error.kind() == io::ErrorKind::AddrInUse => {
+            info!(address:% = address; "cluster: address in use by another process; waiting for it");
+            Ok(None)
         }
+        Err(source) => Err(BindError::Listen { address, source }),
     }
+}
 
-    /// What a front asks for.
-    fn asked(&mut self, what: Asked) {
-        let event = self.offers.take(what);
-        self.replicate(event);
-    }
-
-    fn replicate(&mut self, event: replica::Event) {
-        let Some(replica) = &mut self.replica else { return };
-        let mut effects = Vec::new();
-        replica.handle(self.clock.now(), event, &mut effects);
-        for effect in effects {
-            match effect {
-                replica::Effect::Send { to, message } => {
-                    let body = (self.membership.own_update().id, message);
-                    // One that was never heard of can't be reached; what is for it is sent again.
-                    if let Some(place) = self.membership.address_of(to) {
-                        self.send_bytes(place, self.sealed.seal_body(&body));
-                    }
-                }
-                replica::Effect::Granted(ticket) => self.offers.tell(ticket, Ok(())),
-                replica::Effect::Denied(ticket, why) => self.offers.tell(ticket, Err(why)),
-                replica::Effect::CaughtUp(range) => {
-                    let behind = self.replica.as_ref().map_or(0, Replica::ranges_behind);
-                    debug!("cluster: caught up with range {range}, {behind} to go");
-                    if behind == 0 {
-                        info!("cluster: caught up with all ranges; this instance holds records for others");
-                        self.show();
-                    }
+/// Feeds an instance with the time, requests of fronts and datagrams, until it is told to leave.
+async fn run_instance(
+    mut instance: Instance,
+    mut requests: QuorumRequests,
+    mut leave: Pin<&mut oneshot::Receiver<()>>,
+) {
+    let mut interval = tick_interval();
+    let mut datagram = [0; MAX_DATAGRAM_BYTES + 1];
+    let mut ticks = 0;
+    loop {
+        tokio::select! {
+            biased; // a flood of datagrams does not stop the clock
+            _ = &mut leave => return instance.leave(),
+            _ = interval.tick() => {
+                instance.tick();
+                ticks += 1;
+                if ticks % TICKS_PER_VIEW_UPDATE == 0 {
+                    instance.update_view();
                 }
-                replica::Effect::NoteReceived(note) => debug!("cluster: {note:?}"),
             }
-        }
-    }
-
-    fn step(&mut self, event: Event) {
-        let mut effects = Vec::new();
-        self.membership.handle(self.clock.now(), event, &mut effects);
-        let mut changed = false;
-        for effect in effects {
-            changed |= !matches!(effect, Effect::Send { .. });
-            match effect {
-                Effect::Send { to, message } => self.send(to, &message),
-                Effect::MemberChanged(change) => tell(&change, self.membership.up()),
-                Effect::Refuted { claimed: said, reported_by: by, incarnation } => {
-                    info!(said = said.name(), by:% = format!("{:016x}", by.0), incarnation; "cluster: refuted");
-                }
-                Effect::Paused(gap) => {
-                    warn!(paused_ms = gap / 1_000; "cluster: this process stood still; nobody is suspected for that time");
+            Some(request) = requests.recv() => instance.take_request(request),
+            received = instance.socket.recv_from(&mut datagram) => match received {
+                Ok((length, from)) => instance.receive(&datagram[..length], from),
+                // This may be about an earlier datagram that could not be delivered.
+                Err(error) => {
+                    debug!(reason:% = error; "cluster: receive failed");
+                    sleep(PAUSE_AFTER_ERROR).await;
                 }
-            }
-        }
-        if changed {
-            self.replicate(replica::Event::MembersUp(self.membership.others_up().into_iter().collect()));
-            self.show();
-        }
-    }
-
-    fn show(&self) {
-        self.view.show(&self.membership, self.replica.as_ref(), self.clock.now());
-    }
-
-    fn send(&self, to: Address, message: &dewladder_membership::Message) {
-        self.send_bytes(to, self.codec.seal(message));
-    }
-
-    fn send_bytes(&self, to: Address, bytes: Option<Vec<u8>>) {
-        let Some(bytes) = bytes else {
-            return warn!("cluster: a message to {to} is too long and not sent");
-        };
-        let [a, b, c, d] = to.ip;
-        let to = SocketAddrV4::new(Ipv4Addr::new(a, b, c, d), to.port);
-        // What can't be sent at once is lost, as any datagram may be.
-        if let Err(error) = self.socket.try_send_to(&bytes, to.into()) {
-            debug!("cluster: not sent to {to}: {error}");
+            },
         }
     }
 }
 
-fn tell(change: &Change, up: usize) {
-    let (member, state) = (change.name.as_str(), change.state.name());
-    let (was, incarnation) = (change.previous.map_or("unknown", MemberState::name), change.incarnation);
-    let (at, by) = (change.address.to_string(), format!("{:016x}", change.reported_by.0));
-    info!(member, state, was, incarnation, at:%, by:%, up; "cluster: a member changed");
-}
-
-fn bind(at: SocketAddrV4) -> io::Result<UdpSocket> {
-    let socket = std::net::UdpSocket::bind(at)?;
-    socket.set_nonblocking(true)?;
-    UdpSocket::from_std(socket)
-}
-
-async fn free(at: SocketAddrV4) -> UdpSocket {
-    loop {
-        match bind(at) {
-            Ok(socket) => return socket,
-            Err(_) => tokio::time::sleep(PAUSE).await,
-        }
-    }
+fn tick_interval() -> Interval {
+    let mut interval = tokio::time::interval(TICK);
+    interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    interval
 }
--- a/src/edge/cluster/quorum.rs
+++ b/src/edge/cluster/quorum.rs
@@ -9,99 +9,106 @@
 
 use crate::interface::Micros;
 
+/// What the replica has decided of an offer.
+type Decision = Result<(), Denial>;
+
 /// What a front asks the cluster's loop for.
 #[derive(Debug)]
-pub(super) enum Asked {
-    Offer { ticket: OfferId, id: RecordId, deadline: Micros, tell: oneshot::Sender<Result<(), Denial>> },
-    Ended { ticket: OfferId, stage: Stage },
+pub(super) enum QuorumRequest {
+    /// Have a record of a request held.
+    Offer { offer: OfferId, id: RecordId, deadline: Micros, answer: oneshot::Sender<Decision> },
+    /// The request has ended.
+    Finished { offer: OfferId, stage: Stage },
 }
 
-/// Where the loop hears of it.
-pub(super) type Asking = mpsc::UnboundedReceiver<Asked>;
+/// Where the cluster's loop receives requests of fronts.
+pub(super) type QuorumRequests = mpsc::UnboundedReceiver<QuorumRequest>;
 
-/// See the module. Requests that are open bound what waits here.
+/// The fronts' handle on the cluster's loop. The number of open client requests bounds what waits in its channel.
 #[derive(Clone, Debug)]
 pub struct Quorum {
-    to: mpsc::UnboundedSender<Asked>,
-    tickets: Arc<AtomicU64>,
+    requests: mpsc::UnboundedSender<QuorumRequest>,
+    next_offer: Arc<AtomicU64>,
 }
 
-pub(super) fn pair() -> (Quorum, Asking) {
-    let (to, asked) = mpsc::unbounded_channel();
-    (Quorum { to, tickets: Arc::default() }, asked)
+/// A handle for fronts, and where the loop receives their requests.
+pub(super) fn pair() -> (Quorum, QuorumRequests) {
+    let (requests, received) = mpsc::unbounded_channel();
+    (Quorum { requests, next_offer: Arc::default() }, received)
 }
 
 impl Quorum {
-    /// Has others hold a record of the request. Dropped while it waits, the attempt is taken back.
+    /// Has a quorum of instances hold a record of the request. Dropped while it waits, the attempt is withdrawn.
     ///
     /// # Errors
-    /// Why it must not be sent on.
+    /// Why the request must not be sent on.
     pub async fn offer(&self, id: RecordId, deadline: Micros) -> Result<Grant, Denial> {
-        let ticket = OfferId(self.tickets.fetch_add(1, Ordering::Relaxed));
-        let (tell, told) = oneshot::channel();
-        let mut grant = Grant { to: self.to.clone(), ticket, ended: Stage::NeverExecuted };
+        let offer = OfferId(self.next_offer.fetch_add(1, Ordering::Relaxed));
+        let (answer, decision) = oneshot::channel();
+        // Until it is granted, it is known never to have executed.
+        let mut grant = Grant { requests: self.requests.clone(), offer, final_stage: Stage::NeverExecuted };
         // A loop that has ended holds nothing for anybody.
-        let _ = self.to.send(Asked::Offer { ticket, id, deadline, tell });
-        match told.await.unwrap_or(Err(Denial::NoQuorum)) {
-            Ok(()) => {
-                grant.ended = Stage::MayHaveExecuted;
-                Ok(grant)
-            }
-            Err(why) => Err(why),
-        }
+        let _ = self.requests.send(QuorumRequest::Offer { offer, id, deadline, answer });
+        decision.await.unwrap_or(Err(Denial::NoQuorum))?;
+        grant.final_stage = Stage::MayHaveExecuted;
+        Ok(grant)
     }
 }
 
-/// The request may be sent on. Dropped without a word of its end, it may have run.
+/// The permission to send a request on. Where it is dropped without a result, the request may have executed.
 #[derive(Debug)]
 pub struct Grant {
-    to: mpsc::UnboundedSender<Asked>,
-    ticket: OfferId,
-    ended: Stage,
+    requests: mpsc::UnboundedSender<QuorumRequest>,
+    offer: OfferId,
+    final_stage: Stage,
 }
 
 impl Grant {
-    /// It is known never to have run.
-    pub fn never_ran(mut self) {
-        self.ended = Stage::NeverExecuted;
+    /// The request is known never to have executed.
+    pub fn never_executed(mut self) {
+        self.final_stage = Stage::NeverExecuted;
     }
 
-    /// It ran, and its answer came whole or not. What it said stays with this instance: others tell only that it ran.
-    pub fn ran(mut self, whole: bool) {
-        self.ended = Stage::Executed(Outcome { complete: whole, digest: 0 });
+    /// The request executed, and its answer came to its end or not. The answer itself stays with this instance: others
+    /// know only that the request executed.
+    pub fn executed(mut self, complete: bool) {
+        self.final_stage = Stage::Executed(Outcome { complete, digest: 0 });
     }
 }
 
 impl Drop for Grant {
     fn drop(&mut self) {
-        let _ = self.to.send(Asked::Ended { ticket: self.ticket, stage: self.ended });
+        let request = QuorumRequest::Finished { offer: self.offer, stage: self.final_stage };
+        let _ = self.requests.send(request);
     }
 }
 
-/// Who waits for what.
+/// Offers whose fronts wait for a decision.
 #[derive(Debug, Default)]
-pub(super) struct Offers {
-    waiting: HashMap<OfferId, oneshot::Sender<Result<(), Denial>>>,
+pub(super) struct PendingOffers {
+    waiting: HashMap<OfferId, oneshot::Sender<Decision>>,
 }
 
-impl Offers {
-    pub(super) fn take(&mut self, asked: Asked) -> Event {
-        match asked {
-            Asked::Offer { ticket, id, deadline, tell } => {
-                self.waiting.insert(ticket, tell);
-                Event::Offer { offer: ticket, id, deadline }
+impl PendingOffers {
+    /// Takes a front's request; the event that it is for the replica.
+    pub(super) fn take(&mut self, request: QuorumRequest) -> Event {
+        match request {
+            QuorumRequest::Offer { offer, id, deadline, answer } => {
+                self.waiting.insert(offer, answer);
+                Event::Offer { offer, id, deadline }
             }
-            Asked::Ended { ticket, stage } => {
-                self.waiting.remove(&ticket);
-                Event::Finished { offer: ticket, stage }
+            QuorumRequest::Finished { offer, stage } => {
+                self.waiting.remove(&offer);
+                Event::Finished { offer, stage }
             }
         }
     }
 
-    pub(super) fn tell(&mut self, ticket: OfferId, what: Result<(), Denial>) {
-        if let Some(waits) = self.waiting.remove(&ticket) {
-            // One that no longer waits has said so by its grant's end.
-            let _ = waits.send(what);
+    /// Tells a front what was decided.
+    pub(super) fn answer(&mut self, offer: OfferId, decision: Decision) {
+        if let Some(answer) = self.waiting.remove(&offer) {
+            // A front that no longer waits has said so by dropping its grant.
+            let _ = answer.send(decision);
         }
     }
 }
--- /dev/null
+++ b/src/edge/cluster/table.rs
@@ -0,0 +1,256 @@
+//! The table `[cluster]` of the operator's file: whether instances talk, where, and with which times.
+
+use std::net::{Ipv4Addr, SocketAddrV4};
+use std::time::Duration;
+
+use dewladder_membership::codec::{Codec, ShortKey};
+use dewladder_membership::{Address, MemberId, Settings};
+use dewladder_replica as replica;
+use serde::Deserialize;
+use thiserror::Error;
+
+use crate::edge::cluster::TICK;
+use crate::interface::Micros;
+
+/// See `deploy/fronts.toml` for each field. Times are in seconds.
+#[derive(Clone, Deserialize)]
+#[serde(deny_unknown_fields, default)]
+pub struct Table {
+    /// Where it is off, nothing is listened on and nothing is sent.
+    pub enabled: bool,
+    /// This instance's name; where it is empty, the configuration's name.
+    pub name: String,
+    /// The cluster's name: messages of other clusters are refused.
+    pub cluster: String,
+    /// The UDP address that this instance listens on.
+    pub listen: SocketAddrV4,
+    /// Where others reach it, if that is another address.
+    pub advertise: Option<SocketAddrV4>,
+    /// The key in hexadecimal, the same at all instances.
+    pub key: String,
+    /// Addresses to join through: any instances that run.
+    pub seeds: Vec<SocketAddrV4>,
+    /// [`Settings::probe_interval`].
+    pub probe_every_s: f64,
+    /// [`Settings::probe_timeout`].
+    pub probe_timeout_s: f64,
+    /// [`Settings::indirect_probes`].
+    pub indirect: usize,
+    /// [`Settings::suspicion_multiplier`].
+    pub suspicion: f64,
+    /// [`Settings::max_suspicion_multiplier`].
+    pub suspicion_most: f64,
+    /// [`Settings::confirmations`].
+    pub confirmations: usize,
+    /// [`Settings::retransmit_multiplier`].
+    pub retransmit: usize,
+    /// [`Settings::sync_interval`].
+    pub sync_every_s: f64,
+    /// [`Settings::dead_retention`].
+    pub forget_after_s: f64,
+    /// Replicated records of requests that must not run twice.
+    pub replica: ReplicaTable,
+}
+
+/// See `deploy/fronts.toml` for each field. Times are in seconds.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields, default)]
+pub struct ReplicaTable {
+    /// Where it is off, each instance knows its own requests only.
+    pub enabled: bool,
+    /// Names of all instances that hold records, whether they run or not; the same at all.
+    pub members: Vec<String>,
+    /// Copies of each record.
+    pub copies: usize,
+    /// Copies that must exist before a request is sent on.
+    pub quorum: usize,
+    /// How long a record is kept after its last change.
+    pub window_s: f64,
+    /// [`replica::Settings::settle_time`].
+    pub settle_s: f64,
+    /// Records held at most.
+    pub most_records: usize,
+    /// Records kept at most for holders that are away.
+    pub most_hints: usize,
+}
+
+impl Default for ReplicaTable {
+    fn default() -> Self {
+        Self {
+            enabled: false,
+            members: Vec::new(),
+            copies: 3,
+            quorum: 2,
+            window_s: 600.0,
+            settle_s: 2.0,
+            most_records: 100_000,
+            most_hints: 20_000,
+        }
+    }
+}
+
+impl ReplicaTable {
+    /// Checks all of it, as an instance of that name would run with it.
+    fn check(&self, name: &str) -> Result<replica::Settings, TableError> {
+        let settings = replica::Settings {
+            own_id: MemberId::of(name),
+            incarnation: 0,
+            members: self.members.iter().map(|name| MemberId::of(name)).collect(),
+            copies: self.copies,
+            quorum: self.quorum,
+            retention: micros(self.window_s),
+            max_records: self.most_records,
+            max_hints: self.most_hints,
+            settle_time: micros(self.settle_s),
+            retry_after: RETRY_AFTER,
+            compare_interval: COMPARE_INTERVAL,
+        };
+        settings.check()?;
+        Ok(settings)
+    }
+}
+
+/// What another instance has not answered is sent again after this.
+const RETRY_AFTER: Micros = 100_000;
+/// How often copies are compared with another holder.
+const COMPARE_INTERVAL: Micros = 500_000;
+/// Stands for the port that the system will pick, which is not known before the socket is there.
+const UNKNOWN_PORT: u16 = u16::MAX;
+
+/// What is not a time becomes 0, which is refused with the field's name.
+fn micros(seconds: f64) -> Micros {
+    Duration::try_from_secs_f64(seconds).map_or(0, crate::edge::clock::micros)
+}
+
+fn seconds(time: Micros) -> f64 {
+    time as f64 / 1e6
+}
+
+/// Why a table can't be used: one plain line that names the field.
+#[derive(Debug, Error)]
+pub enum TableError {
+    /// The key is not hexadecimal.
+    #[error("cluster.key: not hexadecimal: {0}")]
+    KeyNotHexadecimal(#[from] hex::FromHexError),
+    /// The key is too short.
+    #[error("cluster.key: {0}")]
+    ShortKey(#[from] ShortKey),
+    /// The cluster has no name.
+    #[error("cluster.cluster: a cluster has a name")]
+    NoClusterName,
+    /// Other instances can't reach this one.
+    #[error("cluster.advertise: others can't reach {0}")]
+    Unreachable(Ipv4Addr),
+    /// A setting of membership is invalid.
+    #[error("cluster.{0}")]
+    Membership(#[from] dewladder_membership::InvalidSettings),
+    /// A setting of the replicas is invalid.
+    #[error("cluster.replica.{0}")]
+    Replica(#[from] replica::InvalidSettings),
+}
+
+/// The checked settings of an instance.
+#[derive(Debug)]
+pub struct CheckedSettings {
+    /// Seals and opens messages.
+    pub codec: Codec,
+    /// The settings of membership.
+    pub membership: Settings,
+    /// The settings of the replica, where it is on.
+    pub replica: Option<replica::Settings>,
+}
+
+impl std::fmt::Debug for Table {
+    fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        // Without the key.
+        formatter
+            .debug_struct("Table")
+            .field("enabled", &self.enabled)
+            .field("listen", &self.listen)
+            .finish_non_exhaustive()
+    }
+}
+
+impl Default for Table {
+    fn default() -> Self {
+        let default = Settings::default();
+        Self {
+            enabled: false,
+            name: String::new(),
+            cluster: "dewladder".to_owned(),
+            listen: SocketAddrV4::new(Ipv4Addr::LOCALHOST, default.address.port),
+            advertise: None,
+            key: String::new(),
+            seeds: Vec::new(),
+            probe_every_s: seconds(default.probe_interval),
+            probe_timeout_s: seconds(default.probe_timeout),
+            indirect: default.indirect_probes,
+            suspicion: default.suspicion_multiplier,
+            suspicion_most: default.max_suspicion_multiplier,
+            confirmations: default.confirmations,
+            retransmit: default.retransmit_multiplier,
+            sync_every_s: seconds(default.sync_interval),
+            forget_after_s: seconds(default.dead_retention),
+            replica: ReplicaTable::default(),
+        }
+    }
+}
+
+impl Table {
+    /// Checks all of it, as an instance of that name would run with it.
+    ///
+    /// # Errors
+    /// The first field that is invalid.
+    pub fn check(&self, name: &str) -> Result<CheckedSettings, TableError> {
+        let key = hex::decode(&self.key)?;
+        if self.cluster.is_empty() {
+            return Err(TableError::NoClusterName);
+        }
+        let codec = Codec::new(&self.cluster, &key)?;
+        let advertised = self.advertised();
+        if advertised.ip().is_unspecified() {
+            return Err(TableError::Unreachable(*advertised.ip()));
+        }
+        let membership = self.membership_settings(name, advertised);
+        membership.check()?;
+        let replica = match self.replica.enabled {
+            true => Some(self.replica.check(&membership.name)?),
+            false => None,
+        };
+        Ok(CheckedSettings { codec, membership, replica })
+    }
+
+    /// Where others reach this instance, as far as it is known before the socket is there.
+    fn advertised(&self) -> SocketAddrV4 {
+        let mut address = self.advertise.unwrap_or(self.listen);
+        if self.advertise.is_none() && address.port() == 0 {
+            address.set_port(UNKNOWN_PORT);
+        }
+        address
+    }
+
+    fn membership_settings(&self, name: &str, advertised: SocketAddrV4) -> Settings {
+        Settings {
+            name: if self.name.is_empty() { name.to_owned() } else { self.name.clone() },
+            address: member_address(advertised),
+            incarnation: 0,
+            seeds: self.seeds.iter().copied().map(member_address).collect(),
+            probe_interval: micros(self.probe_every_s),
+            probe_timeout: micros(self.probe_timeout_s),
+            indirect_probes: self.indirect,
+            suspicion_multiplier: self.suspicion,
+            max_suspicion_multiplier: self.suspicion_most,
+            confirmations: self.confirmations,
+            retransmit_multiplier: self.retransmit,
+            sync_interval: micros(self.sync_every_s),
+            dead_retention: micros(self.forget_after_s),
+            tick_interval: crate::edge::clock::micros(TICK),
+        }
+    }
+}
+
+/// A socket's address as messages carry it.
+#[must_use]
+pub fn member_address(address: SocketAddrV4) -> Address {
+    Address { ip: address.ip().octets(), port: address.port() }
+}
--- a/src/edge/dispatcher.rs
+++ b/src/edge/dispatcher.rs
@@ -135,7 +135,7 @@
         let platform = platform.merge(balancers::routes(health.clone()));
         let cluster = settings.cluster.as_ref().filter(|cluster| cluster.enabled);
         let cluster = cluster.map(|table| Cluster::bind(table, &config.name, shared, clock, config.seed));
-        let cluster = cluster.transpose()?;
+        let cluster = cluster.transpose().map_err(|error| error.to_string())?;
         let mut fronts = vec![(config.listen, listen(config.listen)?, platform)];
         if let Some(chat) = settings.chat.as_ref().filter(|chat| chat.enabled) {
             let front = chat::front(
--- a/src/main.rs
+++ b/src/main.rs
@@ -64,7 +64,7 @@
             let (_, config, fronts) = config(arguments)?;
             fronts.chat.as_ref().map_or(Ok(()), |chat| chat::check(chat, &config))?;
             if let Some(cluster) = fronts.cluster.as_ref().filter(|cluster| cluster.enabled) {
-                cluster.check(&config.name)?;
+                cluster.check(&config.name).map_err(|error| error.to_string())?;
             }
             println!("{} on {}: the configuration can be used", config.name, config.listen);
             Ok(())
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -16,7 +16,7 @@
 use tokio::time::sleep;
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_killed_instance_is_dead_to_all_others_and_no_live_one_is() {
+async fn a_killed_instance_is_declared_dead_by_all_others_and_no_live_one_is() {
     let mut cluster = Cluster::formed("kill", 5, 1).await;
     cluster.instances[3].as_ref().unwrap().signal("-KILL");
     cluster.end(3).await;
@@ -32,7 +32,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn one_that_stood_still_refutes_and_holds_nobody_for_dead_on_waking() {
+async fn a_paused_instance_refutes_and_declares_nobody_dead_when_it_continues() {
     let cluster = Cluster::formed("pause", 5, 2).await;
     let paused = cluster.instances[2].as_ref().unwrap();
     paused.signal("-STOP");
@@ -63,7 +63,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn one_way_that_is_cut_and_messages_that_are_lost_are_no_death() {
+async fn a_cut_in_one_direction_and_lost_messages_lead_to_no_death() {
     let cluster = Cluster::formed("harm", 5, 3).await;
     cluster.net.cut(0, 1, true);
     sleep(Duration::from_secs(9)).await; // thirty probe times
@@ -78,7 +78,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn two_sides_of_a_partition_hold_each_other_for_dead_and_find_together_again() {
+async fn two_sides_of_a_partition_declare_each_other_dead_and_are_one_cluster_again_once_it_is_over() {
     let mut cluster = Cluster::formed("partition", 5, 4).await;
     cluster.net.partition(&[0, 1], true);
     cluster.until("each side sees the other gone", "dead", |at| if at < 2 { 3 } else { 2 }).await;
@@ -93,7 +93,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn one_with_another_key_is_not_taken_and_is_counted() {
+async fn an_instance_with_another_key_is_refused_and_its_datagrams_are_counted() {
     let mut cluster = Cluster::formed("key", 2, 5).await;
     cluster.end(1).await;
     cluster.start(1, "ff112233445566778899aabbccddeeff").await;
@@ -112,7 +112,7 @@
 }
 
 #[tokio::test]
-async fn without_the_table_nothing_of_it_is_there() {
+async fn without_the_cluster_table_nothing_of_a_cluster_is_there() {
     let fleet = Fleet::start(Shape::default()).await.unwrap();
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("cluster-off");
     std::fs::create_dir_all(&folder).unwrap();
--- a/tests/cluster_settings.rs
+++ b/tests/cluster_settings.rs
@@ -34,7 +34,7 @@
         dead_retention: 1_800_000_000,
         tick_interval: 25_000,
     };
-    assert_eq!(checked.settings, expected);
+    assert_eq!(checked.membership, expected);
     let expected = dewladder_replica::Settings {
         own_id: MemberId::of("blue"),
         incarnation: 0,
@@ -59,7 +59,7 @@
     let key = "000102030405060708090a0b0c0d0e0f";
     let shown = |table: Table| {
         let checked = Table { key: key.to_owned(), ..table }.check("n0").expect("a table that can be");
-        (checked.settings, checked.replica)
+        (checked.membership, checked.replica)
     };
     assert_eq!(shown(example), shown(table("")));
 }
--- a/tests/cluster_table.rs
+++ b/tests/cluster_table.rs
@@ -7,10 +7,10 @@
 }
 
 #[test]
-fn what_can_not_be_is_told_by_field() {
+fn an_invalid_table_is_refused_with_its_field() {
     let key = "key = \"000102030405060708090a0b0c0d0e0f\"\n";
     assert!(table(key).check("n0").is_ok());
-    let told = |text: &str| table(text).check("n0").expect_err(text);
+    let told = |text: &str| table(text).check("n0").expect_err(text).to_string();
     for (text, field) in [
         ("key = \"0g\"", "cluster.key"),
         ("key = \"012\"", "cluster.key"),
--- a/tests/processes/mod.rs
+++ b/tests/processes/mod.rs
@@ -17,6 +17,11 @@
 /// A probe each 0.3 s.
 pub const TIMES: &str = "probe_every_s = 0.3\nprobe_timeout_s = 0.15\nsync_every_s = 1.0\n";
 
+/// The value of a log line's field.
+pub fn field<'a>(line: &'a str, name: &str) -> Option<&'a str> {
+    line.split(' ').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
+}
+
 pub struct Instance {
     pub child: Child,
     pub admin: SocketAddr,
@@ -127,8 +132,8 @@
             if let Some((_, address)) = line.split_once("second address: ") {
                 admin = address.parse().ok();
             }
-            if let Some((_, rest)) = line.split_once("listens on ") {
-                own = rest.split(',').next().and_then(|address| address.parse().ok());
+            if let Some((_, rest)) = line.split_once("cluster: listening ") {
+                own = field(rest, "address").and_then(|address| address.parse().ok());
             }
             all.push(line);
         }
@@ -182,7 +187,7 @@
             self.end(at).await;
         }
         let dead = |line: &&String| {
-            line.contains("a member changed")
+            line.contains("cluster: member changed")
                 && line.contains("state=dead")
                 && name.is_none_or(|name| line.contains(&format!("member={name} ")))
         };
--- a/tests/replica.rs
+++ b/tests/replica.rs
@@ -112,7 +112,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn no_request_runs_twice_when_its_instance_is_killed_and_its_client_goes_elsewhere() {
+async fn no_request_executes_twice_when_its_instance_is_killed_and_its_client_retries_elsewhere() {
     let mut cluster = Cluster::with("twice", 5, 11, &format!("{SHARED}{FRONT}")).await;
     until_caught_up(&cluster).await;
     let came = trials(&mut cluster, 25, 40).await;
@@ -123,7 +123,7 @@
 
 /// What the test above would count if instances knew nothing of each other's requests.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn without_the_replicas_the_same_trials_run_requests_twice() {
+async fn without_the_replicas_the_same_trials_execute_requests_twice() {
     let mut cluster = Cluster::with("alone", 5, 12, FRONT).await;
     let mut doubled = 0;
     for round in 0..4u64 {
@@ -152,7 +152,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn two_sides_of_a_cut_run_nothing_twice_and_agree_afterwards() {
+async fn two_sides_of_a_partition_execute_nothing_twice_and_agree_afterwards() {
     let mut cluster = Cluster::with("cut", 5, 13, &format!("{SHARED}{FRONT}")).await;
     until_caught_up(&cluster).await;
     cluster.net.partition(&[0, 1], true);
