--- /dev/null
+++ b/crates/chat/tests/written_bytes.rs
@@ -0,0 +1,529 @@
+//! What the API writes, byte for byte: refusals with their `param`, requests to servers, chunks, events and answers.
+
+mod golden_file;
+
+use std::fmt::Write as _;
+
+use dewladder_chat::{parse, Collected, Events, Incoming, Limits, Names, Request, Writer};
+use golden_file::assert_golden;
+use serde_json::{json, Value};
+
+const MAX_DEPTH: usize = 4;
+
+fn names() -> Names {
+    Names { id: "00000000000000ff".to_owned(), model: "kiln-ask".to_owned(), created: 1_700_000_000 }
+}
+
+/// A good request of this kind with these fields set; `null` takes one away.
+fn request(kind: &str, fields: &Value) -> Value {
+    let mut body = match kind {
+        "chat" => json!({"model": "m", "messages": [{"role": "user", "content": "hi"}]}),
+        "completion" => json!({"model": "m", "prompt": "hi"}),
+        _ => json!({"model": "m", "input": "hi"}),
+    };
+    for (name, value) in fields.as_object().expect("an object") {
+        body[name] = value.clone();
+    }
+    body
+}
+
+fn read(kind: &str, body: Value) -> Result<Request, String> {
+    let limits = Limits::default();
+    let read = match kind {
+        "chat" => Request::chat(body, &limits),
+        "completion" => Request::completion(body, &limits),
+        _ => Request::response(body, &limits),
+    };
+    read.map_err(|refused| format!("{} {}", refused.status, refused.envelope()))
+}
+
+fn messages(list: Value) -> Value {
+    json!({"messages": list})
+}
+
+fn input(item: Value) -> Value {
+    json!({"input": [item]})
+}
+
+/// Fields that a chat request is refused for, each in every way that there is.
+fn refused_chat() -> Vec<Value> {
+    let call = |id: &str| json!({"id": id, "type": "function", "function": {"name": "f", "arguments": "{}"}});
+    let text = |text: usize| "x".repeat(text);
+    let many = |count: usize| (0..count).map(|at| (format!("k{at}"), json!("v"))).collect::<Value>();
+    vec![
+        json!({"model": null}),
+        json!({"model": 3}),
+        json!({"model": ""}),
+        json!({"model": text(257)}),
+        json!({"kiln": 1}),
+        json!({"temperature": "hot"}),
+        json!({"temperature": 2.5}),
+        json!({"top_p": -0.5}),
+        json!({"presence_penalty": 3}),
+        json!({"frequency_penalty": -3}),
+        json!({"seed": 1.5}),
+        json!({"user": 1}),
+        json!({"stop": 1}),
+        json!({"stop": []}),
+        json!({"stop": ["a", 2]}),
+        json!({"logit_bias": 1}),
+        json!({"logit_bias": {"50": 101}}),
+        json!({"logit_bias": {"50": "x"}}),
+        json!({"stream": "yes"}),
+        json!({"stream_options": {}}),
+        json!({"stream": true, "stream_options": 1}),
+        json!({"stream": true, "stream_options": {"kiln": true}}),
+        json!({"stream": true, "stream_options": {"include_usage": 1}}),
+        json!({"stream": true, "stream_options": {"include_obfuscation": 1}}),
+        json!({"max_tokens": 0}),
+        json!({"max_tokens": -1}),
+        json!({"max_tokens": "ten"}),
+        json!({"max_completion_tokens": 1_048_577}),
+        json!({"max_tokens": 1, "max_completion_tokens": 1}),
+        json!({"n": 0}),
+        json!({"n": 9}),
+        json!({"top_logprobs": 1}),
+        json!({"top_logprobs": 21, "logprobs": true}),
+        json!({"logprobs": 1}),
+        json!({"store": true}),
+        json!({"audio": {}}),
+        json!({"web_search_options": {}}),
+        json!({"modalities": "text"}),
+        json!({"modalities": ["text", "audio"]}),
+        json!({"modalities": ["smell"]}),
+        json!({"reasoning_effort": "huge"}),
+        json!({"verbosity": "loud"}),
+        json!({"service_tier": "priority"}),
+        json!({"service_tier": "gold"}),
+        json!({"prompt_cache_key": 1}),
+        json!({"safety_identifier": 1}),
+        json!({"prompt_cache_retention": 1}),
+        json!({"metadata": 1}),
+        json!({"metadata": many(17)}),
+        json!({"metadata": {"k": 1}}),
+        json!({"metadata": {"k": text(513)}}),
+        json!({"metadata": {text(65): "v"}}),
+        json!({"prediction": 1}),
+        json!({"prediction": {}}),
+        json!({"prediction": {"type": "x"}}),
+        json!({"response_format": 1}),
+        json!({"response_format": {"type": "xml"}}),
+        json!({"response_format": {"type": "json_schema"}}),
+        json!({"response_format": {"type": "json_schema", "json_schema": {"name": "a b"}}}),
+        json!({"response_format": {"type": "json_schema", "json_schema": {"name": "a", "kiln": 1}}}),
+        json!({"response_format": {"type": "json_schema", "json_schema": {"name": "a", "schema": 1}}}),
+        json!({"response_format": {"type": "json_schema", "json_schema": {"name": "a", "strict": 1}}}),
+        json!({"tools": {}}),
+        json!({"tools": []}),
+        json!({"tools": [1]}),
+        json!({"tools": [{"type": "custom"}]}),
+        json!({"tools": [{"type": "magic"}]}),
+        json!({"tools": [{"type": "function"}]}),
+        json!({"tools": [{"type": "function", "function": {"name": "f", "kiln": 1}}]}),
+        json!({"tools": [{"type": "function", "function": {"name": "f", "description": 1}}]}),
+        json!({"tools": [{"type": "function", "function": {"name": "f", "parameters": 1}}]}),
+        json!({"tools": [{"type": "function", "function": {"name": "f", "strict": 1}}]}),
+        json!({"tools": [{"type": "function", "function": {"name": text(65)}}]}),
+        json!({"functions": [{"name": ""}]}),
+        json!({"parallel_tool_calls": true}),
+        json!({"parallel_tool_calls": 1}),
+        json!({"tool_choice": "perhaps"}),
+        json!({"tool_choice": "required"}),
+        json!({"tool_choice": 1}),
+        json!({"tool_choice": {"type": "x"}}),
+        json!({"tool_choice": {"type": "function"}}),
+        json!({"tool_choice": {"type": "function", "function": {"name": "g"}}}),
+        json!({"function_call": "maybe"}),
+        json!({"function_call": 1}),
+        json!({"function_call": {"name": "g"}}),
+        json!({"messages": null}),
+        json!({"messages": "hi"}),
+        json!({"messages": []}),
+        messages(json!(["hi"])),
+        messages(json!([{"content": "a"}])),
+        messages(json!([{"role": 1, "content": "a"}])),
+        messages(json!([{"role": "chef", "content": "a"}])),
+        messages(json!([{"role": "user", "content": "a", "name": 1}])),
+        messages(json!([{"role": "user", "content": "a", "kiln": 1}])),
+        messages(json!([{"role": "user"}])),
+        messages(json!([{"role": "user", "content": 1}])),
+        messages(json!([{"role": "user", "content": []}])),
+        messages(json!([{"role": "user", "content": [1]}])),
+        messages(json!([{"role": "user", "content": [{"type": "smell"}]}])),
+        messages(json!([{"role": "user", "content": [{"type": "text"}]}])),
+        messages(
+            json!([{"role": "user", "content": [{"type": "text", "text": "a"}, {"type": "image_url"}]}]),
+        ),
+        messages(json!([{"role": "user", "content": [{"type": "refusal", "refusal": "no"}]}])),
+        messages(json!([{"role": "assistant"}])),
+        messages(json!([{"role": "assistant", "content": "a", "kiln": 1}])),
+        messages(json!([{"role": "assistant", "refusal": 1}])),
+        messages(json!([{"role": "assistant", "tool_calls": []}])),
+        messages(json!([{"role": "assistant", "tool_calls": 1}])),
+        messages(json!([{"role": "assistant", "tool_calls": [{"type": "x"}]}])),
+        messages(json!([{"role": "assistant", "tool_calls": [{"type": "function"}]}])),
+        messages(json!([{"role": "assistant", "tool_calls": [{"type": "function", "id": "c"}]}])),
+        messages(json!([{"role": "assistant", "tool_calls": [call("c"), call("c")]}])),
+        messages(json!([{"role": "assistant", "tool_calls": [
+            {"type": "function", "id": "c", "function": {"name": "f", "arguments": 1}}]}])),
+        messages(json!([{"role": "assistant", "function_call": {"name": "f"}}])),
+        messages(json!([{"role": "tool", "content": "a"}])),
+        messages(json!([{"role": "tool", "content": "a", "tool_call_id": "c"}])),
+        messages(json!([{"role": "tool", "content": "a", "tool_call_id": "c", "kiln": 1}])),
+        messages(
+            json!([{"role": "assistant", "tool_calls": [call("c")]}, {"role": "tool", "tool_call_id": "c"}]),
+        ),
+    ]
+}
+
+fn refused_completion() -> Vec<Value> {
+    vec![
+        json!({"kiln": 1}),
+        json!({"model": null}),
+        json!({"n": 0}),
+        json!({"best_of": 2}),
+        json!({"best_of": 0}),
+        json!({"suffix": "s"}),
+        json!({"logprobs": 1}),
+        json!({"prompt": null}),
+        json!({"prompt": 1}),
+        json!({"prompt": []}),
+        json!({"prompt": [1, 2]}),
+        json!({"prompt": [[1]]}),
+        json!({"prompt": ["a", {}]}),
+        json!({"prompt": ["a", "b", "c"], "n": 3}),
+        json!({"max_tokens": 0}),
+        json!({"echo": 1}),
+        json!({"stream": 1}),
+    ]
+}
+
+fn refused_response() -> Vec<Value> {
+    vec![
+        json!({"kiln": 1}),
+        json!({"model": null}),
+        json!({"temperature": 3}),
+        json!({"conversation": "c"}),
+        json!({"prompt": {}}),
+        json!({"top_logprobs": 1}),
+        json!({"max_tool_calls": 1}),
+        json!({"context_management": {}}),
+        json!({"background": true}),
+        json!({"include": 1}),
+        json!({"include": [1]}),
+        json!({"truncation": "auto"}),
+        json!({"truncation": "much"}),
+        json!({"service_tier": "flex"}),
+        json!({"service_tier": "gold"}),
+        json!({"user": 1}),
+        json!({"prompt_cache_key": 1}),
+        json!({"metadata": 1}),
+        json!({"stream_options": {}}),
+        json!({"stream": true, "stream_options": {"include_usage": true}}),
+        json!({"reasoning": 1}),
+        json!({"reasoning": {"kiln": 1}}),
+        json!({"reasoning": {"effort": "huge"}}),
+        json!({"text": 1}),
+        json!({"text": {"kiln": 1}}),
+        json!({"text": {"verbosity": "loud"}}),
+        json!({"text": {"format": 1}}),
+        json!({"text": {"format": {"type": "xml"}}}),
+        json!({"text": {"format": {"type": "json_schema"}}}),
+        json!({"text": {"format": {"type": "json_schema", "name": "a"}}}),
+        json!({"tools": 1}),
+        json!({"tools": [1]}),
+        json!({"tools": [{}]}),
+        json!({"tools": [{"type": "web_search"}]}),
+        json!({"tools": [{"type": "function", "name": "f", "kiln": 1}]}),
+        json!({"tools": [{"type": "function", "name": "f", "parameters": 1}]}),
+        json!({"tools": [{"type": "function"}]}),
+        json!({"tool_choice": "required"}),
+        json!({"tool_choice": {"type": "function"}}),
+        json!({"tool_choice": {"type": "function", "name": "g"}}),
+        json!({"parallel_tool_calls": 1}),
+        json!({"instructions": 1}),
+        json!({"input": null}),
+        json!({"input": 1}),
+        json!({"input": []}),
+        input(json!(1)),
+        input(json!({"type": 1})),
+        input(json!({"type": "web_search_call"})),
+        input(json!({"content": "a"})),
+        input(json!({"role": "tool", "content": "a"})),
+        input(json!({"role": "user"})),
+        input(json!({"role": "user", "content": 1})),
+        input(json!({"role": "user", "content": [1]})),
+        input(json!({"role": "user", "content": [{"type": "smell"}]})),
+        input(json!({"role": "user", "content": [{"type": "input_text"}]})),
+        input(json!({"role": "user", "content": [{"type": "input_image"}]})),
+        input(json!({"role": "assistant", "content": [{"type": "refusal"}]})),
+        input(json!({"type": "function_call"})),
+        input(json!({"type": "function_call", "call_id": "c", "name": "a b"})),
+        input(json!({"type": "function_call", "call_id": "c", "name": "f"})),
+        input(json!({"type": "function_call_output"})),
+        input(json!({"type": "function_call_output", "call_id": "c"})),
+        json!({"previous_response_id": 1}),
+        json!({"max_output_tokens": 0}),
+        json!({"store": 1}),
+    ]
+}
+
+#[test]
+fn each_refused_field_has_its_status_code_param_and_message() {
+    let mut text = String::new();
+    for (kind, all) in
+        [("chat", refused_chat()), ("completion", refused_completion()), ("response", refused_response())]
+    {
+        for fields in all {
+            let refused = read(kind, request(kind, &fields)).expect_err("a request that is refused");
+            // Long texts would only fill the file.
+            let fields = fields.to_string().replace(&"x".repeat(60), "[60 x]");
+            writeln!(text, "{kind} {fields}\n  {refused}").expect("a string");
+        }
+    }
+    let too_many = json!(vec![json!({"role": "user", "content": "a"}); 2_049]);
+    for (kind, fields) in [
+        ("chat", json!({"messages": too_many})),
+        ("response", json!({"input": too_many})),
+        ("chat", json!({"tools": vec![json!({}); 129]})),
+    ] {
+        let refused = read(kind, request(kind, &fields)).expect_err("too many");
+        writeln!(text, "{kind} with too many\n  {refused}").expect("a string");
+    }
+    for kind in ["chat", "completion", "response"] {
+        writeln!(text, "{kind} []\n  {}", read(kind, json!([])).expect_err("no object")).expect("a string");
+    }
+    assert_golden("refusals.txt", &text);
+}
+
+#[test]
+fn bodies_and_events_that_can_not_be_read_are_refused_with_these_words() {
+    let mut text = String::new();
+    for body in [
+        &b""[..],
+        b"{",
+        b"[1]",
+        b"{\"a\": [[[[1]]]]}",
+        b"{\"a\": \"[[[[[[\\\"[\"}",
+        b"{\"a\": \"\xff\"}",
+        b"{\"a\": 01}",
+        b"{\"a\": 1} x",
+    ] {
+        let read = match parse(body, MAX_DEPTH) {
+            Ok(value) => value.to_string(),
+            Err(refused) => format!("{} {}", refused.status, refused.envelope()),
+        };
+        writeln!(text, "{}\n  {read}", String::from_utf8_lossy(body)).expect("a string");
+    }
+    let long = format!("data: {}", "x".repeat(1 << 20));
+    for (what, stream) in [("no JSON", "data: nonsense\n\n"), ("too long", &long)] {
+        let refused = Events::default().take(stream.as_bytes(), &mut Vec::new()).expect_err("no event");
+        writeln!(text, "event: {what}\n  {} {}", refused.status, refused.envelope()).expect("a string");
+    }
+    assert_golden("unreadable.txt", &text);
+}
+
+/// Requests that are accepted, with what differs between the three kinds.
+fn accepted() -> Vec<(&'static str, Value)> {
+    let function = json!({"name": "f", "description": "d", "parameters": {"type": "object"}, "strict": true});
+    let mut tool = function.clone();
+    tool["type"] = json!("function");
+    let call = json!({"id": "c", "type": "function", "function": {"name": "f", "arguments": "{\"a\":1}"}});
+    vec![
+        ("chat", json!({})),
+        (
+            "chat",
+            json!({"n": 3, "stream": true, "stream_options": {"include_usage": true}, "temperature": 0.5,
+            "max_completion_tokens": 7, "stop": ["a", "b"], "seed": -4, "logit_bias": {"50": -100},
+            "user": "u", "metadata": {"k": "v"}, "logprobs": true, "top_logprobs": 2,
+            "response_format": {"type": "json_schema", "json_schema": {"name": "a", "schema": {}}},
+            "modalities": ["text"], "service_tier": "auto", "reasoning_effort": "low", "verbosity": "low",
+            "prediction": {"type": "content", "content": "p"}, "prompt_cache_key": "k"}),
+        ),
+        (
+            "chat",
+            json!({"max_tokens": 5, "tools": [{"type": "function", "function": function.clone()}],
+            "tool_choice": {"type": "function", "function": {"name": "f"}}, "parallel_tool_calls": false,
+            "messages": [{"role": "system", "content": "s"}, {"role": "developer", "content": "d"},
+                {"role": "user", "content": [{"type": "text", "text": "a"}, {"type": "text", "text": "b"}],
+                    "name": "u"},
+                {"role": "assistant", "content": null, "tool_calls": [call]},
+                {"role": "tool", "tool_call_id": "c", "content": "42"},
+                {"role": "assistant", "refusal": "no"},
+                {"role": "assistant", "function_call": {"name": "f", "arguments": "{}"}},
+                {"role": "function", "name": "f", "content": "43"}]}),
+        ),
+        ("chat", json!({"functions": [function.clone()], "function_call": {"name": "f"}})),
+        (
+            "completion",
+            json!({"prompt": ["a", "b"], "n": 2, "echo": true, "max_tokens": 9, "stop": "x",
+            "temperature": 1, "top_p": 0.5, "presence_penalty": 1, "frequency_penalty": -1, "seed": 3,
+            "user": "u", "best_of": 1, "stream": true, "stream_options": {"include_obfuscation": false}}),
+        ),
+        ("response", json!({})),
+        (
+            "response",
+            json!({"instructions": "be short", "max_output_tokens": 11, "stream": true, "store": false,
+            "previous_response_id": "resp_1", "temperature": 0.25, "tools": [tool],
+            "tool_choice": {"type": "function", "name": "f"}, "parallel_tool_calls": true,
+            "reasoning": {"effort": "low", "summary": "auto"}, "metadata": {"k": "v"}, "user": "u",
+            "text": {"format": {"type": "json_schema", "name": "a", "schema": {}}, "verbosity": "low"},
+            "include": ["x"], "truncation": "disabled",
+            "input": [{"role": "user", "content": [{"type": "input_text", "text": "a"}]},
+                {"type": "message", "role": "assistant",
+                    "content": [{"type": "output_text", "text": "b"}, {"type": "refusal", "refusal": "c"}]},
+                {"type": "function_call", "call_id": "c", "name": "f", "arguments": "{}"},
+                {"type": "function_call_output", "call_id": "c", "output": "42"}]}),
+        ),
+        ("response", json!({"text": {"format": {"type": "json_object"}}, "tool_choice": "auto"})),
+    ]
+}
+
+#[test]
+fn each_accepted_request_goes_to_servers_as_this_body() {
+    let mut text = String::new();
+    for (kind, fields) in accepted() {
+        let mut asked = read(kind, request(kind, &fields)).expect("a request that is accepted");
+        writeln!(text, "{kind} {fields}").expect("a string");
+        writeln!(
+            text,
+            "  model={} stream={} include_usage={} max_tokens={:?} choices={} echo={} store={}",
+            asked.model,
+            asked.stream,
+            asked.include_usage,
+            asked.max_tokens,
+            asked.choices,
+            asked.echo,
+            asked.store
+        )
+        .expect("a string");
+        writeln!(text, "  prompts={}", json!(asked.prompts)).expect("a string");
+        writeln!(text, "  previous={:?} input={}", asked.previous, json!(asked.input)).expect("a string");
+        for part in 0..asked.parts() {
+            writeln!(text, "  part {part}: {}", asked.to_servers(part)).expect("a string");
+        }
+        if kind == "response" {
+            let before = [json!({"role": "user", "content": "q"}), json!({"type": "reasoning"})];
+            asked.go_on_from(&before);
+            writeln!(text, "  going on: {} {}", json!(asked.prompts), json!(asked.input)).expect("a string");
+        }
+    }
+    assert_golden("accepted.txt", &text);
+}
+
+/// Events of servers: text of two choices, a refusal, calls of tools in pieces, log probabilities, ends and usage.
+fn server_events(finish: &str) -> Vec<(usize, Value)> {
+    let delta = |delta: Value| {
+        json!({"id": "s", "choices": [{"index": 0, "delta": delta, "logprobs": null,
+        "finish_reason": null}]})
+    };
+    let usage = json!({"prompt_tokens": 5, "completion_tokens": 2, "total_tokens": 7,
+        "prompt_tokens_details": {"cached_tokens": 3}});
+    vec![
+        (0, delta(json!({"role": "assistant", "content": "Yes"}))),
+        (1, delta(json!({"content": "No"}))),
+        (
+            0,
+            json!({"choices": [{"index": 0, "delta": {"content": ", "},
+            "logprobs": {"content": [{"token": ", ", "logprob": -0.5}]}, "finish_reason": null}]}),
+        ),
+        (1, delta(json!({"refusal": "I can't"}))),
+        (
+            0,
+            delta(json!({"tool_calls": [{"index": 0, "id": "call_a", "type": "function",
+            "function": {"name": "fire", "arguments": ""}}]})),
+        ),
+        (
+            0,
+            delta(json!({"tool_calls": [{"index": 0, "function": {"arguments": "{\"cone\""}},
+            {"index": 1, "id": "call_b", "function": {"name": "glaze", "arguments": "{}"}}]})),
+        ),
+        (0, delta(json!({"tool_calls": [{"index": 0, "function": {"arguments": ":6}"}}]}))),
+        (0, delta(json!({"content": "Friday"}))),
+        (0, delta(json!({}))),
+        (1, json!({"choices": [{"index": 0, "delta": {}, "finish_reason": "stop"}]})),
+        (0, json!({"choices": [{"index": 0, "delta": {}, "finish_reason": finish}]})),
+        (0, json!({"choices": [], "usage": usage})),
+        (1, json!({"choices": [{"index": 0, "delta": {}}], "usage": usage})),
+        (0, json!({"other": true})),
+    ]
+}
+
+fn kinds() -> Vec<(&'static str, Value)> {
+    vec![
+        ("chat", json!({"n": 2, "stream": true})),
+        ("chat", json!({"n": 2, "stream": true, "stream_options": {"include_usage": true}})),
+        ("completion", json!({"prompt": ["a ", "b "], "echo": true, "stream": true})),
+        ("response", json!({"stream": true})),
+        (
+            "response",
+            json!({"instructions": "be short", "max_output_tokens": 11, "stream": true, "store": false,
+            "temperature": 0.25, "reasoning": {"effort": "low"}, "metadata": {"k": "v"}, "user": "u",
+            "tool_choice": "none", "parallel_tool_calls": false, "top_p": 0.5,
+            "text": {"format": {"type": "text"}}, "previous_response_id": "resp_1"}),
+        ),
+    ]
+}
+
+#[test]
+fn each_kind_of_stream_and_answer_is_written_as_these_bytes() {
+    let mut text = String::new();
+    for finish in ["tool_calls", "length"] {
+        for (kind, fields) in kinds() {
+            let asked = read(kind, request(kind, &fields)).expect("a request that is accepted");
+            let (mut writer, mut cut) = (Writer::new(&asked, names()), Writer::new(&asked, names()));
+            let (mut collected, mut cut_text) = (Collected::default(), cut.open());
+            writeln!(text, "=== {kind} {fields}, ends with {finish}").expect("a string");
+            text += &writer.open();
+            for (choice, event) in server_events(finish) {
+                let choice = choice.min(asked.parts() - 1);
+                text += &writer.event(choice, &event);
+                cut_text += &cut.event(choice, &event);
+                collected.take(choice, &event);
+            }
+            text += &writer.close();
+            cut_text += &cut.cut("stream_cut", "the server's stream broke");
+            writeln!(text, "--- cut\n{cut_text}").expect("a string");
+            writeln!(text, "--- whole\n{}", collected.chat(&names())).expect("a string");
+            writeln!(text, "{}", collected.completion(&names(), |choice| format!("<{choice}>")))
+                .expect("a string");
+            if kind == "response" {
+                writeln!(text, "{}\n{}", writer.response(), json!(writer.items())).expect("a string");
+            }
+            writeln!(text, "--- bytes {} {}", collected.bytes(), writer.bytes()).expect("a string");
+        }
+    }
+    assert_golden("answers.txt", &text);
+}
+
+#[test]
+fn an_answer_of_nothing_is_written_as_these_bytes() {
+    let mut text = String::new();
+    for (kind, fields) in kinds() {
+        let asked = read(kind, request(kind, &fields)).expect("a request that is accepted");
+        let mut writer = Writer::new(&asked, names());
+        writeln!(text, "=== {kind} {fields}\n{}{}", writer.open(), writer.close()).expect("a string");
+        if kind == "response" {
+            writeln!(text, "{}", writer.response()).expect("a string");
+        }
+    }
+    let empty = Collected::default();
+    writeln!(text, "{}\n{}", empty.chat(&names()), empty.completion(&names(), |_| String::new()))
+        .expect("a string");
+    assert_golden("empty_answers.txt", &text);
+}
+
+#[test]
+fn events_are_found_with_comments_line_ends_and_several_data_lines() {
+    let stream = ": load 3\n\nevent: x\ndata: {\"a\":\ndata: 1}\r\n\n\ndata:{\"b\":2}\n\ndata: [DONE]\n\ndata: {\"c\":3}";
+    let (mut events, mut found, mut text) = (Events::default(), Vec::new(), String::new());
+    events.take(stream.as_bytes(), &mut found).expect("whole events");
+    events.end(&mut found).expect("a last one");
+    for event in found {
+        match event {
+            Incoming::Event(value) => writeln!(text, "{value}").expect("a string"),
+            Incoming::Done => writeln!(text, "done").expect("a string"),
+        }
+    }
+    assert_golden("events.txt", &text);
+}
--- /dev/null
+++ b/tests/conform_report.rs
@@ -0,0 +1,44 @@
+//! What `dewladder conform` prints, byte for byte: a line for each case, the count, and the one line where not all passed.
+
+mod golden_file;
+mod stand_in;
+
+use std::time::Duration;
+
+use golden_file::assert_golden;
+use stand_in::*;
+use tokio::process::Command;
+
+async fn conform(arguments: &[&str]) -> String {
+    let mut program = Command::new(env!("CARGO_BIN_EXE_dewladder"));
+    program.args(["conform", "--model", "kiln-ask", "--once", "kiln-book"]).args(arguments).env_clear();
+    let output = program.output().await.unwrap();
+    let (out, err) = (String::from_utf8(output.stdout).unwrap(), String::from_utf8(output.stderr).unwrap());
+    format!("{}\n{out}--- {err}", output.status.code().unwrap())
+}
+
+#[tokio::test]
+async fn each_case_is_printed_with_what_it_came_to() {
+    let pause = Duration::from_millis(1);
+    let shape = Shape { events: 3, read: pause, pause, ..Shape::default() };
+    let site = FleetSite::start(shape, "enabled = true\nafter_start_s = 0.0\n").await;
+    let url = format!("http://{}", site.chat);
+    let closed = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
+    let closed = format!("http://{closed}/");
+    let mut text = String::new();
+    for (what, arguments) in [
+        ("all is well, told", &["--url", &url, "--key", "key-of-clay", "--only", "body/", "--verbose"][..]),
+        ("all is well", &["--url", &url, "--key", "key-of-clay", "--only", "body/"]),
+        ("another tenant is needed", &["--url", &url, "--key", "key-of-clay", "--only", "another-tenant"]),
+        ("the key is wrong", &["--url", &url, "--key", "key-of-nobody", "--only", "body/", "--verbose"]),
+        ("nobody listens", &["--url", &closed, "--only", "path/"]),
+        ("no such case", &["--url", &url, "--only", "no-such-case"]),
+        ("no URL", &[]),
+        ("no http", &["--url", "https://127.0.0.1:1"]),
+        ("not on loopback", &["--url", "http://192.0.2.1:80"]),
+        ("an argument that is not known", &["--url", &url, "--kiln"]),
+    ] {
+        text += &format!("=== {what}\n{}", conform(arguments).await);
+    }
+    assert_golden("conform_report.txt", &text);
+}
--- /dev/null
+++ b/tests/written_errors.rs
@@ -0,0 +1,213 @@
+//! What both fronts answer where nothing is served, byte for byte: status, headers and body of each refusal.
+
+mod golden_file;
+mod stand_in;
+
+use std::fmt::Write as _;
+
+use axum::body::Body;
+use axum::http::{HeaderMap, Response, StatusCode};
+use dewladder::edge::clients::problem::{json_answer, told, with_id, Problem};
+use dewladder::interface::RequestId;
+use dewladder_ledger::{Later, Never, Verdict};
+use golden_file::assert_golden;
+use http_body_util::BodyExt as _;
+use serde_json::json;
+use stand_in::*;
+use tokio::time::Duration;
+
+/// A response's status, headers in order and body.
+async fn written(response: Response<Body>) -> String {
+    let (head, body) = response.into_parts();
+    let body = body.collect().await.expect("a body that is held").to_bytes();
+    let mut text = format!("  {}\n", head.status);
+    for (name, value) in &head.headers {
+        writeln!(text, "  {name}: {}", value.to_str().expect("plain text")).expect("a string");
+    }
+    text + "  " + std::str::from_utf8(&body).expect("UTF-8") + "\n"
+}
+
+#[tokio::test]
+async fn each_error_of_the_chat_api_has_its_status_headers_and_body() {
+    let mut text = String::new();
+    let field =
+        |status: StatusCode| Problem { param: Some("n".to_owned()), ..Problem::new(status, "code", "what") };
+    let errors = [
+        ("a bad request", field(StatusCode::BAD_REQUEST)),
+        ("unauthorized", field(StatusCode::UNAUTHORIZED)),
+        ("too many", field(StatusCode::TOO_MANY_REQUESTS)),
+        ("a server's", field(StatusCode::BAD_GATEWAY)),
+        ("refused, 0 us", Problem::refused(0)),
+        ("refused, 1 us", Problem::refused(1)),
+        ("refused, 1.5 s", Problem::refused(1_500_000)),
+        ("failed", Problem::failed(false)),
+        ("failed, never again", Problem::failed(true)),
+        ("Mismatch", told(Verdict::Mismatch)),
+        ("Never Answered", told(Verdict::Never(Never::Answered))),
+        ("Never MayHaveRun", told(Verdict::Never(Never::MayHaveRun))),
+        ("Never JustStarted", told(Verdict::Never(Never::JustStarted))),
+        ("Later Budget", told(Verdict::Later { retry_in: 2_000_001, why: Later::Budget })),
+        ("Later Full", told(Verdict::Later { retry_in: 999, why: Later::Full })),
+        ("Later Readers", told(Verdict::Later { retry_in: 30_000_000, why: Later::Readers })),
+        ("Unrecorded", told(Verdict::Unrecorded)),
+    ];
+    for (what, error) in errors {
+        text += &format!("{what}\n{}", written(error.answer()).await);
+    }
+    let refused = dewladder_chat::parse(b"[", 4).expect_err("no JSON");
+    text += &format!("unreadable\n{}", written(Problem::from(refused).answer()).await);
+    let whole = json_answer(StatusCode::OK, bytes::Bytes::from(json!({"a": 1}).to_string()));
+    text += &format!("an answer\n{}", written(whole).await);
+    let mut headers = HeaderMap::new();
+    with_id(&mut headers, RequestId(0xff));
+    writeln!(text, "{headers:?}").expect("a string");
+    assert_golden("chat_errors.txt", &text);
+}
+
+/// An answer as it came, but for its date, id and time to come back, which differ from run to run.
+fn plain(answer: &str) -> String {
+    let mut text = String::new();
+    for line in answer.split("\r\n") {
+        match line.split_once(": ") {
+            Some((name @ ("date" | "x-request-id" | "retry-after"), _)) => writeln!(text, "  {name}: [*]"),
+            _ => writeln!(text, "  {line}"),
+        }
+        .expect("a string");
+    }
+    text
+}
+
+fn chat_requests() -> Vec<(&'static str, String)> {
+    let head = |first: &str, headers: &str| {
+        format!("{first} HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer key-of-clay\r\n{headers}Connection: close\r\n\r\n")
+    };
+    let with = |headers: &str, body: &str| {
+        let first = format!("{headers}Content-Length: {}\r\n", body.len());
+        head("POST /v1/chat/completions", &first) + body
+    };
+    let good = r#"{"model":"kiln-ask","messages":[{"role":"user","content":"a"}]}"#;
+    let response =
+        |body: &str| head("POST /v1/responses", &format!("Content-Length: {}\r\n", body.len())) + body;
+    let origin = "Origin: https://clay.example\r\n";
+    vec![
+        ("no such path", head("GET /v1/kilns", "")),
+        ("no such path below responses", head("GET /v1/responses/a/b", "")),
+        ("GET where POST belongs", head("GET /v1/chat/completions", "")),
+        ("PUT of a response", head("PUT /v1/responses/a", "")),
+        ("OPTIONS without an origin", head("OPTIONS /v1/models", "")),
+        ("OPTIONS of a browser app", head("OPTIONS /v1/responses/a", origin)),
+        ("an error for a browser app", head("GET /v1/kilns", origin)),
+        (
+            "OPTIONS of an app that is not let in",
+            head("OPTIONS /v1/models", "Origin: https://jars.example\r\n"),
+        ),
+        ("an unknown key", post(good, "key-of-nobody")),
+        ("no key", "GET /v1/models HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n".to_owned()),
+        ("another media type", with("Content-Type: text/plain\r\n", good)),
+        ("too long", head("POST /v1/chat/completions", "Content-Length: 300000\r\n")),
+        (
+            "two lengths",
+            head("POST /v1/chat/completions", "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n"),
+        ),
+        ("no JSON", with("", "{")),
+        ("a field at fault", with("", r#"{"model":"kiln-ask","messages":[{"role":"chef"}]}"#)),
+        ("an unknown model", with("", &good.replace("kiln-ask", "kiln"))),
+        ("two choices of what runs once", with("", &good.replace("kiln-ask\"", "kiln-book\",\"n\":2"))),
+        ("two prompts of what runs once", {
+            let body = r#"{"model":"kiln-book","prompt":["a","b"]}"#;
+            head("POST /v1/completions", &format!("Content-Length: {}\r\n", body.len())) + body
+        }),
+        ("two keys", with("Idempotency-Key: a\r\nIdempotency-Key: b\r\n", good)),
+        ("a key with a blank", with("Idempotency-Key: a b\r\n", good)),
+        ("a key that is too long", with(&format!("Idempotency-Key: {}\r\n", "a".repeat(256)), good)),
+        (
+            "a previous response that is not kept",
+            response(r#"{"model":"kiln-ask","input":"a","previous_response_id":"r"}"#),
+        ),
+        ("a response that is not kept", head("GET /v1/responses/resp_1", "")),
+        ("a response to be forgotten", head("DELETE /v1/responses/resp_1", "")),
+        ("the models", head("GET /v1/models", "")),
+        ("a model", head("GET /v1/models/kiln-ask", "")),
+        ("an unknown model by its path", head("GET /v1/models/kiln", "")),
+    ]
+}
+
+#[tokio::test]
+async fn each_refused_request_to_the_chat_front_is_answered_with_these_bytes() {
+    let origins = "origins = [\"https://clay.example\"]\n";
+    let site = FleetSite::with_chat(Shape::default(), origins, "enabled = true\nafter_start_s = 0.0\n").await;
+    let mut text = String::new();
+    for (what, request) in chat_requests() {
+        text += &format!("{what}\n{}", plain(&until_close(site.chat, &request).await));
+    }
+    let key = "Idempotency-Key: k1\r\n";
+    until_close(site.chat, &booking("kiln-book", "first", false, key)).await;
+    let reused = until_close(site.chat, &booking("kiln-book", "other", false, key)).await;
+    text += &format!("a key of another body\n{}", plain(&reused));
+    for (what, model, fault) in [
+        ("an answer that breaks off", "kiln-ask", Fault::Cuts(2)),
+        ("a booking that breaks off", "kiln-book", Fault::Cuts(2)),
+        ("a booking that fails", "kiln-book", Fault::Fails),
+    ] {
+        // A site of its own each: servers that failed are left out for a while.
+        let site = FleetSite::start(Shape::default(), "enabled = true\nafter_start_s = 0.0\n").await;
+        site.fleet.script([fault]);
+        let answer = until_close(site.chat, &booking(model, what, false, "")).await;
+        text += &format!("{what}\n{}", plain(&answer));
+    }
+    assert_golden("chat_front.txt", &text);
+}
+
+fn platform_requests() -> Vec<(&'static str, String)> {
+    let head = |headers: &str| {
+        format!("POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\n{headers}Content-Length: 2\r\nConnection: close\r\n\r\n{{}}")
+    };
+    let good = "X-Txn: a1\r\nX-Lane: ask\r\n";
+    vec![
+        ("no X-Txn", head("")),
+        ("two X-Txn", head("X-Txn: a\r\nX-Txn: b\r\nX-Lane: ask\r\n")),
+        ("two X-Labels", head("X-Txn: a\r\nX-Lane: ask\r\nX-Labels: a=1\r\nX-Labels: b=2\r\n")),
+        ("an empty X-Txn", head("X-Txn: \r\nX-Lane: ask\r\n")),
+        ("X-Txn with a slash", head("X-Txn: a/b\r\nX-Lane: ask\r\n")),
+        ("X-Txn that is too long", head(&format!("X-Txn: {}\r\nX-Lane: ask\r\n", "a".repeat(65)))),
+        ("no X-Lane", head("X-Txn: a1\r\n")),
+        ("an unknown X-Lane", head("X-Txn: a1\r\nX-Lane: cook\r\n")),
+        ("X-Remaining that is no number", head(&format!("{good}X-Remaining: soon\r\n"))),
+        ("X-Remaining below 0", head(&format!("{good}X-Remaining: -1\r\n"))),
+        ("X-Remaining beyond an hour", head(&format!("{good}X-Remaining: 3601\r\n"))),
+        ("X-Labels with a length that is none", head(&format!("{good}X-Labels: prompt_len=x\r\n"))),
+        ("X-Labels with a length that is too great", head(&format!("{good}X-Labels: max_out=1048577\r\n"))),
+        ("no JSON", head(good).replace("{}", "{ ")),
+        ("too long", head(good).replace("Content-Length: 2", "Content-Length: 300000")),
+        ("two lengths", head(&format!("{good}Transfer-Encoding: chunked\r\n"))),
+        ("another path", head(good).replace("completions", "kilns")),
+        ("GET", head(good).replace("POST", "GET")),
+        ("no HTTP", "KILN\r\n\r\n".to_owned()),
+    ]
+}
+
+#[tokio::test]
+async fn each_refused_request_to_the_platform_front_is_answered_with_these_bytes() {
+    let site = Site::start(Does::Read, Does::Nothing).await;
+    let mut text = String::new();
+    for (what, request) in platform_requests() {
+        text += &format!("{what}\n{}", plain(&until_close(site.platform, &request).await));
+    }
+    let (front, open) = (site.platform, platform("one", "ask", "20"));
+    let first = tokio::spawn({
+        let open = open.clone();
+        async move { until_close(front, &open).await }
+    });
+    eventually("the first is at a server", || !site.writer.log().is_empty()).await;
+    text += &format!("an X-Txn that is open\n{}", plain(&until_close(front, &open).await));
+    first.abort();
+    let draining = FleetSite::start(Shape::default(), "").await;
+    draining.fleet.drain(true);
+    tokio::time::sleep(Duration::from_millis(300)).await;
+    let refused = until_close(draining.platform, &platform("two", "ask", "2")).await;
+    text += &format!("refused\n{}", plain(&refused));
+    let failing = Site::start(Does::Read, Does::Fail).await;
+    let failed = until_close(failing.platform, &platform("three", "book", "2")).await;
+    text += &format!("failed\n{}", plain(&failed));
+    assert_golden("platform_front.txt", &text);
+}
