--- a/crates/chat/tests/memory.rs
+++ b/crates/chat/tests/memory.rs
@@ -1,15 +1,15 @@
 //! What is held for as long as a stream lasts.
 
-use dewladder_chat::{Limits, Names, Request, Writer};
+use dewladder_chat::{AnswerMetadata, Limits, Request, StreamWriter};
 use serde_json::{json, Value};
 
-fn names() -> Names {
-    Names { id: "1".to_owned(), model: "m".to_owned(), created: 1 }
+fn metadata() -> AnswerMetadata {
+    AnswerMetadata { id: "1".to_owned(), model: "m".to_owned(), created_unix_s: 1 }
 }
 
 /// Prompts held for as long as streams last would add up to all memory there is.
 #[test]
-fn a_writer_holds_nothing_of_a_prompt() {
+fn a_stream_writer_holds_nothing_of_a_prompt_that_is_not_echoed() {
     let text = "x".repeat(200_000);
     let chat = json!({"model": "m", "messages": [{"role": "user", "content": text}], "stream": true});
     let response = json!({"model": "m", "input": text, "instructions": "short", "stream": true});
@@ -20,17 +20,16 @@
         Request::response(response, &limits),
         Request::completion(completion, &limits),
     ] {
-        let writer = Writer::new(&request.unwrap(), names());
-        assert!(writer.of_request() < 200, "{} bytes", writer.of_request());
+        let writer = StreamWriter::new(&request.unwrap(), metadata());
+        assert!(writer.request_bytes() < 200, "{} bytes", writer.request_bytes());
     }
 }
 
-/// A response tells what was asked for, but for its input.
 #[test]
-fn a_response_tells_its_settings() {
+fn a_response_repeats_the_settings_of_its_request_without_its_input() {
     let asked = json!({"model": "m", "input": "a", "instructions": "short", "temperature": 0.5, "metadata": {"k": "v"}});
-    let mut writer = Writer::new(&Request::response(asked, &Limits::default()).unwrap(), names());
-    let response: Value = writer.response();
+    let writer = StreamWriter::new(&Request::response(asked, &Limits::default()).unwrap(), metadata());
+    let response: Value = writer.response().unwrap();
     assert_eq!((&response["instructions"], &response["temperature"]), (&json!("short"), &json!(0.5)));
     assert_eq!((&response["metadata"]["k"], &response["input"]), (&json!("v"), &Value::Null));
 }
--- a/crates/chat/tests/properties.rs
+++ b/crates/chat/tests/properties.rs
@@ -2,7 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use dewladder_chat::{Collected, Events, Incoming, Kept, Limits, Names, Request, Store, Writer};
+use dewladder_chat::{
+    AnswerMetadata, CollectedAnswer, EventParser, Limits, Request, ResponseStore, ServerEvent,
+    StoredResponse, StreamWriter,
+};
 use proptest::prelude::*;
 use serde_json::{json, Value};
 
@@ -88,9 +91,9 @@
         ] {
             match read {
                 Ok(request) => {
-                    prop_assert!(request.parts() >= 1 && request.parts() as u64 <= limits.most_choices);
-                    for part in 0..request.parts() {
-                        let sent = request.to_servers(part);
+                    prop_assert!(request.choice_count() >= 1 && request.choice_count() as u64 <= limits.max_choices);
+                    for choice in 0..request.choice_count() {
+                        let sent = request.server_body(choice);
                         prop_assert_eq!(&sent["stream"], &json!(true));
                         prop_assert!(sent["messages"].as_array().is_some_and(|messages| !messages.is_empty()));
                         prop_assert!(sent.get("n").is_none());
@@ -109,16 +112,16 @@
     ) {
         let text: String = events.iter().map(|event| format!(": load\n\ndata: {event}\n\n")).collect();
         let (mut rest, mut cuts, mut found) = (text.as_bytes(), cuts.into_iter().cycle(), Vec::new());
-        let mut splitter = Events::default();
+        let mut parser = EventParser::default();
         while !rest.is_empty() {
             let (now, then) = rest.split_at(cuts.next().unwrap_or(1).min(rest.len()));
-            splitter.take(now, &mut found).expect("whole events");
+            parser.push(now, &mut found).expect("whole events");
             rest = then;
         }
-        splitter.end(&mut found).expect("nothing is left");
-        let expected: Vec<Incoming> = events.iter().cloned().map(Incoming::Event).collect();
+        parser.finish(&mut found).expect("nothing is left");
+        let expected: Vec<ServerEvent> = events.iter().cloned().map(ServerEvent::Data).collect();
         prop_assert_eq!(&found, &expected);
-        let names = || Names { id: "1".to_owned(), model: "m".to_owned(), created: 1 };
+        let metadata = || AnswerMetadata { id: "1".to_owned(), model: "m".to_owned(), created_unix_s: 1 };
         let limits = Limits::default();
         let asked = [
             Request::chat(json!({"model": "m", "messages": [{"role": "user", "content": "a"}]}), &limits),
@@ -127,32 +130,32 @@
         ];
         for request in asked {
             let request = request.expect("a good request");
-            let (mut writer, mut collected) = (Writer::new(&request, names()), Collected::default());
+            let (mut writer, mut collected) = (StreamWriter::new(&request, metadata()), CollectedAnswer::default());
             let mut written = writer.open();
             for event in &events {
                 written += &writer.event(0, event);
-                collected.take(0, event);
+                collected.push(0, event);
             }
             written += &writer.close();
             prop_assert!(written.is_empty() || written.ends_with("\n\n"));
-            drop((collected.chat(&names()), writer.response()));
+            drop((collected.chat(&metadata()), writer.response()));
         }
     }
 
-    /// The store against a plain account: bounds hold, a tenant has only its own, and the least lately used go.
+    /// The store against a plain account: bounds hold, a tenant has only its own, and the least recently used are evicted.
     #[test]
-    fn the_store_keeps_its_bounds_and_tenants_apart(
+    fn the_response_store_keeps_its_bounds_and_tenants_apart(
         steps in prop::collection::vec((0u32..3, 0usize..8, 0u8..6, 1usize..900), 1..120),
     ) {
-        let mut store = Store::new(9_000, 4_000);
+        let mut store = ResponseStore::new(9_000, 4_000);
         let mut known: BTreeMap<(u32, String), Value> = BTreeMap::new();
         for (tenant, id, what, size) in steps {
             let name = format!("resp_{id}");
             match what {
                 0..=2 => {
                     let response = json!({"id": name, "of": tenant, "text": "x".repeat(size)});
-                    let kept = Kept { response: response.clone(), items: vec![json!({"size": size})] };
-                    prop_assert!(store.keep(tenant, &name, kept));
+                    let kept = StoredResponse { response: response.clone(), items: vec![json!({"size": size})] };
+                    prop_assert!(store.insert(tenant, &name, kept));
                     known.insert((tenant, name.clone()), response);
                     prop_assert!(store.get(tenant, &name).is_some(), "what has just been kept is there");
                 }
@@ -167,26 +170,25 @@
                     prop_assert!(store.get(tenant, &name).is_none());
                 }
             }
-            let figures = store.figures();
+            let figures = store.stats();
             prop_assert!(figures.bytes <= 9_000 && figures.responses <= known.len());
         }
-        let long = Kept { response: json!("x".repeat(5_000)), items: Vec::new() };
-        let before = store.figures();
-        prop_assert!(!store.keep(1, "long", long), "longer than a tenant's part");
-        prop_assert_eq!(store.figures(), before);
+        let long = StoredResponse { response: json!("x".repeat(5_000)), items: Vec::new() };
+        let before = store.stats();
+        prop_assert!(!store.insert(1, "long", long), "longer than a tenant's part");
+        prop_assert_eq!(store.stats(), before);
     }
 }
 
-/// A tenant that floods the store pushes out its own.
 #[test]
-fn a_flood_of_one_tenant_leaves_another_what_it_has() {
-    let mut store = Store::new(40_000, 30_000);
-    let kept = || Kept { response: json!("x".repeat(500)), items: Vec::new() };
+fn a_tenant_that_floods_the_store_evicts_only_its_own_responses() {
+    let mut store = ResponseStore::new(40_000, 30_000);
+    let kept = || StoredResponse { response: json!("x".repeat(500)), items: Vec::new() };
     for at in 0..5 {
-        assert!(store.keep(1, &format!("a{at}"), kept()));
+        assert!(store.insert(1, &format!("a{at}"), kept()));
     }
     for at in 0..1_000 {
-        assert!(store.keep(2, &format!("b{at}"), kept()));
+        assert!(store.insert(2, &format!("b{at}"), kept()));
     }
     assert!((0..5).all(|at| store.get(1, &format!("a{at}")).is_some()));
     assert!(store.get(2, "b999").is_some() && store.get(2, "b0").is_none());
--- a/crates/chat/tests/written_bytes.rs
+++ b/crates/chat/tests/written_bytes.rs
@@ -4,14 +4,27 @@
 
 use std::fmt::Write as _;
 
-use dewladder_chat::{parse, Collected, Events, Incoming, Limits, Names, Request, Writer};
+use dewladder_chat::{
+    parse_body, AnswerMetadata, CollectedAnswer, EventParser, Limits, Message, Request, ServerEvent,
+    StreamWriter,
+};
 use golden_file::assert_golden;
 use serde_json::{json, Value};
 
 const MAX_DEPTH: usize = 4;
 
-fn names() -> Names {
-    Names { id: "00000000000000ff".to_owned(), model: "kiln-ask".to_owned(), created: 1_700_000_000 }
+fn metadata() -> AnswerMetadata {
+    AnswerMetadata {
+        id: "00000000000000ff".to_owned(),
+        model: "kiln-ask".to_owned(),
+        created_unix_s: 1_700_000_000,
+    }
+}
+
+/// Prompts as the golden files have them: `[role, text]` for each message.
+fn prompts_json(prompts: &[Vec<Message>]) -> Value {
+    let message = |message: &Message| json!([message.role, message.text]);
+    prompts.iter().map(|prompt| prompt.iter().map(message).collect::<Value>()).collect()
 }
 
 /// A good request of this kind with these fields set; `null` takes one away.
@@ -309,7 +322,7 @@
         b"{\"a\": 01}",
         b"{\"a\": 1} x",
     ] {
-        let read = match parse(body, MAX_DEPTH) {
+        let read = match parse_body(body, MAX_DEPTH) {
             Ok(value) => value.to_string(),
             Err(refused) => format!("{} {}", refused.status, refused.envelope()),
         };
@@ -317,7 +330,7 @@
     }
     let long = format!("data: {}", "x".repeat(1 << 20));
     for (what, stream) in [("no JSON", "data: nonsense\n\n"), ("too long", &long)] {
-        let refused = Events::default().take(stream.as_bytes(), &mut Vec::new()).expect_err("no event");
+        let refused = EventParser::default().push(stream.as_bytes(), &mut Vec::new()).expect_err("no event");
         writeln!(text, "event: {what}\n  {} {}", refused.status, refused.envelope()).expect("a string");
     }
     assert_golden("unreadable.txt", &text);
@@ -392,20 +405,22 @@
             asked.stream,
             asked.include_usage,
             asked.max_tokens,
-            asked.choices,
+            asked.choices_per_prompt,
             asked.echo,
             asked.store
         )
         .expect("a string");
-        writeln!(text, "  prompts={}", json!(asked.prompts)).expect("a string");
-        writeln!(text, "  previous={:?} input={}", asked.previous, json!(asked.input)).expect("a string");
-        for part in 0..asked.parts() {
-            writeln!(text, "  part {part}: {}", asked.to_servers(part)).expect("a string");
+        writeln!(text, "  prompts={}", prompts_json(&asked.prompts)).expect("a string");
+        writeln!(text, "  previous={:?} input={}", asked.previous_response_id, json!(asked.input_items))
+            .expect("a string");
+        for part in 0..asked.choice_count() {
+            writeln!(text, "  part {part}: {}", asked.server_body(part)).expect("a string");
         }
         if kind == "response" {
             let before = [json!({"role": "user", "content": "q"}), json!({"type": "reasoning"})];
-            asked.go_on_from(&before);
-            writeln!(text, "  going on: {} {}", json!(asked.prompts), json!(asked.input)).expect("a string");
+            asked.prepend_items(&before);
+            writeln!(text, "  going on: {} {}", prompts_json(&asked.prompts), json!(asked.input_items))
+                .expect("a string");
         }
     }
     assert_golden("accepted.txt", &text);
@@ -471,26 +486,33 @@
     for finish in ["tool_calls", "length"] {
         for (kind, fields) in kinds() {
             let asked = read(kind, request(kind, &fields)).expect("a request that is accepted");
-            let (mut writer, mut cut) = (Writer::new(&asked, names()), Writer::new(&asked, names()));
-            let (mut collected, mut cut_text) = (Collected::default(), cut.open());
+            let (mut writer, mut cut) =
+                (StreamWriter::new(&asked, metadata()), StreamWriter::new(&asked, metadata()));
+            let (mut collected, mut cut_text) = (CollectedAnswer::default(), cut.open());
             writeln!(text, "=== {kind} {fields}, ends with {finish}").expect("a string");
             text += &writer.open();
             for (choice, event) in server_events(finish) {
-                let choice = choice.min(asked.parts() - 1);
+                let choice = choice.min(asked.choice_count() - 1);
                 text += &writer.event(choice, &event);
                 cut_text += &cut.event(choice, &event);
-                collected.take(choice, &event);
+                collected.push(choice, &event);
             }
             text += &writer.close();
             cut_text += &cut.cut("stream_cut", "the server's stream broke");
             writeln!(text, "--- cut\n{cut_text}").expect("a string");
-            writeln!(text, "--- whole\n{}", collected.chat(&names())).expect("a string");
-            writeln!(text, "{}", collected.completion(&names(), |choice| format!("<{choice}>")))
+            writeln!(text, "--- whole\n{}", collected.chat(&metadata())).expect("a string");
+            writeln!(text, "{}", collected.completion(&metadata(), |choice| format!("<{choice}>")))
                 .expect("a string");
             if kind == "response" {
-                writeln!(text, "{}\n{}", writer.response(), json!(writer.items())).expect("a string");
+                writeln!(
+                    text,
+                    "{}\n{}",
+                    writer.response().expect("a response"),
+                    json!(writer.output_items())
+                )
+                .expect("a string");
             }
-            writeln!(text, "--- bytes {} {}", collected.bytes(), writer.bytes()).expect("a string");
+            writeln!(text, "--- bytes {} {}", collected.text_bytes(), writer.text_bytes()).expect("a string");
         }
     }
     assert_golden("answers.txt", &text);
@@ -501,14 +523,14 @@
     let mut text = String::new();
     for (kind, fields) in kinds() {
         let asked = read(kind, request(kind, &fields)).expect("a request that is accepted");
-        let mut writer = Writer::new(&asked, names());
+        let mut writer = StreamWriter::new(&asked, metadata());
         writeln!(text, "=== {kind} {fields}\n{}{}", writer.open(), writer.close()).expect("a string");
         if kind == "response" {
-            writeln!(text, "{}", writer.response()).expect("a string");
+            writeln!(text, "{}", writer.response().expect("a response")).expect("a string");
         }
     }
-    let empty = Collected::default();
-    writeln!(text, "{}\n{}", empty.chat(&names()), empty.completion(&names(), |_| String::new()))
+    let empty = CollectedAnswer::default();
+    writeln!(text, "{}\n{}", empty.chat(&metadata()), empty.completion(&metadata(), |_| String::new()))
         .expect("a string");
     assert_golden("empty_answers.txt", &text);
 }
@@ -516,13 +538,13 @@
 #[test]
 fn events_are_found_with_comments_line_ends_and_several_data_lines() {
     let stream = ": load 3\n\nevent: x\ndata: {\"a\":\ndata: 1}\r\n\n\ndata:{\"b\":2}\n\ndata: [DONE]\n\ndata: {\"c\":3}";
-    let (mut events, mut found, mut text) = (Events::default(), Vec::new(), String::new());
-    events.take(stream.as_bytes(), &mut found).expect("whole events");
-    events.end(&mut found).expect("a last one");
+    let (mut events, mut found, mut text) = (EventParser::default(), Vec::new(), String::new());
+    events.push(stream.as_bytes(), &mut found).expect("whole events");
+    events.finish(&mut found).expect("a last one");
     for event in found {
         match event {
-            Incoming::Event(value) => writeln!(text, "{value}").expect("a string"),
-            Incoming::Done => writeln!(text, "done").expect("a string"),
+            ServerEvent::Data(value) => writeln!(text, "{value}").expect("a string"),
+            ServerEvent::Done => writeln!(text, "done").expect("a string"),
         }
     }
     assert_golden("events.txt", &text);
--- a/src/edge/clients/answers.rs
+++ b/src/edge/clients/answers.rs
@@ -8,7 +8,10 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use dewladder_chat::{Collected, Events, Incoming, Kept, Names, Request, Shape, Store, Writer};
+use dewladder_chat::{
+    AnswerMetadata, CollectedAnswer, EventParser, Request, RequestKind, ResponseStore, ServerEvent,
+    StoredResponse, StreamWriter,
+};
 use dewladder_resume::{Passed, Policy, Stream, Then, Why};
 use http_body::{Body, Frame};
 use log::info;
@@ -47,7 +50,7 @@
 #[derive(Clone)]
 pub struct Keeping {
     /// The store.
-    pub store: Arc<Mutex<Store>>,
+    pub store: Arc<Mutex<ResponseStore>>,
     /// Whose it is.
     pub tenant: u32,
     /// Its id.
@@ -60,7 +63,7 @@
     fn keep(self, response: Value, output: Vec<Value>) {
         let items = self.input.into_iter().chain(output).collect();
         let mut store = self.store.lock().unwrap_or_else(PoisonError::into_inner);
-        store.keep(self.tenant, &self.id, Kept { response, items });
+        store.insert(self.tenant, &self.id, StoredResponse { response, items });
     }
 }
 
@@ -89,7 +92,7 @@
     choice: usize,
     /// Taken once it has ended.
     source: Option<Source>,
-    events: Events,
+    events: EventParser,
     stream: Option<Stream>,
     /// The rest, while it has not begun.
     asking: Option<Pin<Box<dyn Future<Output = Asked> + Send>>>,
@@ -109,7 +112,7 @@
                 match (asked, resuming, &mut self.stream) {
                     (Ok(source), ..) => {
                         self.source = Some(source);
-                        self.events = Events::default();
+                        self.events = EventParser::default();
                     }
                     (Err(retry_in), Some(resuming), Some(stream)) => {
                         let then = stream.not_begun(resuming.clock.now(), retry_in);
@@ -126,16 +129,16 @@
             let Some(source) = &mut self.source else { return Poll::Ready(None) };
             let mut found = Vec::new();
             let (taken, over) = match ready!(source.poll(context)) {
-                Some(Ok(data)) => (self.events.take(&data, &mut found), None),
+                Some(Ok(data)) => (self.events.push(&data, &mut found), None),
                 Some(Err(cut)) => (Ok(()), Some(Err(cut))),
-                None => (self.events.end(&mut found), Some(Ok(()))),
+                None => (self.events.finish(&mut found), Some(Ok(()))),
             };
             if let Err(bad) = taken {
                 return Poll::Ready(Some(Err(bad.message)));
             }
             let events = found.into_iter().filter_map(|found| match found {
-                Incoming::Event(event) => Some(event),
-                Incoming::Done => None,
+                ServerEvent::Data(event) => Some(event),
+                ServerEvent::Done => None,
             });
             let mut events: Vec<Value> = events.collect();
             if let Some(stream) = &mut self.stream {
@@ -252,7 +255,7 @@
         let part = |(choice, source)| Part {
             choice,
             source: Some(source),
-            events: Events::default(),
+            events: EventParser::default(),
             stream: resuming.as_ref().map(|resuming| Stream::new(resuming.policy, resuming.shape)),
             asking: None,
         };
@@ -300,7 +303,7 @@
 pub struct Answering {
     /// `None` once the stream is over.
     parts: Option<Parts>,
-    writer: Writer,
+    writer: StreamWriter,
     opened: bool,
     keeping: Option<Keeping>,
     /// A comment is due where nothing has come for so long.
@@ -313,7 +316,7 @@
     #[must_use]
     pub fn new(
         sources: Vec<Source>,
-        writer: Writer,
+        writer: StreamWriter,
         keeping: Option<Keeping>,
         resuming: Option<Resuming>,
         quiet: Option<Duration>,
@@ -332,7 +335,7 @@
         loop {
             let Some(parts) = &mut self.parts else { return Poll::Ready(None) };
             let text = match ready!(parts.poll(context)) {
-                Some(Ok(_)) if self.writer.bytes() > MOST_ANSWER => {
+                Some(Ok(_)) if self.writer.text_bytes() > MOST_ANSWER => {
                     self.parts = None;
                     self.writer.cut("stream_cut", "the answer is too long")
                 }
@@ -345,8 +348,8 @@
                 None => {
                     self.parts = None;
                     let text = self.writer.close();
-                    if let Some(keeping) = self.keeping.take() {
-                        keeping.keep(self.writer.response(), self.writer.items());
+                    if let (Some(keeping), Some(response)) = (self.keeping.take(), self.writer.response()) {
+                        keeping.keep(response, self.writer.output_items());
                     }
                     text
                 }
@@ -390,37 +393,38 @@
 pub async fn whole(
     sources: Vec<Source>,
     request: &Request,
-    names: Names,
+    metadata: AnswerMetadata,
     keeping: Option<Keeping>,
     resuming: Option<Resuming>,
 ) -> Result<Value, String> {
     let mut parts = Parts::new(sources, resuming);
-    let (mut collected, mut writer) = (Collected::default(), Writer::new(request, names.clone()));
+    let (mut collected, mut writer) =
+        (CollectedAnswer::default(), StreamWriter::new(request, metadata.clone()));
     while let Some(event) = std::future::poll_fn(|context| parts.poll(context)).await {
         let (choice, event) = event?;
-        match request.shape {
-            Shape::Response => drop(writer.event(choice, &event)),
-            Shape::Chat | Shape::Completion => collected.take(choice, &event),
+        match request.kind {
+            RequestKind::Response => drop(writer.event(choice, &event)),
+            RequestKind::Chat | RequestKind::Completion => collected.push(choice, &event),
         }
-        if collected.bytes() + writer.bytes() > MOST_ANSWER {
+        if collected.text_bytes() + writer.text_bytes() > MOST_ANSWER {
             return Err("the answer is too long".to_owned());
         }
     }
     let prompt = |choice: usize| {
-        let part = &request.prompts[choice / request.choices as usize];
+        let prompt = request.prompt_of(choice);
         if request.echo {
-            part[0].1.clone()
+            prompt[0].text.clone()
         } else {
             String::new()
         }
     };
-    Ok(match request.shape {
-        Shape::Chat => collected.chat(&names),
-        Shape::Completion => collected.completion(&names, prompt),
-        Shape::Response => {
-            let response = writer.response();
+    Ok(match request.kind {
+        RequestKind::Chat => collected.chat(&metadata),
+        RequestKind::Completion => collected.completion(&metadata, prompt),
+        RequestKind::Response => {
+            let response = writer.response().unwrap_or_default();
             if let Some(keeping) = keeping {
-                keeping.keep(response.clone(), writer.items());
+                keeping.keep(response.clone(), writer.output_items());
             }
             response
         }
--- a/src/edge/clients/chat.rs
+++ b/src/edge/clients/chat.rs
@@ -20,7 +20,7 @@
 use axum::Router;
 use bytes::Bytes;
 use dewladder_chat as api;
-use dewladder_chat::{Names, Shape, Store, Writer};
+use dewladder_chat::{AnswerMetadata, Message, RequestKind, ResponseStore, StreamWriter};
 use dewladder_ledger::{Ending, Offer, Verdict};
 use dewladder_router::mix;
 use log::warn;
@@ -86,7 +86,7 @@
     resume: Option<dewladder_resume::Policy>,
     ids: Ids,
     /// Responses that others go on from.
-    store: Arc<Mutex<Store>>,
+    store: Arc<Mutex<ResponseStore>>,
     /// What is known of repeats, where that is turned on.
     repeats: Option<Arc<Repeats>>,
     /// By which other instances hold records of requests that must not run twice, where that is turned on.
@@ -156,12 +156,12 @@
         tenants: chat.tenants.iter().map(|(token, name)| (token.clone(), tenant(name))).collect(),
         anyone: tenant(""),
         max_tokens: chat.max_tokens,
-        limits: api::Limits { most_choices: chat.most_choices, ..api::Limits::default() },
+        limits: api::Limits { max_choices: chat.most_choices, ..api::Limits::default() },
         origins: chat.origins.clone(),
         quiet: Some(chat.keepalive_s).filter(|&seconds| seconds > 0.0).map(Duration::from_secs_f64),
         resume: resume.filter(|_| config.resume),
         ids: Ids { base: mix(config.seed ^ mix(clock.now())), next: AtomicU64::new(0) },
-        store: Arc::new(Mutex::new(Store::new(store_bytes, tenant_bytes))),
+        store: Arc::new(Mutex::new(ResponseStore::new(store_bytes, tenant_bytes))),
         repeats,
         quorum,
     };
@@ -170,7 +170,7 @@
 
 /// What lies at a path, and how it may be asked.
 enum Place<'a> {
-    Make(Shape),
+    Make(RequestKind),
     Models,
     Model(&'a str),
     Response(&'a str),
@@ -183,9 +183,9 @@
         const KEPT: &[Method] = &[Method::GET, Method::DELETE];
         let one = |text: &'a str| Some(text).filter(|text| !text.is_empty() && !text.contains('/'));
         Some(match path {
-            TARGET => (Self::Make(Shape::Chat), POST),
-            "/v1/completions" => (Self::Make(Shape::Completion), POST),
-            "/v1/responses" => (Self::Make(Shape::Response), POST),
+            TARGET => (Self::Make(RequestKind::Chat), POST),
+            "/v1/completions" => (Self::Make(RequestKind::Completion), POST),
+            "/v1/responses" => (Self::Make(RequestKind::Response), POST),
             "/v1/models" => (Self::Models, GET),
             _ => match (path.strip_prefix("/v1/models/"), path.strip_prefix("/v1/responses/")) {
                 (Some(name), _) => (Self::Model(one(name)?), GET),
@@ -250,7 +250,7 @@
         }
         let tenant = self.tenant(&head.headers)?;
         match place {
-            Place::Make(shape) => self.make(shape, tenant, head, body).await,
+            Place::Make(kind) => self.make(kind, tenant, head, body).await,
             Place::Models => {
                 let models = self.models.keys().filter(|name| self.model(name).is_some());
                 let list =
@@ -282,31 +282,31 @@
 
     async fn make(
         self: &Arc<Self>,
-        shape: Shape,
+        kind: RequestKind,
         tenant: &Tenant,
         head: &Parts,
         body: Body,
     ) -> Result<Response<Body>, Problem> {
-        let kind = header(&head.headers, CONTENT_TYPE.as_str())
+        let media_type = header(&head.headers, CONTENT_TYPE.as_str())
             .map(|text| text.split(';').next().unwrap_or("").trim());
-        if kind.is_some_and(|kind| !kind.eq_ignore_ascii_case("application/json")) {
+        if media_type.is_some_and(|media_type| !media_type.eq_ignore_ascii_case("application/json")) {
             let what = "the body must be application/json";
             return Err(Problem::new(StatusCode::UNSUPPORTED_MEDIA_TYPE, "unsupported_media_type", what));
         }
         let body = body_within(body, &head.extensions).await;
         let now = self.clock.now();
         let body = body.map_err(|(status, what)| Problem::new(status, "invalid_request_error", what))?;
-        let value = api::parse(&body, MOST_DEEP)?;
+        let value = api::parse_body(&body, MOST_DEEP)?;
         drop(body);
-        let request = match shape {
-            Shape::Chat => api::Request::chat(value, &self.limits),
-            Shape::Completion => api::Request::completion(value, &self.limits),
-            Shape::Response => api::Request::response(value, &self.limits),
+        let request = match kind {
+            RequestKind::Chat => api::Request::chat(value, &self.limits),
+            RequestKind::Completion => api::Request::completion(value, &self.limits),
+            RequestKind::Response => api::Request::response(value, &self.limits),
         };
         let mut request = request?;
         let model = &self.model(&request.model).ok_or_else(no_model)?;
-        if model.once && request.parts() > 1 {
-            let param = if request.choices > 1 { "n" } else { "prompt" };
+        if model.once && request.choice_count() > 1 {
+            let param = if request.choices_per_prompt > 1 { "n" } else { "prompt" };
             return Err(Problem {
                 param: Some(param.to_owned()),
                 ..bad(
@@ -315,20 +315,20 @@
                 )
             });
         }
-        if let Some(previous) = request.previous.clone() {
+        if let Some(previous) = request.previous_response_id.clone() {
             let mut store = self.store.lock().unwrap_or_else(PoisonError::into_inner);
             let kept = store.get(tenant.number, &previous).ok_or_else(|| Problem {
                 param: Some("previous_response_id".to_owned()),
                 ..bad("previous_response_not_found", "no response with this id is kept")
             })?;
-            request.go_on_from(&kept.items);
+            request.prepend_items(&kept.items);
         }
         let asked = Asked { request: &request, model, tenant, now };
-        let Some(repeats) = self.repeats.as_ref().filter(|_| request.parts() == 1) else {
+        let Some(repeats) = self.repeats.as_ref().filter(|_| request.choice_count() == 1) else {
             return self.once(&asked).await;
         };
         let offer =
-            repeats.offer(&head.headers, (tenant.number, &tenant.name), shape, model.once, &request.body);
+            repeats.offer(&head.headers, (tenant.number, &tenant.name), kind, model.once, &request.body);
         let offer = offer.map_err(|bad_key| Problem {
             param: Some("Idempotency-Key".to_owned()),
             ..bad("invalid_value", format!("Idempotency-Key {}", bad_key.0))
@@ -341,7 +341,7 @@
     /// Has a request run of which nothing is remembered: each choice as a request of its own.
     async fn once(self: &Arc<Self>, asked: &Asked<'_>) -> Result<Response<Body>, Problem> {
         let mut waiting = Vec::new();
-        for part in 0..asked.request.parts() {
+        for part in 0..asked.request.choice_count() {
             let permit = self.permit(asked.tenant)?;
             let (call, payload) = self.part(asked, part);
             waiting.push((call.id, permit, Box::pin(self.driver.begin(call, payload).0)));
@@ -420,19 +420,22 @@
         let request = asked.request;
         // Who joined another's answer must not each ask for its rest.
         // And a long prompt is not held for as long as its stream lasts: it would add up over all of them.
-        let prompt: usize = request.prompts.iter().flatten().map(|(_, text)| text.len()).sum();
+        let prompt: usize = request.prompts.iter().flatten().map(|message| message.text.len()).sum();
         let resume = self.resume.filter(|policy| first && prompt <= policy.most_text);
         let resuming = resume.map(|policy| self.resuming(asked, policy));
-        let names =
-            Names { id: format!("{:016x}", id.0), model: request.model.clone(), created: since / 1_000_000 };
+        let metadata = AnswerMetadata {
+            id: format!("{:016x}", id.0),
+            model: request.model.clone(),
+            created_unix_s: since / 1_000_000,
+        };
         let keeping = request.store.then(|| Keeping {
             store: self.store.clone(),
             tenant: asked.tenant.number,
-            id: format!("resp_{}", names.id),
-            input: request.input.clone(),
+            id: format!("resp_{}", metadata.id),
+            input: request.input_items.clone(),
         });
         let mut response = if request.stream {
-            let writer = Writer::new(request, names);
+            let writer = StreamWriter::new(request, metadata);
             let mut response =
                 Response::new(Body::new(Answering::new(sources, writer, keeping, resuming, self.quiet)));
             let headers = response.headers_mut();
@@ -440,7 +443,7 @@
             headers.insert(CACHE_CONTROL, HeaderValue::from_static("no-cache"));
             response
         } else {
-            let whole = whole(sources, request, names, keeping, resuming).await;
+            let whole = whole(sources, request, metadata, keeping, resuming).await;
             let whole = whole.map_err(|what| Problem {
                 never_again: asked.model.once,
                 ..Problem::new(StatusCode::BAD_GATEWAY, "server_error", what)
@@ -479,8 +482,8 @@
 
     async fn rest(&self, asked: &Asked<'_>, part: usize, text: &str, max_tokens: u64, until: Micros) -> Rest {
         let permit = self.permit(asked.tenant).map_err(|_| Some(self.driver.settings().max_retry_after))?;
-        let mut prompt = asked.request.prompts[part / asked.request.choices as usize].clone();
-        let mut body = asked.request.to_servers(part);
+        let mut prompt = asked.request.prompt_of(part).to_vec();
+        let mut body = asked.request.server_body(part);
         if let Some(fields) = body.as_object_mut() {
             fields.remove("max_completion_tokens");
             fields.insert("max_tokens".to_owned(), json!(max_tokens));
@@ -490,7 +493,7 @@
             messages.push(json!({"role": "assistant", "content": text}));
             body["continue_final_message"] = json!(true);
             body["add_generation_prompt"] = json!(false);
-            prompt.push(("assistant".to_owned(), text.to_owned()));
+            prompt.push(Message { role: "assistant".to_owned(), text: text.to_owned() });
         }
         let id = self.ids.mint();
         let mut call = self.call(id, asked, &prompt);
@@ -522,9 +525,9 @@
     /// The call and what is sent on for one part, under an id of its own.
     fn part(&self, asked: &Asked<'_>, part: usize) -> (Call, Arc<Payload>) {
         let id = self.ids.mint();
-        let prompt = &asked.request.prompts[part / asked.request.choices as usize];
+        let prompt = asked.request.prompt_of(part);
         let call = self.call(id, asked, prompt);
-        let body = Bytes::from(asked.request.to_servers(part).to_string());
+        let body = Bytes::from(asked.request.server_body(part).to_string());
         (
             call,
             Arc::new(Payload { txn: format!("{:016x}", id.0), target: TARGET.to_owned(), key: None, body }),
@@ -543,15 +546,17 @@
 
     /// The call that the messages make: lengths at four characters a token, the first message as the opening
     /// that it may share with other conversations, and the conversation by what it began with.
-    fn call(&self, id: RequestId, asked: &Asked<'_>, prompt: &[(String, String)]) -> Call {
+    fn call(&self, id: RequestId, asked: &Asked<'_>, prompt: &[Message]) -> Call {
         let Asked { request, model, tenant, now } = *asked;
         let class = model.class;
         let tokens = |text: &str| (text.chars().count() as u64).div_ceil(CHARACTERS_A_TOKEN);
-        let prompt_tokens = prompt.iter().map(|(_, text)| tokens(text)).sum();
+        let prompt_tokens = prompt.iter().map(|message| tokens(&message.text)).sum();
         let key = |parts: &[&str]| Key::from_text(&parts.join("\u{1f}"));
         let opens = |role: &str| matches!(role, "system" | "developer");
-        let opening = prompt.first().filter(|(role, _)| opens(role)).map(|(_, text)| text.as_str());
-        let first = prompt.iter().find(|(role, _)| !opens(role)).map_or("", |(_, text)| text.as_str());
+        let opening =
+            prompt.first().filter(|message| opens(&message.role)).map(|message| message.text.as_str());
+        let first =
+            prompt.iter().find(|message| !opens(&message.role)).map_or("", |message| message.text.as_str());
         let begins = opening.unwrap_or("");
         // The deadline grows twice as fast with the prompt as the aim does.
         let longer = 2 * model.rules.aim_per_1000_tokens * prompt_tokens / 1_000;
--- a/src/edge/clients/problem.rs
+++ b/src/edge/clients/problem.rs
@@ -4,7 +4,7 @@
 use axum::http::header::{CONTENT_TYPE, RETRY_AFTER};
 use axum::http::{HeaderMap, HeaderName, HeaderValue, Response, StatusCode};
 use bytes::Bytes;
-use dewladder_chat::Bad;
+use dewladder_chat::RequestError;
 use dewladder_ledger::{Later, Never, Verdict};
 use serde_json::json;
 
@@ -91,10 +91,10 @@
     }
 }
 
-impl From<Bad> for Problem {
-    fn from(bad: Bad) -> Self {
-        let status = StatusCode::from_u16(bad.status).unwrap_or(StatusCode::BAD_REQUEST);
-        Self { param: bad.param, ..Self::new(status, bad.code, bad.message) }
+impl From<RequestError> for Problem {
+    fn from(error: RequestError) -> Self {
+        let status = StatusCode::from_u16(error.status).unwrap_or(StatusCode::BAD_REQUEST);
+        Self { param: error.param, ..Self::new(status, error.code, error.message) }
     }
 }
 
--- a/src/edge/clients/repeats.rs
+++ b/src/edge/clients/repeats.rs
@@ -9,7 +9,7 @@
 
 use axum::http::HeaderMap;
 use bytes::Bytes;
-use dewladder_chat::Shape;
+use dewladder_chat::RequestKind;
 use dewladder_ledger::{
     canonical, Effect, Ending, EntryId, Figures, Fingerprints, Ledger, Name, Offer, Policy, Read, Verdict,
 };
@@ -89,15 +89,15 @@
         &self,
         headers: &HeaderMap,
         (index, tenant): (u32, &str),
-        shape: Shape,
+        kind: RequestKind,
         once: bool,
         body: &Value,
     ) -> Result<Offer, BadKey> {
         let retries = self.retry_headers.iter().find_map(|name| header(headers, name));
         // A count that can't be read is still of a library that counts.
         let repeat = retries.is_some_and(|text| text.parse::<u64>() != Ok(0));
-        let shape = [shape as u8];
-        let body = self.prints.of("body", &[tenant.as_bytes(), &shape, &canonical(body)]);
+        let kind = [kind as u8];
+        let body = self.prints.of("body", &[tenant.as_bytes(), &kind, &canonical(body)]);
         let mut keys = headers.get_all(KEY).iter();
         let name = match (keys.next(), keys.next()) {
             (Some(_), Some(_)) => return Err(BadKey("is there twice")),
--- a/tests/written_errors.rs
+++ b/tests/written_errors.rs
@@ -54,7 +54,7 @@
     for (what, error) in errors {
         text += &format!("{what}\n{}", written(error.answer()).await);
     }
-    let refused = dewladder_chat::parse(b"[", 4).expect_err("no JSON");
+    let refused = dewladder_chat::parse_body(b"[", 4).expect_err("no JSON");
     text += &format!("unreadable\n{}", written(Problem::from(refused).answer()).await);
     let whole = json_answer(StatusCode::OK, bytes::Bytes::from(json!({"a": 1}).to_string()));
     text += &format!("an answer\n{}", written(whole).await);
