--- a/crates/ledger/benches/ledger.rs
+++ b/crates/ledger/benches/ledger.rs
@@ -6,7 +6,8 @@
 use std::time::Instant;
 
 use dewladder_ledger::{
-    BudgetPolicy, Ending, Fingerprint, Fingerprints, Ledger, Micros, Name, Offer, Policy, Verdict,
+    Admission, Fingerprint, Fingerprinter, IdempotencyStore, IncomingRequest, Micros, Outcome, Policy,
+    RequestIdentity, RetryBudgetPolicy,
 };
 
 const WINDOW: Micros = 600_000_000;
@@ -95,10 +96,10 @@
         }
     }
     let body = vec![b'a'; 16 << 10];
-    let prints = Fingerprints::new(b"a secret");
+    let fingerprinter = Fingerprinter::new(b"a secret");
     let start = Instant::now();
     for _ in 0..10_000 {
-        black_box(prints.of("body", &[&body]));
+        black_box(fingerprinter.fingerprint("body", &[&body]));
     }
     println!("fingerprint of a 16 KiB body: {:.1} us", start.elapsed().as_secs_f64() * 100.0);
 }
@@ -120,49 +121,49 @@
     let answer = &ANSWER[..answer];
     let before = resident();
     let policy = Policy {
-        most_entries: keys as usize + 1,
-        most_bytes: usize::MAX / 2,
-        window: WINDOW,
+        max_entries: keys as usize + 1,
+        max_bytes: usize::MAX / 2,
+        retention_us: WINDOW,
         tenant_permille: 1_000,
-        budget: BudgetPolicy::default(),
+        retry_budget: RetryBudgetPolicy::default(),
         ..Policy::default()
     };
-    let mut ledger = Ledger::new(policy, 0);
-    let offer = |at: u64| Offer {
+    let mut store = IdempotencyStore::new(policy, 0);
+    let request = |at: u64| IncomingRequest {
         tenant: 1,
-        once: true,
-        name: Some(Name::Key(print(at))),
+        at_most_once: true,
+        identity: Some(RequestIdentity::Key(print(at))),
         body: print(at ^ 1 << 40),
-        repeat: false,
+        is_retry: false,
     };
     let start = Instant::now();
-    let run = |ledger: &mut Ledger, now: Micros, at: u64| {
-        if let Verdict::Run(id) = ledger.offer(now, &offer(at), at) {
+    let run = |store: &mut IdempotencyStore, now: Micros, at: u64| {
+        if let Admission::Run(id) = store.admit(now, &request(at), at) {
             if !answer.is_empty() {
-                ledger.began(now, id);
-                ledger.record(now, id, answer);
+                store.stream_started(now, id);
+                store.record(now, id, answer);
             }
-            ledger.ended(now, id, Ending::Whole);
-            ledger.left(now, id);
-            ledger.effects().for_each(drop);
+            store.finish(now, id, Outcome::Completed);
+            store.reader_left(now, id);
+            store.effects().for_each(drop);
         }
     };
     for at in 0..keys {
-        run(&mut ledger, time(at, keys), at);
+        run(&mut store, time(at, keys), at);
     }
     let fill = start.elapsed().as_secs_f64();
     let bytes = resident().saturating_sub(before);
     let start = Instant::now();
     for at in 0..keys {
-        let verdict = ledger.offer(WINDOW / 2, &offer(number(at) % keys), at);
-        if let Verdict::Join(id) = black_box(verdict) {
-            ledger.left(WINDOW / 2, id);
+        let admission = store.admit(WINDOW / 2, &request(number(at) % keys), at);
+        if let Admission::Join(id) = black_box(admission) {
+            store.reader_left(WINDOW / 2, id);
         }
     }
     let repeat = start.elapsed().as_secs_f64();
     let start = Instant::now();
     for at in 0..keys {
-        run(&mut ledger, WINDOW + time(at, keys), keys + at); // one comes and one goes
+        run(&mut store, WINDOW + time(at, keys), keys + at); // one comes and one goes
     }
     let turn = start.elapsed().as_secs_f64();
     row(&format!("ledger{}", kept(answer)), keys, fill, repeat, turn, bytes);
--- a/crates/ledger/src/fingerprint.rs
+++ b/crates/ledger/src/fingerprint.rs
@@ -1,44 +1,46 @@
-//! Keyed fingerprints of keys and bodies, and the form of a body that does not depend on how it was written.
+//! Keyed fingerprints of idempotency keys and bodies, and the canonical form of a body, which does not depend on how it
+//! was written.
 
 use serde_json::Value;
 
+/// Separates this program's keys from those of others that derive them from the same material.
+const KEY_CONTEXT: &str = "dewladder 2026-12-01 fingerprints of repeated requests";
+
 /// 128 bits of a keyed hash. Two requests with the same one are taken for the same.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Fingerprint(pub [u64; 2]);
 
 impl Fingerprint {
-    /// Bits for a hash table: all bits of a fingerprint are as good as random to who does not hold the secret.
+    /// Bits for a hash table: to anybody without the secret, all bits of a fingerprint are as good as random.
     #[must_use]
-    pub fn bits(self) -> u64 {
+    pub fn hash_bits(self) -> u64 {
         self.0[0]
     }
 }
 
 /// Makes fingerprints under a secret, so that nobody outside can make two requests collide.
 #[derive(Clone)]
-pub struct Fingerprints {
+pub struct Fingerprinter {
     secret: [u8; 32],
 }
 
-impl std::fmt::Debug for Fingerprints {
+impl std::fmt::Debug for Fingerprinter {
     fn fmt(&self, to: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        to.write_str("Fingerprints(secret)")
+        to.write_str("Fingerprinter(secret)")
     }
 }
 
-impl Fingerprints {
+impl Fingerprinter {
     /// Under the secret that is derived from `material`, of which nobody outside may know all.
     #[must_use]
     pub fn new(material: &[u8]) -> Self {
-        Self {
-            secret: blake3::derive_key("dewladder 2026-12-01 fingerprints of repeated requests", material),
-        }
+        Self { secret: blake3::derive_key(KEY_CONTEXT, material) }
     }
 
     /// The fingerprint of `parts` in a domain of its own. Each part goes in with its length: `("ab", "c")` is
     /// not `("a", "bc")`, and a key never collides with a body.
     #[must_use]
-    pub fn of(&self, domain: &str, parts: &[&[u8]]) -> Fingerprint {
+    pub fn fingerprint(&self, domain: &str, parts: &[&[u8]]) -> Fingerprint {
         let mut hasher = blake3::Hasher::new_keyed(&self.secret);
         for part in std::iter::once(domain.as_bytes()).chain(parts.iter().copied()) {
             hasher.update(&(part.len() as u64).to_le_bytes());
@@ -57,13 +59,13 @@
 /// as far as the parser keeps them: libraries repeat a body byte for byte, and two bodies that differ must never
 /// be taken for the same.
 #[must_use]
-pub fn canonical(body: &Value) -> Vec<u8> {
+pub fn canonical_json(body: &Value) -> Vec<u8> {
     let mut text = Vec::new();
-    write(body, &mut text);
+    write_value(body, &mut text);
     text
 }
 
-fn write(value: &Value, text: &mut Vec<u8>) {
+fn write_value(value: &Value, text: &mut Vec<u8>) {
     match value {
         Value::Object(fields) => {
             let mut names: Vec<&String> = fields.keys().collect();
@@ -75,7 +77,7 @@
                 }
                 text.extend(Value::String(name.clone()).to_string().bytes());
                 text.push(b':');
-                write(&fields[name], text);
+                write_value(&fields[name], text);
             }
             text.push(b'}');
         }
@@ -85,7 +87,7 @@
                 if at > 0 {
                     text.push(b',');
                 }
-                write(item, text);
+                write_value(item, text);
             }
             text.push(b']');
         }
--- a/crates/ledger/src/wheel.rs
+++ b/crates/ledger/src/timing_wheel.rs
@@ -3,14 +3,14 @@
 
 use crate::Micros;
 
-/// A tick (us): what is due fires by so much too late at most, and never too early.
-pub const TICK: Micros = 1 << 16;
-/// So many levels hold every tick that a time can have: the wheel never goes round.
+/// A tick (us): what is due fires up to this much late, and never early.
+pub const TICK_US: Micros = 1 << 16;
+/// So many levels hold every tick that a time can have: the wheel never wraps around.
 const LEVELS: usize = 8;
 const LAST_TICK: u64 = (1 << 48) - 1;
 const SLOTS: usize = 64;
 const NONE: u32 = u32::MAX;
-const UNSET: u16 = u16::MAX;
+const NO_SLOT: u16 = u16::MAX;
 
 #[derive(Clone, Copy, Debug)]
 struct Link {
@@ -21,11 +21,11 @@
     slot: u16,
 }
 
-const APART: Link = Link { due: 0, before: NONE, after: NONE, slot: UNSET };
+const UNSCHEDULED: Link = Link { due: 0, before: NONE, after: NONE, slot: NO_SLOT };
 
-/// The wheel. Members are numbers of the caller's; memory grows with the greatest.
+/// A timing wheel. Members are numbers of the caller's; memory grows with the greatest.
 #[derive(Debug)]
-pub struct Wheel {
+pub struct TimingWheel {
     tick: u64,
     first: Vec<u32>,
     /// For each level, which slots hold members.
@@ -34,12 +34,12 @@
     len: usize,
 }
 
-impl Wheel {
-    /// An empty one that stands at `now`.
+impl TimingWheel {
+    /// An empty wheel that stands at `now`.
     #[must_use]
     pub fn new(now: Micros) -> Self {
         Self {
-            tick: now / TICK,
+            tick: now / TICK_US,
             first: vec![NONE; LEVELS * SLOTS],
             filled: [0; LEVELS],
             links: Vec::new(),
@@ -69,17 +69,17 @@
     pub fn set(&mut self, member: u32, due: Micros) {
         self.cancel(member);
         if self.links.len() <= member as usize {
-            self.links.resize(member as usize + 1, APART);
+            self.links.resize(member as usize + 1, UNSCHEDULED);
         }
         self.len += 1;
         // What is due by now fires with the next tick.
-        self.hang(member, due.div_ceil(TICK).max(self.tick + 1).min(LAST_TICK));
+        self.link(member, due.div_ceil(TICK_US).max(self.tick + 1).min(LAST_TICK));
     }
 
     /// Takes a member's time away, if it has one.
     pub fn cancel(&mut self, member: u32) {
         let Some(&Link { before, after, slot, .. }) =
-            self.links.get(member as usize).filter(|link| link.slot != UNSET)
+            self.links.get(member as usize).filter(|link| link.slot != NO_SLOT)
         else {
             return;
         };
@@ -93,31 +93,31 @@
         if self.first[slot as usize] == NONE {
             self.filled[slot as usize / SLOTS] &= !(1 << (slot as usize % SLOTS));
         }
-        self.links[member as usize] = APART;
+        self.links[member as usize] = UNSCHEDULED;
         self.len -= 1;
     }
 
-    /// When something may be due next, at the earliest; `None` if nothing has a time.
+    /// When something may be due next, at the earliest; `None` if no member has one.
     #[must_use]
     pub fn next_due(&self) -> Option<Micros> {
-        self.next_filled().map(|(tick, _)| tick * TICK)
+        self.next_filled().map(|(tick, _)| tick * TICK_US)
     }
 
     /// Moves to `now` and adds all that is due by then to `fired`.
     pub fn advance(&mut self, now: Micros, fired: &mut Vec<u32>) {
-        let target = (now / TICK).max(self.tick);
+        let target = (now / TICK_US).max(self.tick);
         while let Some((tick, slot)) = self.next_filled().filter(|&(tick, _)| tick <= target) {
             self.tick = tick.max(self.tick);
             self.filled[slot / SLOTS] &= !(1 << (slot % SLOTS));
             let mut member = std::mem::replace(&mut self.first[slot], NONE);
             while member != NONE {
                 let Link { due, after, .. } = self.links[member as usize];
-                self.links[member as usize] = APART;
+                self.links[member as usize] = UNSCHEDULED;
                 if due <= self.tick {
                     self.len -= 1;
                     fired.push(member);
                 } else {
-                    self.hang(member, due); // one level down
+                    self.link(member, due); // one level down
                 }
                 member = after;
             }
@@ -125,9 +125,9 @@
         self.tick = target;
     }
 
-    /// Hangs a member into the slot of its tick: the level is that of the highest digit in which the tick
+    /// Links a member into the slot of its tick: the level is that of the highest digit in which the tick
     /// differs from where the wheel stands.
-    fn hang(&mut self, member: u32, due: u64) {
+    fn link(&mut self, member: u32, due: u64) {
         let differs = (self.tick ^ due) | (SLOTS as u64 - 1);
         let level = ((63 - differs.leading_zeros() as usize) / 6).min(LEVELS - 1);
         let slot = level * SLOTS + (due >> (6 * level)) as usize % SLOTS;
--- a/crates/ledger/tests/fingerprint.rs
+++ b/crates/ledger/tests/fingerprint.rs
@@ -1,26 +1,26 @@
 //! Fingerprints of requests, and the canonical form of bodies.
 
-use dewladder_ledger::{canonical, Fingerprints};
+use dewladder_ledger::{canonical_json, Fingerprinter};
 
 #[test]
-fn parts_domains_and_secrets_tell_apart() {
-    let (one, other) = (Fingerprints::new(b"one"), Fingerprints::new(b"other"));
+fn fingerprints_differ_by_parts_domain_and_secret() {
+    let (one, other) = (Fingerprinter::new(b"one"), Fingerprinter::new(b"other"));
     let all = [
-        one.of("key", &[b"ab", b"c"]),
-        one.of("key", &[b"a", b"bc"]),
-        one.of("key", &[b"abc"]),
-        one.of("body", &[b"ab", b"c"]),
-        other.of("key", &[b"ab", b"c"]),
+        one.fingerprint("key", &[b"ab", b"c"]),
+        one.fingerprint("key", &[b"a", b"bc"]),
+        one.fingerprint("key", &[b"abc"]),
+        one.fingerprint("body", &[b"ab", b"c"]),
+        other.fingerprint("key", &[b"ab", b"c"]),
     ];
     for (at, first) in all.iter().enumerate() {
         assert!(all[at + 1..].iter().all(|second| second != first));
     }
-    assert_eq!(one.of("key", &[b"ab", b"c"]), all[0]);
+    assert_eq!(one.fingerprint("key", &[b"ab", b"c"]), all[0]);
 }
 
 #[test]
-fn order_and_blanks_do_not_matter_and_all_else_does() {
-    let text = |body: &str| canonical(&serde_json::from_str(body).expect("JSON"));
+fn canonical_json_ignores_order_and_blanks_and_nothing_else() {
+    let text = |body: &str| canonical_json(&serde_json::from_str(body).expect("JSON"));
     let body = text(r#"{"a":[1,{"c":null,"b":"é\n"}],"z":1.5}"#);
     assert_eq!(body, text("{ \"z\" : 1.5, \"a\": [1, {\"b\": \"\\u00e9\\n\", \"c\": null}]}"));
     for other in [
--- a/crates/ledger/tests/model.rs
+++ b/crates/ledger/tests/model.rs
@@ -1,11 +1,11 @@
-//! The ledger against a plain account of every run there ever was: whatever happens, nothing that must not run
+//! The store against a plain account of every run there ever was: whatever happens, nothing that must not run
 //! twice is let run twice, readers get what was recorded, and the bounds hold.
 
 use std::collections::BTreeMap;
 
 use dewladder_ledger::{
-    BudgetPolicy, Effect, Ending, EntryId, Fingerprint, Ledger, Micros, Name, Never, Offer, Policy, Read,
-    Verdict,
+    Admission, Effect, EntryId, Fingerprint, IdempotencyStore, IncomingRequest, Micros, Outcome, Policy,
+    ReadResult, RejectReason, RequestIdentity, RetryBudgetPolicy,
 };
 use proptest::prelude::*;
 
@@ -25,21 +25,23 @@
 /// A run as it was, whatever the ledger remembers.
 struct Run {
     id: EntryId,
-    offer: Offer,
+    request: IncomingRequest,
     recorded: Vec<u8>,
     began: bool,
     /// When and how it ended.
-    ended: Option<(Micros, Ending)>,
-    let_go: bool,
+    ended: Option<(Micros, Outcome)>,
+    canceled: bool,
 }
 
 impl Run {
     /// Whether it may have taken effect, or may still.
-    fn may_have_run(&self) -> bool {
+    fn may_have_executed(&self) -> bool {
         match self.ended {
-            None | Some((_, Ending::Whole | Ending::Cut(_))) => true,
-            Some((_, Ending::Refused { .. })) => false,
-            Some((_, Ending::Failed { may_have_run } | Ending::LetGo { may_have_run })) => may_have_run,
+            None | Some((_, Outcome::Completed | Outcome::Interrupted(_))) => true,
+            Some((_, Outcome::Refused { .. })) => false,
+            Some((_, Outcome::Failed { may_have_executed } | Outcome::Canceled { may_have_executed })) => {
+                may_have_executed
+            }
         }
     }
 }
@@ -52,7 +54,7 @@
 
 struct World {
     policy: Policy,
-    ledger: Ledger,
+    store: IdempotencyStore,
     now: Micros,
     runs: Vec<Run>,
     readers: Vec<Reader>,
@@ -66,8 +68,8 @@
 
 impl World {
     fn new(policy: Policy) -> Self {
-        let ledger = Ledger::new(policy, 0);
-        Self { policy, ledger, now: MS, runs: Vec::new(), readers: Vec::new(), counts: BTreeMap::new() }
+        let store = IdempotencyStore::new(policy, 0);
+        Self { policy, store, now: MS, runs: Vec::new(), readers: Vec::new(), counts: BTreeMap::new() }
     }
 
     fn count(&mut self, what: &'static str) {
@@ -79,14 +81,20 @@
             Step::Offer { tenant, name, keyed, body, repeat } => {
                 let print = Fingerprint([name * 1_000 + u64::from(tenant), 7]);
                 let body = if keyed { body } else { name };
-                let named = if keyed { Name::Key(print) } else { Name::Body(print) };
+                let identity = if keyed { RequestIdentity::Key(print) } else { RequestIdentity::Body(print) };
                 let body = Fingerprint([body, 9]);
-                self.offer(Offer { tenant, once: once(name), name: Some(named), body, repeat });
+                self.admit(IncomingRequest {
+                    tenant,
+                    at_most_once: once(name),
+                    identity: Some(identity),
+                    body,
+                    is_retry: repeat,
+                });
             }
             Step::Began(at) => {
                 if let Some(at) = self.running(at) {
                     self.runs[at].began = true;
-                    self.ledger.began(self.now, self.runs[at].id);
+                    self.store.stream_started(self.now, self.runs[at].id);
                 }
             }
             Step::Record(at, bytes) => {
@@ -94,7 +102,7 @@
                     let run = &mut self.runs[at];
                     let data: Vec<u8> =
                         (0..bytes).map(|byte| (run.recorded.len() + byte + at) as u8).collect();
-                    let taken = self.ledger.record(self.now, run.id, &data);
+                    let taken = self.store.record(self.now, run.id, &data);
                     run.recorded.extend_from_slice(&data[..taken]);
                 }
             }
@@ -102,15 +110,17 @@
                 if let Some(at) = self.running(at) {
                     let run = &self.runs[at];
                     let ending = match how % 5 {
-                        _ if run.let_go => Ending::LetGo { may_have_run: run.began || how & 1 == 0 },
-                        0 | 1 if run.began => Ending::Whole,
-                        _ if run.began => Ending::Cut(3),
-                        2 => Ending::Refused { retry_in: 5 },
-                        3 => Ending::Failed { may_have_run: false },
-                        _ => Ending::Failed { may_have_run: true },
+                        _ if run.canceled => {
+                            Outcome::Canceled { may_have_executed: run.began || how & 1 == 0 }
+                        }
+                        0 | 1 if run.began => Outcome::Completed,
+                        _ if run.began => Outcome::Interrupted(3),
+                        2 => Outcome::Refused { retry_after_us: 5 },
+                        3 => Outcome::Failed { may_have_executed: false },
+                        _ => Outcome::Failed { may_have_executed: true },
                     };
                     self.runs[at].ended = Some((self.now, ending));
-                    self.ledger.ended(self.now, self.runs[at].id, ending);
+                    self.store.finish(self.now, self.runs[at].id, ending);
                 }
             }
             Step::Read(at, most) => self.read(at, most),
@@ -118,27 +128,27 @@
                 let open: Vec<usize> = (0..self.readers.len()).filter(|&at| !self.readers[at].done).collect();
                 if let Some(&at) = open.get(at % open.len().max(1)) {
                     self.readers[at].done = true;
-                    self.ledger.left(self.now, self.runs[self.readers[at].run].id);
+                    self.store.reader_left(self.now, self.runs[self.readers[at].run].id);
                 }
             }
             Step::Pass(time) => {
                 self.now += time;
-                self.ledger.tick(self.now);
+                self.store.advance(self.now);
             }
         }
-        let effects: Vec<Effect> = self.ledger.effects().collect();
+        let effects: Vec<Effect> = self.store.effects().collect();
         for effect in effects {
-            if let Effect::LetGo(id) = effect {
+            if let Effect::Cancel(id) = effect {
                 let run = self.runs.iter_mut().rfind(|run| run.id == id).expect("a run that was begun");
                 assert!(run.ended.is_none(), "let go of after its end");
-                run.let_go = true;
+                run.canceled = true;
                 let at = self.runs.iter().rposition(|run| run.id == id);
                 assert!(!self.readers.iter().any(|reader| !reader.done && Some(reader.run) == at));
             }
         }
-        let figures = self.ledger.figures();
-        assert!(figures.bytes <= self.policy.most_bytes, "{} bytes", figures.bytes);
-        assert!(figures.entries <= self.policy.most_entries);
+        let stats = self.store.stats();
+        assert!(stats.bytes <= self.policy.max_bytes, "{} bytes", stats.bytes);
+        assert!(stats.entries <= self.policy.max_entries);
     }
 
     /// One of the runs that are under way.
@@ -147,56 +157,66 @@
         running.get(at % running.len().max(1)).copied()
     }
 
-    fn offer(&mut self, offer: Offer) {
-        let verdict = self.ledger.offer(self.now, &offer, self.now.wrapping_mul(0x9e37_79b9_7f4a_7c15));
-        let keyed = matches!(offer.name, Some(Name::Key(_)));
-        let window = self.policy.window;
+    fn admit(&mut self, request: IncomingRequest) {
+        let admission = self.store.admit(self.now, &request, self.now.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+        let keyed = matches!(request.identity, Some(RequestIdentity::Key(_)));
+        let window = self.policy.retention_us;
         let remembered: Vec<&Run> = (self.runs.iter())
-            .filter(|run| run.offer.name == offer.name && run.offer.tenant == offer.tenant)
+            .filter(|run| run.request.identity == request.identity && run.request.tenant == request.tenant)
             .filter(|run| run.ended.is_none_or(|(at, _)| at + window > self.now))
             .collect();
-        let (known, harmful) = (keyed || offer.repeat, remembered.iter().any(|run| run.may_have_run()));
-        match verdict {
-            Verdict::Run(id) => {
-                assert!(!(offer.once && known && harmful), "runs twice");
-                if offer.repeat && offer.once && remembered.is_empty() {
-                    assert!(self.now >= self.policy.after_start, "the first may have come before the start");
+        let (known, harmful) =
+            (keyed || request.is_retry, remembered.iter().any(|run| run.may_have_executed()));
+        match admission {
+            Admission::Run(id) => {
+                assert!(!(request.at_most_once && known && harmful), "runs twice");
+                if request.is_retry && request.at_most_once && remembered.is_empty() {
+                    assert!(
+                        self.now >= self.policy.startup_guard_us,
+                        "the first may have come before the start"
+                    );
                 }
                 self.count("run");
-                let run = Run { id, offer, recorded: Vec::new(), began: false, ended: None, let_go: false };
+                let run =
+                    Run { id, request, recorded: Vec::new(), began: false, ended: None, canceled: false };
                 self.runs.push(run);
                 self.readers.push(Reader { run: self.runs.len() - 1, at: 0, done: false });
             }
-            Verdict::Join(id) => {
+            Admission::Join(id) => {
                 let run = self.runs.iter().rposition(|run| run.id == id).expect("a run that was begun");
-                assert_eq!((self.runs[run].offer.name, self.runs[run].offer.body), (offer.name, offer.body));
+                assert_eq!(
+                    (self.runs[run].request.identity, self.runs[run].request.body),
+                    (request.identity, request.body)
+                );
                 assert!(known, "a fresh request is given another's answer");
                 self.readers.push(Reader { run, at: 0, done: false });
                 let open = self.readers.iter().filter(|reader| !reader.done && reader.run == run).count();
-                assert!(open <= self.policy.most_readers as usize);
+                assert!(open <= self.policy.max_readers as usize);
                 self.count("join");
             }
-            Verdict::Unrecorded => {
-                assert!(!offer.once, "accepted, and forgotten within its window");
+            Admission::RunUnrecorded => {
+                assert!(!request.at_most_once, "accepted, and forgotten within its window");
                 self.count("unrecorded");
             }
-            Verdict::Mismatch => {
-                assert!(keyed && remembered.iter().any(|run| run.offer.body != offer.body));
+            Admission::KeyReused => {
+                assert!(keyed && remembered.iter().any(|run| run.request.body != request.body));
                 self.count("mismatch");
             }
-            Verdict::Never(why) => {
-                assert!(offer.once && known);
+            Admission::Reject(why) => {
+                assert!(request.at_most_once && known);
                 match why {
-                    Never::JustStarted => assert!(self.now < self.policy.after_start),
-                    Never::Answered => {
-                        assert!(remembered.iter().any(|run| matches!(run.ended, Some((_, Ending::Whole)))));
+                    RejectReason::RecentStart => assert!(self.now < self.policy.startup_guard_us),
+                    RejectReason::AlreadyAnswered => {
+                        assert!(remembered
+                            .iter()
+                            .any(|run| matches!(run.ended, Some((_, Outcome::Completed)))));
                     }
-                    Never::MayHaveRun => assert!(harmful),
+                    RejectReason::MayHaveExecuted => assert!(harmful),
                 }
                 self.count("never");
             }
-            Verdict::Later { retry_in, .. } => {
-                assert!(retry_in > 0);
+            Admission::Defer { retry_after_us, .. } => {
+                assert!(retry_after_us > 0);
                 self.count("later");
             }
         }
@@ -207,30 +227,30 @@
         let Some(&at) = open.get(at % open.len().max(1)) else { return };
         let reader = &mut self.readers[at];
         let run = &self.runs[reader.run];
-        let (over, what) = match self.ledger.read(run.id, reader.at, most.max(1)) {
-            Read::Piece(piece) => {
+        let (over, what) = match self.store.read(run.id, reader.at, most.max(1)) {
+            ReadResult::Data(piece) => {
                 let from = reader.at as usize;
                 assert_eq!(piece, &run.recorded[from..from + piece.len()], "not what was recorded");
                 reader.at += piece.len() as u64;
                 (false, "piece")
             }
-            Read::Wait => {
+            ReadResult::Pending => {
                 assert!(run.ended.is_none(), "waits for what is over");
                 assert_eq!(reader.at, run.recorded.len() as u64, "waits for what is there");
                 (false, "wait")
             }
-            Read::Over(ending) => {
+            ReadResult::Ended(ending) => {
                 assert_eq!(run.ended.map(|(_, ending)| ending), Some(ending));
-                if matches!(ending, Ending::Whole | Ending::Cut(_)) {
+                if matches!(ending, Outcome::Completed | Outcome::Interrupted(_)) {
                     assert_eq!(reader.at, run.recorded.len() as u64, "ends before its end");
                 }
                 (true, "over")
             }
-            Read::Lost => {
+            ReadResult::Overrun => {
                 assert!(run.recorded.len() as u64 > reader.at);
                 (true, "lost")
             }
-            Read::Again => {
+            ReadResult::Gone => {
                 assert_eq!(reader.at, 0, "an answer can't begin anew in its middle");
                 assert!(run.ended.is_some());
                 (true, "again")
@@ -238,7 +258,7 @@
         };
         if over {
             reader.done = true;
-            self.ledger.left(self.now, run.id);
+            self.store.reader_left(self.now, run.id);
         }
         self.count(what);
     }
@@ -247,10 +267,13 @@
     fn finish(&mut self) {
         for at in 0..self.runs.len() {
             if self.runs[at].ended.is_none() {
-                let ending =
-                    if self.runs[at].let_go { Ending::LetGo { may_have_run: true } } else { Ending::Whole };
+                let ending = if self.runs[at].canceled {
+                    Outcome::Canceled { may_have_executed: true }
+                } else {
+                    Outcome::Completed
+                };
                 self.runs[at].ended = Some((self.now, ending));
-                self.ledger.ended(self.now, self.runs[at].id, ending);
+                self.store.finish(self.now, self.runs[at].id, ending);
             }
         }
         for _ in 0..4_000 {
@@ -260,11 +283,11 @@
             self.read(0, 1 << 20);
         }
         assert!(self.readers.iter().all(|reader| reader.done), "a reader waits for ever");
-        self.now += self.policy.window + 200 * MS;
-        self.ledger.tick(self.now);
-        let figures = self.ledger.figures();
-        assert_eq!((figures.entries, figures.bytes), (0, 0), "something is never forgotten");
-        assert_eq!(self.ledger.next_due(), None);
+        self.now += self.policy.retention_us + 200 * MS;
+        self.store.advance(self.now);
+        let stats = self.store.stats();
+        assert_eq!((stats.entries, stats.bytes), (0, 0), "something is never forgotten");
+        assert_eq!(self.store.next_deadline(), None);
     }
 }
 
@@ -284,21 +307,21 @@
     prop::collection::vec(step, 1..160)
 }
 
-fn policy(linger: Micros) -> Policy {
+fn policy(linger_us: Micros) -> Policy {
     Policy {
-        most_entries: 10,
-        most_bytes: 120 << 10,
-        most_answer: 24 << 10,
-        most_readers: 3,
+        max_entries: 10,
+        max_bytes: 120 << 10,
+        max_answer_bytes: 24 << 10,
+        max_readers: 3,
         tenant_permille: 600,
-        window: 2_000 * MS,
-        after_start: 700 * MS,
-        linger,
-        budget: BudgetPolicy {
+        retention_us: 2_000 * MS,
+        startup_guard_us: 700 * MS,
+        linger_us,
+        retry_budget: RetryBudgetPolicy {
             permille: 500,
-            permille_per_s: 4_000,
-            most_saved: 6,
-            ..BudgetPolicy::default()
+            permille_per_second: 4_000,
+            max_saved: 6,
+            ..RetryBudgetPolicy::default()
         },
     }
 }
@@ -316,7 +339,7 @@
     #![proptest_config(config(1_500))]
 
     #[test]
-    fn nothing_runs_twice_and_readers_get_what_was_recorded(
+    fn at_most_once_requests_never_run_twice_and_readers_get_what_was_recorded(
         steps in steps(),
         linger in prop_oneof![Just(0), Just(300 * MS)],
     ) {
@@ -330,7 +353,7 @@
 
 /// The steps above must come to every verdict and every kind of read, or what is asserted of one says nothing.
 #[test]
-fn the_model_comes_by_every_verdict() {
+fn the_model_reaches_every_admission_and_every_read_result() {
     use proptest::strategy::ValueTree as _;
     let mut runner = proptest::test_runner::TestRunner::new(config(1));
     let mut all: BTreeMap<&'static str, usize> = BTreeMap::new();
@@ -350,18 +373,19 @@
     }
 }
 
-/// Two bookings of the same words, the first of which may have run: a repeat, of whichever, is not let through
-/// because the other one never ran.
+/// Two bookings of the same words, the first of which may have run: a repeat, of whichever, is not admitted because the
+/// other one never ran.
 #[test]
-fn a_repeat_is_not_taken_for_that_of_one_that_never_ran() {
-    let mut ledger = Ledger::new(Policy { after_start: 0, ..Policy::default() }, 0);
+fn a_repeat_of_two_like_requests_is_taken_for_that_of_the_one_that_may_have_run() {
+    let mut store = IdempotencyStore::new(Policy { startup_guard_us: 0, ..Policy::default() }, 0);
     let body = Fingerprint([1, 2]);
-    let offer = Offer { tenant: 1, once: true, name: Some(Name::Body(body)), body, repeat: false };
-    for ending in [Ending::Failed { may_have_run: true }, Ending::Refused { retry_in: 5 }] {
-        let Verdict::Run(id) = ledger.offer(MS, &offer, 0) else { panic!("a fresh one runs") };
-        ledger.ended(2 * MS, id, ending);
-        ledger.left(2 * MS, id);
+    let identity = Some(RequestIdentity::Body(body));
+    let first = IncomingRequest { tenant: 1, at_most_once: true, identity, body, is_retry: false };
+    for outcome in [Outcome::Failed { may_have_executed: true }, Outcome::Refused { retry_after_us: 5 }] {
+        let Admission::Run(id) = store.admit(MS, &first, 0) else { panic!("a fresh one runs") };
+        store.finish(2 * MS, id, outcome);
+        store.reader_left(2 * MS, id);
     }
-    let repeat = ledger.offer(3 * MS, &Offer { repeat: true, ..offer }, 0);
-    assert_eq!(repeat, Verdict::Never(Never::MayHaveRun));
+    let repeat = store.admit(3 * MS, &IncomingRequest { is_retry: true, ..first }, 0);
+    assert_eq!(repeat, Admission::Reject(RejectReason::MayHaveExecuted));
 }
--- a/crates/ledger/tests/wheel.rs
+++ b/crates/ledger/tests/wheel.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use dewladder_ledger::wheel::{Wheel, TICK};
+use dewladder_ledger::timing_wheel::{TimingWheel, TICK_US};
 use proptest::prelude::*;
 
 proptest! {
@@ -16,7 +16,7 @@
     /// Nothing fires early, nothing is more than a tick late, and what was moved or cancelled fires as it was
     /// last set.
     #[test]
-    fn it_fires_what_a_sorted_set_does(
+    fn the_wheel_fires_what_a_sorted_set_does(
         start in prop_oneof![Just(0u64), any::<u32>().prop_map(u64::from), Just(1u64 << 50)],
         steps in prop::collection::vec(
             (0u32..40, prop_oneof![
@@ -25,7 +25,7 @@
             1..200,
         ),
     ) {
-        let (mut wheel, mut plain) = (Wheel::new(start), BTreeMap::new());
+        let (mut wheel, mut plain) = (TimingWheel::new(start), BTreeMap::new());
         let mut now = start;
         for (member, time, what) in steps {
             match what {
@@ -46,7 +46,7 @@
                         let due = plain.remove(member);
                         prop_assert!(due.is_some_and(|due| due <= now), "early: {due:?} at {now}");
                     }
-                    let late = plain.values().find(|&&due| due + 2 * TICK <= now);
+                    let late = plain.values().find(|&&due| due + 2 * TICK_US <= now);
                     prop_assert_eq!(late, None, "at {}", now);
                 }
             }
@@ -54,7 +54,7 @@
             let first = plain.values().min().copied();
             prop_assert_eq!(wheel.next_due().is_some(), first.is_some());
             if let (Some(told), Some(first)) = (wheel.next_due(), first) {
-                prop_assert!(told <= first.max(now) + 2 * TICK, "woken too late");
+                prop_assert!(told <= first.max(now) + 2 * TICK_US, "woken too late");
             }
         }
     }
--- a/src/edge/clients/chat.rs
+++ b/src/edge/clients/chat.rs
@@ -21,7 +21,7 @@
 use bytes::Bytes;
 use dewladder_chat as api;
 use dewladder_chat::{AnswerMetadata, Message, RequestKind, ResponseStore, StreamWriter};
-use dewladder_ledger::{Ending, Offer, Verdict};
+use dewladder_ledger::{Admission, IncomingRequest, Outcome};
 use dewladder_router::mix;
 use log::warn;
 use serde_json::{json, Value};
@@ -368,7 +368,7 @@
     async fn as_judged(
         self: &Arc<Self>,
         repeats: &Arc<Repeats>,
-        offer: &Offer,
+        offer: &IncomingRequest,
         asked: &Asked<'_>,
         shared: Option<(Quorum, RecordId)>,
     ) -> Result<Response<Body>, Problem> {
@@ -387,7 +387,7 @@
                     (reader, false)
                 }
                 Judged::Join(reader) => (reader, true),
-                Judged::Told(Verdict::Unrecorded) => return self.once(asked).await,
+                Judged::Told(Admission::RunUnrecorded) => return self.once(asked).await,
                 Judged::Told(verdict) => return Err(told(verdict)),
             };
             match reader.begun().await {
@@ -399,9 +399,13 @@
                     }
                     return Ok(response);
                 }
-                Begun::Over(Ending::Refused { retry_in }) => return Err(Problem::refused(retry_in)),
-                Begun::Over(Ending::Failed { may_have_run } | Ending::LetGo { may_have_run }) => {
-                    return Err(Problem::failed(asked.model.once && may_have_run));
+                Begun::Over(Outcome::Refused { retry_after_us }) => {
+                    return Err(Problem::refused(retry_after_us))
+                }
+                Begun::Over(
+                    Outcome::Failed { may_have_executed } | Outcome::Canceled { may_have_executed },
+                ) => {
+                    return Err(Problem::failed(asked.model.once && may_have_executed));
                 }
                 Begun::Over(_) | Begun::Again => {}
             }
--- a/src/edge/clients/problem.rs
+++ b/src/edge/clients/problem.rs
@@ -5,7 +5,7 @@
 use axum::http::{HeaderMap, HeaderName, HeaderValue, Response, StatusCode};
 use bytes::Bytes;
 use dewladder_chat::RequestError;
-use dewladder_ledger::{Later, Never, Verdict};
+use dewladder_ledger::{Admission, DeferReason, RejectReason};
 use serde_json::json;
 
 use crate::interface::{Micros, RequestId};
@@ -100,9 +100,9 @@
 
 /// What a request that is not to run is told.
 #[must_use]
-pub fn told(verdict: Verdict) -> Problem {
-    match verdict {
-        Verdict::Mismatch => Problem {
+pub fn told(admission: Admission) -> Problem {
+    match admission {
+        Admission::KeyReused => Problem {
             param: Some("Idempotency-Key".to_owned()),
             never_again: true,
             ..Problem::new(
@@ -111,36 +111,38 @@
                 "this Idempotency-Key came with another body before",
             )
         },
-        Verdict::Never(why) => {
-            let (code, what) = match why {
-                Never::Answered => {
+        Admission::Reject(reason) => {
+            let (code, what) = match reason {
+                RejectReason::AlreadyAnswered => {
                     ("already_answered", "this request has run; its answer is not kept any more")
                 }
-                Never::MayHaveRun => ("may_have_run", "this request may have run; it is not run again"),
-                Never::JustStarted => {
+                RejectReason::MayHaveExecuted => {
+                    ("may_have_run", "this request may have run; it is not run again")
+                }
+                RejectReason::RecentStart => {
                     ("may_have_run", "this request may have run before a restart; it is not run again")
                 }
             };
             Problem { never_again: true, ..Problem::new(StatusCode::CONFLICT, code, what) }
         }
-        Verdict::Later { retry_in, why } => {
-            let (status, code, what) = match why {
-                Later::Budget => (
+        Admission::Defer { retry_after_us, reason } => {
+            let (status, code, what) = match reason {
+                DeferReason::RetryBudget => (
                     StatusCode::TOO_MANY_REQUESTS,
                     "retry_budget_exceeded",
                     "too many repeats, come again later",
                 ),
-                Later::Full => {
+                DeferReason::Capacity => {
                     (StatusCode::SERVICE_UNAVAILABLE, "overloaded", "no room to remember this request")
                 }
-                Later::Readers => (
+                DeferReason::TooManyReaders => (
                     StatusCode::TOO_MANY_REQUESTS,
                     "rate_limit_exceeded",
                     "too many clients wait for this request",
                 ),
             };
-            Problem { retry_in: Some(retry_in), ..Problem::new(status, code, what) }
+            Problem { retry_in: Some(retry_after_us), ..Problem::new(status, code, what) }
         }
-        Verdict::Run(_) | Verdict::Join(_) | Verdict::Unrecorded => Problem::failed(false),
+        Admission::Run(_) | Admission::Join(_) | Admission::RunUnrecorded => Problem::failed(false),
     }
 }
--- a/src/edge/clients/repeats.rs
+++ b/src/edge/clients/repeats.rs
@@ -11,7 +11,8 @@
 use bytes::Bytes;
 use dewladder_chat::RequestKind;
 use dewladder_ledger::{
-    canonical, Effect, Ending, EntryId, Figures, Fingerprints, Ledger, Name, Offer, Policy, Read, Verdict,
+    canonical_json, Admission, Effect, EntryId, Execution, Fingerprinter, IdempotencyStore, IncomingRequest,
+    Outcome, Policy, ReadResult, RequestIdentity, Stats,
 };
 use dewladder_replica::{Denied, RecordId};
 use dewladder_router::mix;
@@ -37,20 +38,20 @@
 const TALLY: Micros = 10_000_000;
 
 struct Inner {
-    ledger: Ledger,
+    ledger: IdempotencyStore,
     /// Who waits for news of an entry, by its place.
     waiting: HashMap<u32, Vec<Waker>>,
     /// Who records, and is to be told to let go.
     recording: HashMap<EntryId, oneshot::Sender<()>>,
     lots: u64,
     tally: Micros,
-    told: Figures,
+    told: Stats,
 }
 
 /// The ledger as fronts use it.
 pub struct Repeats {
     clock: Clock,
-    prints: Fingerprints,
+    prints: Fingerprinter,
     retry_headers: Vec<String>,
     inner: Mutex<Inner>,
 }
@@ -66,15 +67,15 @@
         let now = clock.now();
         let repeats = Arc::new(Self {
             clock,
-            prints: Fingerprints::new(&[secret.to_le_bytes(), now.to_le_bytes()].concat()),
+            prints: Fingerprinter::new(&[secret.to_le_bytes(), now.to_le_bytes()].concat()),
             retry_headers,
             inner: Mutex::new(Inner {
-                ledger: Ledger::new(policy, now),
+                ledger: IdempotencyStore::new(policy, now),
                 waiting: HashMap::new(),
                 recording: HashMap::new(),
                 lots: mix(secret ^ now),
                 tally: now,
-                told: Figures::default(),
+                told: Stats::default(),
             }),
         });
         tokio::spawn(look_after(Arc::downgrade(&repeats)));
@@ -92,12 +93,12 @@
         kind: RequestKind,
         once: bool,
         body: &Value,
-    ) -> Result<Offer, BadKey> {
+    ) -> Result<IncomingRequest, BadKey> {
         let retries = self.retry_headers.iter().find_map(|name| header(headers, name));
         // A count that can't be read is still of a library that counts.
         let repeat = retries.is_some_and(|text| text.parse::<u64>() != Ok(0));
         let kind = [kind as u8];
-        let body = self.prints.of("body", &[tenant.as_bytes(), &kind, &canonical(body)]);
+        let body = self.prints.fingerprint("body", &[tenant.as_bytes(), &kind, &canonical_json(body)]);
         let mut keys = headers.get_all(KEY).iter();
         let name = match (keys.next(), keys.next()) {
             (Some(_), Some(_)) => return Err(BadKey("is there twice")),
@@ -107,12 +108,12 @@
                 {
                     return Err(BadKey("must be 1 to 255 visible ASCII characters"));
                 }
-                Some(Name::Key(self.prints.of("key", &[tenant.as_bytes(), key])))
+                Some(RequestIdentity::Key(self.prints.fingerprint("key", &[tenant.as_bytes(), key])))
             }
             // Without a key only a library that counts its retries makes a repeat known.
-            _ => Some(Name::Body(body)).filter(|_| once && retries.is_some()),
+            _ => Some(RequestIdentity::Body(body)).filter(|_| once && retries.is_some()),
         };
-        Ok(Offer { tenant: index, once, name, body, repeat })
+        Ok(IncomingRequest { tenant: index, at_most_once: once, identity: name, body, is_retry: repeat })
     }
 
     /// The record of a request at other instances; only one that has a key is known again there.
@@ -122,16 +123,16 @@
     }
 
     /// What is to be done with a request. Who runs or joins reads the answer.
-    pub fn judge(self: &Arc<Self>, offer: &Offer) -> Judged {
+    pub fn judge(self: &Arc<Self>, offer: &IncomingRequest) -> Judged {
         let mut inner = self.lock();
         inner.lots = mix(inner.lots);
         let (now, lot) = (self.clock.now(), inner.lots);
-        let verdict = inner.ledger.offer(now, offer, lot);
+        let verdict = inner.ledger.admit(now, offer, lot);
         self.carry_out(inner);
         let reader = |id| Reader { repeats: self.clone(), id, at: 0, ready: None };
         match verdict {
-            Verdict::Run(id) => Judged::Run(reader(id)),
-            Verdict::Join(id) => Judged::Join(reader(id)),
+            Admission::Run(id) => Judged::Run(reader(id)),
+            Admission::Join(id) => Judged::Join(reader(id)),
             other => Judged::Told(other),
         }
     }
@@ -148,7 +149,8 @@
     ) {
         let (id, (stop, stopped)) = (reader.id, oneshot::channel());
         let mut inner = self.lock();
-        inner.ledger.note(id, [call.id.0, self.clock.now()]);
+        let execution = Execution { request_id: call.id.0, started_us: self.clock.now() };
+        inner.ledger.set_execution(id, execution);
         inner.recording.insert(id, stop);
         drop(inner);
         let (repeats, driver) = (self.clone(), driver.clone());
@@ -159,9 +161,9 @@
                 Some((quorum, record)) => tokio::select! {
                     granted = quorum.offer(record, call.not_after) => granted.map(Some).map_err(denied),
                     // Dropped with that: the others are told that it never ran.
-                    Ok(()) = &mut stopped => Err(Ending::LetGo { may_have_run: false }),
+                    Ok(()) = &mut stopped => Err(Outcome::Canceled { may_have_executed: false }),
                     // At an upgrade the old process may still have the cluster's socket.
-                    () = sleep_until(repeats.clock.instant(call.not_after)) => Err(Ending::Refused { retry_in: 0 }),
+                    () = sleep_until(repeats.clock.instant(call.not_after)) => Err(Outcome::Refused { retry_after_us: 0 }),
                 },
             };
             let ending = match granted {
@@ -173,20 +175,20 @@
                     }
                     ending
                 }
-                Err(Ending::Refused { .. }) => {
-                    Ending::Refused { retry_in: driver.settings().max_retry_after }
+                Err(Outcome::Refused { .. }) => {
+                    Outcome::Refused { retry_after_us: driver.settings().max_retry_after }
                 }
                 Err(ending) => ending,
             };
             drop(held);
             repeats.lock().recording.remove(&id);
-            repeats.tell(|ledger, now| ledger.ended(now, id, ending));
+            repeats.tell(|ledger, now| ledger.finish(now, id, ending));
         });
     }
 
     /// A run that is not to be after all: it never ran.
     pub fn refuse(&self, reader: &Reader, retry_in: Micros) {
-        self.tell(|ledger, now| ledger.ended(now, reader.id, Ending::Refused { retry_in }));
+        self.tell(|ledger, now| ledger.finish(now, reader.id, Outcome::Refused { retry_after_us: retry_in }));
     }
 
     async fn record(
@@ -195,7 +197,7 @@
         asked: impl Future<Output = Reply>,
         over: oneshot::Receiver<bool>,
         mut stopped: oneshot::Receiver<()>,
-    ) -> Ending {
+    ) -> Outcome {
         let reply = {
             let asked = pin!(asked);
             tokio::select! {
@@ -205,25 +207,25 @@
             }
         };
         match reply {
-            None => Ending::LetGo { may_have_run: over.await.unwrap_or(true) },
-            Some(Reply::Refused { retry_in }) => Ending::Refused { retry_in },
-            Some(Reply::Failed { may_have_run }) => Ending::Failed { may_have_run },
-            Some(Reply::Taken) => Ending::Failed { may_have_run: false },
+            None => Outcome::Canceled { may_have_executed: over.await.unwrap_or(true) },
+            Some(Reply::Refused { retry_in }) => Outcome::Refused { retry_after_us: retry_in },
+            Some(Reply::Failed { may_have_run }) => Outcome::Failed { may_have_executed: may_have_run },
+            Some(Reply::Taken) => Outcome::Failed { may_have_executed: false },
             Some(Reply::Stream(relay)) => {
-                self.tell(|ledger, now| ledger.began(now, id));
+                self.tell(|ledger, now| ledger.stream_started(now, id));
                 tokio::select! {
                     ending = self.take(id, relay) => ending,
-                    Ok(()) = &mut stopped => Ending::LetGo { may_have_run: true },
+                    Ok(()) = &mut stopped => Outcome::Canceled { may_have_executed: true },
                 }
             }
         }
     }
 
-    async fn take(&self, id: EntryId, mut relay: Relay) -> Ending {
+    async fn take(&self, id: EntryId, mut relay: Relay) -> Outcome {
         while let Some(frame) = relay.frame().await {
             let data = match frame {
                 Ok(frame) => frame.into_data().unwrap_or_default(),
-                Err(cut) => return Ending::Cut(number(cut)),
+                Err(cut) => return Outcome::Interrupted(number(cut)),
             };
             let mut rest = &data[..];
             // What is not taken in at once waits until a reader has made room.
@@ -243,11 +245,11 @@
             })
             .await;
         }
-        Ending::Whole
+        Outcome::Completed
     }
 
     /// Tells the ledger what has happened, and carries out what it asks for.
-    fn tell(&self, what: impl FnOnce(&mut Ledger, Micros)) {
+    fn tell(&self, what: impl FnOnce(&mut IdempotencyStore, Micros)) {
         let mut inner = self.lock();
         what(&mut inner.ledger, self.clock.now());
         self.carry_out(inner);
@@ -260,7 +262,7 @@
         for effect in effects {
             match effect {
                 Effect::Wake(id) => wakers.extend(inner.waiting.remove(&id.index()).unwrap_or_default()),
-                Effect::LetGo(id) => {
+                Effect::Cancel(id) => {
                     if let Some(stop) = inner.recording.remove(&id) {
                         let _ = stop.send(());
                     }
@@ -277,53 +279,55 @@
 
     /// What the ledger holds and has done.
     #[must_use]
-    pub fn figures(&self) -> Figures {
-        self.lock().ledger.figures()
+    pub fn stats(&self) -> Stats {
+        self.lock().ledger.stats()
     }
 
     /// Lets due things happen; when the next look is to be.
     fn tick(&self) -> Micros {
         let now = self.clock.now();
         let mut inner = self.lock();
-        inner.ledger.tick(now);
+        inner.ledger.advance(now);
         if now >= inner.tally + TALLY {
             inner.tally = now;
-            let (new, old) = (inner.ledger.figures(), inner.told);
+            let (new, old) = (inner.ledger.stats(), inner.told);
             inner.told = new;
             if new != old {
                 info!(entries = new.entries, bytes = new.bytes, joined = new.joined - old.joined,
-                    replayed = new.replayed - old.replayed, let_through = new.let_through - old.let_through,
-                    never = new.never - old.never, later = new.later - old.later;
+                    replayed = new.replayed - old.replayed, rerun = new.rerun - old.rerun,
+                    rejected = new.rejected - old.rejected, deferred = new.deferred - old.deferred;
                     "repeats: what is remembered, and what repeats were told in 10 s");
             }
-            if new.dropped > old.dropped {
-                warn!(answers = new.dropped - old.dropped; "repeats: let go of before their time, for want of room");
+            if new.evicted > old.evicted {
+                warn!(evicted = new.evicted - old.evicted; "repeats: let go of before their time, for want of room");
             }
         }
-        let due = inner.ledger.next_due().unwrap_or(Micros::MAX).clamp(now + IDLE / 50, now + IDLE);
+        let due = inner.ledger.next_deadline().unwrap_or(Micros::MAX).clamp(now + IDLE / 50, now + IDLE);
         self.carry_out(inner);
         due
     }
 }
 
 /// What a request comes to that other instances do not let pass.
-fn denied(why: Denied) -> Ending {
+fn denied(why: Denied) -> Outcome {
     match why {
         // Another attempt, at this instance or another, may have run or may be running.
-        Denied::Found(_) => Ending::Failed { may_have_run: true },
-        Denied::NoQuorum | Denied::Behind | Denied::Full => Ending::Refused { retry_in: 0 },
+        Denied::Found(_) => Outcome::Failed { may_have_executed: true },
+        Denied::NoQuorum | Denied::Behind | Denied::Full => Outcome::Refused { retry_after_us: 0 },
     }
 }
 
-fn told_to_others(grant: Grant, ending: &Ending) {
+fn told_to_others(grant: Grant, ending: &Outcome) {
     match ending {
-        Ending::Whole => grant.ran(true),
-        Ending::Cut(_) => grant.ran(false),
-        Ending::Refused { .. }
-        | Ending::Failed { may_have_run: false }
-        | Ending::LetGo { may_have_run: false } => grant.never_ran(),
+        Outcome::Completed => grant.ran(true),
+        Outcome::Interrupted(_) => grant.ran(false),
+        Outcome::Refused { .. }
+        | Outcome::Failed { may_have_executed: false }
+        | Outcome::Canceled { may_have_executed: false } => grant.never_ran(),
         // Its end says as much by itself.
-        Ending::Failed { may_have_run: true } | Ending::LetGo { may_have_run: true } => drop(grant),
+        Outcome::Failed { may_have_executed: true } | Outcome::Canceled { may_have_executed: true } => {
+            drop(grant)
+        }
     }
 }
 
@@ -343,7 +347,7 @@
     /// It is a repeat; its answer is read here.
     Join(Reader),
     /// Neither.
-    Told(Verdict),
+    Told(Admission),
 }
 
 /// How a reader's answer begins.
@@ -352,7 +356,7 @@
     /// With its first bytes.
     Streams,
     /// Not at all.
-    Over(Ending),
+    Over(Outcome),
     /// The request is to be judged again.
     Again,
 }
@@ -368,7 +372,7 @@
 
 enum Found {
     Piece(Bytes),
-    Over(Ending),
+    Over(Outcome),
     Lost,
     Again,
 }
@@ -377,8 +381,8 @@
     /// The id under which the request goes to servers, and when it began to run: the same for all who read it.
     #[must_use]
     pub fn request(&self) -> (RequestId, Micros) {
-        let [id, since] = self.repeats.lock().ledger.noted(self.id);
-        (RequestId(id), since)
+        let Execution { request_id, started_us } = self.repeats.lock().ledger.execution(self.id);
+        (RequestId(request_id), started_us)
     }
 
     /// Waits until the answer begins, or turns out not to.
@@ -389,7 +393,7 @@
                 Begun::Streams
             }
             // An answer without any bytes is one all the same.
-            Found::Over(Ending::Whole | Ending::Cut(_)) => Begun::Streams,
+            Found::Over(Outcome::Completed | Outcome::Interrupted(_)) => Begun::Streams,
             Found::Over(ending) => Begun::Over(ending),
             Found::Again | Found::Lost => Begun::Again,
         }
@@ -401,14 +405,14 @@
         }
         let mut inner = self.repeats.lock();
         let found = match inner.ledger.read(self.id, self.at, PIECE) {
-            Read::Piece(piece) => {
+            ReadResult::Data(piece) => {
                 self.at += piece.len() as u64;
                 Poll::Ready(Found::Piece(Bytes::copy_from_slice(piece)))
             }
-            Read::Over(ending) => Poll::Ready(Found::Over(ending)),
-            Read::Lost => Poll::Ready(Found::Lost),
-            Read::Again => Poll::Ready(Found::Again),
-            Read::Wait => {
+            ReadResult::Ended(ending) => Poll::Ready(Found::Over(ending)),
+            ReadResult::Overrun => Poll::Ready(Found::Lost),
+            ReadResult::Gone => Poll::Ready(Found::Again),
+            ReadResult::Pending => {
                 let waiting = inner.waiting.entry(self.id.index()).or_default();
                 if !waiting.iter().any(|waker| waker.will_wake(context.waker())) {
                     waiting.push(context.waker().clone());
@@ -423,7 +427,7 @@
 
 impl Drop for Reader {
     fn drop(&mut self) {
-        self.repeats.tell(|ledger, now| ledger.left(now, self.id));
+        self.repeats.tell(|ledger, now| ledger.reader_left(now, self.id));
     }
 }
 
@@ -437,8 +441,8 @@
     ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
         self.find(context).map(|found| match found {
             Found::Piece(piece) => Some(Ok(Frame::data(piece))),
-            Found::Over(Ending::Whole) => None,
-            Found::Over(Ending::Cut(why)) => Some(Err(cut(why))),
+            Found::Over(Outcome::Completed) => None,
+            Found::Over(Outcome::Interrupted(why)) => Some(Err(cut(why))),
             Found::Lost => Some(Err(Cut::Behind)),
             Found::Over(_) | Found::Again => Some(Err(Cut::Broken)),
         })
--- a/src/edge/settings.rs
+++ b/src/edge/settings.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use axum::http::HeaderName;
-use dewladder_ledger::{BudgetPolicy, Policy};
+use dewladder_ledger::{Policy, RetryBudgetPolicy};
 use serde::Deserialize;
 use serde_json::Value;
 use thiserror::Error;
@@ -631,20 +631,20 @@
         }
         let share = within("memory_percent", self.memory_percent, 0.1, 50.0)?;
         let policy = Policy {
-            most_entries: whole("most_entries", self.most_entries, 10_000_000)?,
-            most_bytes: ((limits.memory_mb << 20) as f64 * share / 100.0) as usize,
-            most_answer: whole("most_answer_kib", self.most_answer_kib, 1 << 20)? << 10,
-            most_readers: whole("most_readers", self.most_readers as usize, 1_000)? as u32,
+            max_entries: whole("most_entries", self.most_entries, 10_000_000)?,
+            max_bytes: ((limits.memory_mb << 20) as f64 * share / 100.0) as usize,
+            max_answer_bytes: whole("most_answer_kib", self.most_answer_kib, 1 << 20)? << 10,
+            max_readers: whole("most_readers", self.most_readers as usize, 1_000)? as u32,
             tenant_permille: permille("tenant_percent", self.tenant_percent)?,
-            window: time("window_s", self.window_s, 1.0)?,
-            after_start: time("after_start_s", self.after_start_s, 0.0)?,
-            linger: time("linger_s", self.linger_s, 0.0)?,
-            budget: BudgetPolicy {
+            retention_us: time("window_s", self.window_s, 1.0)?,
+            startup_guard_us: time("after_start_s", self.after_start_s, 0.0)?,
+            linger_us: time("linger_s", self.linger_s, 0.0)?,
+            retry_budget: RetryBudgetPolicy {
                 permille: permille("budget_percent", self.budget_percent)?,
-                permille_per_s: (within("budget_per_s", self.budget_per_s, 0.0, 1e5)? * 1e3) as u32,
-                most_saved: self.budget_most_saved,
-                retry_in: time("retry_in_s", self.retry_in_s, 0.05)?,
-                most_retry_in: time("most_retry_in_s", self.most_retry_in_s, self.retry_in_s)?,
+                permille_per_second: (within("budget_per_s", self.budget_per_s, 0.0, 1e5)? * 1e3) as u32,
+                max_saved: self.budget_most_saved,
+                min_retry_after_us: time("retry_in_s", self.retry_in_s, 0.05)?,
+                max_retry_after_us: time("most_retry_in_s", self.most_retry_in_s, self.retry_in_s)?,
             },
         };
         Ok(policy)
--- a/tests/fronts_settings.rs
+++ b/tests/fronts_settings.rs
@@ -44,12 +44,15 @@
     let policy = chat.repeats.policy(&limits).unwrap();
     assert!(chat.repeats.enabled);
     assert_eq!(chat.repeats.retry_headers, ["x-r"]);
-    assert_eq!((policy.window, policy.after_start, policy.linger), (21_000_000, 22_000_000, 23_000_000));
-    assert_eq!((policy.most_entries, policy.most_bytes, policy.most_answer), (24, memory / 4, 26 << 10));
-    assert_eq!((policy.most_readers, policy.tenant_permille), (27, 280));
-    let budget = policy.budget;
-    assert_eq!((budget.permille, budget.permille_per_s, budget.most_saved), (290, 300, 31));
-    assert_eq!((budget.retry_in, budget.most_retry_in), (1_200_000, 33_000_000));
+    assert_eq!(
+        (policy.retention_us, policy.startup_guard_us, policy.linger_us),
+        (21_000_000, 22_000_000, 23_000_000)
+    );
+    assert_eq!((policy.max_entries, policy.max_bytes, policy.max_answer_bytes), (24, memory / 4, 26 << 10));
+    assert_eq!((policy.max_readers, policy.tenant_permille), (27, 280));
+    let budget = policy.retry_budget;
+    assert_eq!((budget.permille, budget.permille_per_second, budget.max_saved), (290, 300, 31));
+    assert_eq!((budget.min_retry_after_us, budget.max_retry_after_us), (1_200_000, 33_000_000));
     let resume = chat.resume.policy().unwrap().unwrap();
     assert_eq!(resume.mode, dewladder_resume::Mode::Restart);
     assert_eq!((resume.most, resume.within, resume.most_text), (41, 42_000_000, 43 << 10));
--- a/tests/written_errors.rs
+++ b/tests/written_errors.rs
@@ -9,7 +9,7 @@
 use axum::http::{HeaderMap, Response, StatusCode};
 use dewladder::edge::clients::problem::{json_answer, told, with_id, Problem};
 use dewladder::interface::RequestId;
-use dewladder_ledger::{Later, Never, Verdict};
+use dewladder_ledger::{Admission, DeferReason, RejectReason};
 use golden_file::assert_golden;
 use http_body_util::BodyExt as _;
 use serde_json::json;
@@ -42,14 +42,20 @@
         ("refused, 1.5 s", Problem::refused(1_500_000)),
         ("failed", Problem::failed(false)),
         ("failed, never again", Problem::failed(true)),
-        ("Mismatch", told(Verdict::Mismatch)),
-        ("Never Answered", told(Verdict::Never(Never::Answered))),
-        ("Never MayHaveRun", told(Verdict::Never(Never::MayHaveRun))),
-        ("Never JustStarted", told(Verdict::Never(Never::JustStarted))),
-        ("Later Budget", told(Verdict::Later { retry_in: 2_000_001, why: Later::Budget })),
-        ("Later Full", told(Verdict::Later { retry_in: 999, why: Later::Full })),
-        ("Later Readers", told(Verdict::Later { retry_in: 30_000_000, why: Later::Readers })),
-        ("Unrecorded", told(Verdict::Unrecorded)),
+        ("Mismatch", told(Admission::KeyReused)),
+        ("Never Answered", told(Admission::Reject(RejectReason::AlreadyAnswered))),
+        ("Never MayHaveRun", told(Admission::Reject(RejectReason::MayHaveExecuted))),
+        ("Never JustStarted", told(Admission::Reject(RejectReason::RecentStart))),
+        (
+            "Later Budget",
+            told(Admission::Defer { retry_after_us: 2_000_001, reason: DeferReason::RetryBudget }),
+        ),
+        ("Later Full", told(Admission::Defer { retry_after_us: 999, reason: DeferReason::Capacity })),
+        (
+            "Later Readers",
+            told(Admission::Defer { retry_after_us: 30_000_000, reason: DeferReason::TooManyReaders }),
+        ),
+        ("Unrecorded", told(Admission::RunUnrecorded)),
     ];
     for (what, error) in errors {
         text += &format!("{what}\n{}", written(error.answer()).await);
