--- a/src/edge/clients/answers.rs
+++ b/src/edge/clients/answers.rs
@@ -12,7 +12,9 @@
     AnswerMetadata, CollectedAnswer, EventParser, Request, RequestKind, ResponseStore, ServerEvent,
     StoredResponse, StreamWriter,
 };
-use dewladder_resume::{Passed, Policy, Stream, Then, Why};
+use dewladder_resume::{
+    AnswerEvent, BreakDecision, ChoiceTraits, CutReason, Forward, Policy, ResumableStream,
+};
 use http_body::{Body, Frame};
 use log::info;
 use serde_json::{json, Value};
@@ -81,7 +83,7 @@
     /// Within which bounds.
     pub policy: Policy,
     /// What the choices are like.
-    pub shape: dewladder_resume::Shape,
+    pub traits: ChoiceTraits,
     /// Asks for the rest.
     pub ask: Ask,
     /// Tells the time.
@@ -93,7 +95,7 @@
     /// Taken once it has ended.
     source: Option<Source>,
     events: EventParser,
-    stream: Option<Stream>,
+    stream: Option<ResumableStream>,
     /// The rest, while it has not begun.
     asking: Option<Pin<Box<dyn Future<Output = Asked> + Send>>>,
 }
@@ -115,7 +117,7 @@
                         self.events = EventParser::default();
                     }
                     (Err(retry_in), Some(resuming), Some(stream)) => {
-                        let then = stream.not_begun(resuming.clock.now(), retry_in);
+                        let then = stream.on_resume_failed(resuming.clock.now(), retry_in);
                         if let Some(end) =
                             self.then(then, resuming, retry_in.unwrap_or(0), "no server had room")
                         {
@@ -156,7 +158,7 @@
             };
             self.source = None;
             let cut = match over {
-                Ok(()) if self.stream.as_ref().is_none_or(Stream::ended) => {
+                Ok(()) if self.stream.as_ref().is_none_or(ResumableStream::ended_whole) => {
                     if events.is_empty() {
                         return Poll::Ready(None);
                     }
@@ -168,7 +170,7 @@
             let (Some(resuming), Some(stream)) = (resuming, &mut self.stream) else {
                 return Poll::Ready(Some(Err(cut.to_owned())));
             };
-            let then = stream.broke(resuming.clock.now());
+            let then = stream.on_break(resuming.clock.now());
             if let Some(end) = self.then(then, resuming, 0, cut) {
                 return Poll::Ready(end);
             }
@@ -178,40 +180,43 @@
     /// Does what is decided where a part has broken off; how the choice ends, if it does.
     fn then(
         &mut self,
-        then: Then,
+        then: BreakDecision,
         resuming: &Resuming,
         wait: Micros,
         cut: &str,
     ) -> Option<Option<Result<Vec<Value>, String>>> {
         match then {
-            Then::Ask { text, max_tokens, until } => {
+            BreakDecision::Resume { text, max_tokens, deadline_us } => {
                 info!(choice = self.choice, bytes = text.len(); "an answer broke off ({cut}): its rest is asked for");
-                self.asking = Some((resuming.ask)(self.choice, text, max_tokens, until, wait));
+                self.asking = Some((resuming.ask)(self.choice, text, max_tokens, deadline_us, wait));
                 None
             }
-            Then::Full { tell: false } => Some(None),
-            Then::Full { tell: true } => {
+            BreakDecision::Finished => Some(None),
+            BreakDecision::TokenLimitReached => {
                 let end = json!({"choices": [{"index": 0, "delta": {}, "finish_reason": "length"}]});
                 Some(Some(Ok(vec![end])))
             }
-            Then::Cut(Why::Once | Why::NotText | Why::TooLong | Why::Spent) => {
-                Some(Some(Err(cut.to_owned())))
-            }
-            Then::Cut(why) => Some(Some(Err(said(why).to_owned()))),
+            BreakDecision::Cut(
+                CutReason::AtMostOnce
+                | CutReason::MoreThanText
+                | CutReason::TooLong
+                | CutReason::LimitReached,
+            ) => Some(Some(Err(cut.to_owned()))),
+            BreakDecision::Cut(why) => Some(Some(Err(said(why).to_owned()))),
         }
     }
 }
 
-fn said(why: Why) -> &'static str {
+fn said(why: CutReason) -> &'static str {
     match why {
-        Why::Diverged => "another server came to other words",
-        Why::NoServer => "the server's stream broke, and no other server had room",
+        CutReason::Diverged => "another server came to other words",
+        CutReason::NoServer => "the server's stream broke, and no other server had room",
         _ => "the server's stream broke",
     }
 }
 
 /// What of a server's events the client gets, now that others may have come before.
-fn passed(stream: &mut Stream, events: Vec<Value>) -> Result<Vec<Value>, Why> {
+fn passed(stream: &mut ResumableStream, events: Vec<Value>) -> Result<Vec<Value>, CutReason> {
     let mut passed = Vec::with_capacity(events.len());
     for mut event in events {
         // Never by an index that is written to: what servers send may be of any shape.
@@ -221,21 +226,21 @@
         };
         let delta = &choice["delta"];
         let more = ["tool_calls", "refusal", "function_call"].iter().any(|name| !delta[*name].is_null());
-        let seen = stream.event(dewladder_resume::Event {
+        let seen = stream.on_event(AnswerEvent {
             text: delta["content"].as_str().unwrap_or(""),
-            more: more || !choice["logprobs"].is_null(),
-            finishes: !choice["finish_reason"].is_null(),
+            has_more_than_text: more || !choice["logprobs"].is_null(),
+            is_last: !choice["finish_reason"].is_null(),
         });
         match seen {
-            Passed::Whole => passed.push(event),
-            Passed::Text(text) => {
+            Forward::Unchanged => passed.push(event),
+            Forward::WithText(text) => {
                 if let Some(delta) = choice.get_mut("delta").and_then(Value::as_object_mut) {
                     delta.insert("content".to_owned(), Value::String(text));
                 }
                 passed.push(event);
             }
-            Passed::Nothing => {}
-            Passed::Cut(why) => return Err(why),
+            Forward::Nothing => {}
+            Forward::Cut(why) => return Err(why),
         }
     }
     Ok(passed)
@@ -256,7 +261,7 @@
             choice,
             source: Some(source),
             events: EventParser::default(),
-            stream: resuming.as_ref().map(|resuming| Stream::new(resuming.policy, resuming.shape)),
+            stream: resuming.as_ref().map(|resuming| ResumableStream::new(resuming.policy, resuming.traits)),
             asking: None,
         };
         let parts = sources.into_iter().enumerate().map(part).collect();
--- a/src/edge/clients/chat.rs
+++ b/src/edge/clients/chat.rs
@@ -425,7 +425,7 @@
         // Who joined another's answer must not each ask for its rest.
         // And a long prompt is not held for as long as its stream lasts: it would add up over all of them.
         let prompt: usize = request.prompts.iter().flatten().map(|message| message.text.len()).sum();
-        let resume = self.resume.filter(|policy| first && prompt <= policy.most_text);
+        let resume = self.resume.filter(|policy| first && prompt <= policy.max_text_bytes);
         let resuming = resume.map(|policy| self.resuming(asked, policy));
         let metadata = AnswerMetadata {
             id: format!("{:016x}", id.0),
@@ -476,12 +476,12 @@
                 front.rest(&asked, part, &text, max_tokens, until).await
             })
         });
-        let shape = dewladder_resume::Shape {
-            may_repeat: !asked.model.once,
-            more_than_text: asked.request.body["logprobs"] == true,
+        let traits = dewladder_resume::ChoiceTraits {
+            may_rerun: !asked.model.once,
+            wants_more_than_text: asked.request.body["logprobs"] == true,
             max_tokens: asked.request.max_tokens.unwrap_or(self.max_tokens).min(self.max_tokens),
         };
-        Resuming { policy, shape, ask, clock: self.clock }
+        Resuming { policy, traits, ask, clock: self.clock }
     }
 
     async fn rest(&self, asked: &Asked<'_>, part: usize, text: &str, max_tokens: u64, until: Micros) -> Rest {
--- a/src/edge/settings.rs
+++ b/src/edge/settings.rs
@@ -516,9 +516,9 @@
         }
         let policy = dewladder_resume::Policy {
             mode,
-            most: self.most,
-            within: (self.within_s * 1e6) as Micros,
-            most_text: self.most_text_kib << 10,
+            max_resumptions: self.most,
+            max_duration_us: (self.within_s * 1e6) as Micros,
+            max_text_bytes: self.most_text_kib << 10,
         };
         Ok(Some(policy).filter(|_| self.enabled))
     }
--- a/tests/fronts_settings.rs
+++ b/tests/fronts_settings.rs
@@ -55,7 +55,10 @@
     assert_eq!((budget.min_retry_after_us, budget.max_retry_after_us), (1_200_000, 33_000_000));
     let resume = chat.resume.policy().unwrap().unwrap();
     assert_eq!(resume.mode, dewladder_resume::Mode::Restart);
-    assert_eq!((resume.most, resume.within, resume.most_text), (41, 42_000_000, 43 << 10));
+    assert_eq!(
+        (resume.max_resumptions, resume.max_duration_us, resume.max_text_bytes),
+        (41, 42_000_000, 43 << 10)
+    );
 }
 
 /// The file that is deployed gives what a file without these keys gives.
