--- a/src/edge/clients/answers.rs
+++ b/src/edge/clients/answers.rs
@@ -8,8 +8,13 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use dewladder_chat::{Collected, Events, Incoming, Kept, Names, Request, Shape, Store, Writer};
-use dewladder_resume::{Passed, Policy, Stream, Then, Why};
+use dewladder_chat::{
+    AnswerMetadata, CollectedAnswer, EventParser, Request, RequestKind, ResponseStore, ServerEvent,
+    StoredResponse, StreamWriter,
+};
+use dewladder_resume::{
+    AnswerEvent, BreakDecision, ChoiceTraits, CutReason, Forward, Policy, ResumableStream,
+};
 use http_body::{Body, Frame};
 use log::info;
 use serde_json::{json, Value};
@@ -47,7 +52,7 @@
 #[derive(Clone)]
 pub struct Keeping {
     /// The store.
-    pub store: Arc<Mutex<Store>>,
+    pub store: Arc<Mutex<ResponseStore>>,
     /// Whose it is.
     pub tenant: u32,
     /// Its id.
@@ -60,7 +65,7 @@
     fn keep(self, response: Value, output: Vec<Value>) {
         let items = self.input.into_iter().chain(output).collect();
         let mut store = self.store.lock().unwrap_or_else(PoisonError::into_inner);
-        store.keep(self.tenant, &self.id, Kept { response, items });
+        store.insert(self.tenant, &self.id, StoredResponse { response, items });
     }
 }
 
@@ -78,7 +83,7 @@
     /// Within which bounds.
     pub policy: Policy,
     /// What the choices are like.
-    pub shape: dewladder_resume::Shape,
+    pub traits: ChoiceTraits,
     /// Asks for the rest.
     pub ask: Ask,
     /// Tells the time.
@@ -89,8 +94,8 @@
     choice: usize,
     /// Taken once it has ended.
     source: Option<Source>,
-    events: Events,
-    stream: Option<Stream>,
+    events: EventParser,
+    stream: Option<ResumableStream>,
     /// The rest, while it has not begun.
     asking: Option<Pin<Box<dyn Future<Output = Asked> + Send>>>,
 }
@@ -109,10 +114,10 @@
                 match (asked, resuming, &mut self.stream) {
                     (Ok(source), ..) => {
                         self.source = Some(source);
-                        self.events = Events::default();
+                        self.events = EventParser::default();
                     }
                     (Err(retry_in), Some(resuming), Some(stream)) => {
-                        let then = stream.not_begun(resuming.clock.now(), retry_in);
+                        let then = stream.on_resume_failed(resuming.clock.now(), retry_in);
                         if let Some(end) =
                             self.then(then, resuming, retry_in.unwrap_or(0), "no server had room")
                         {
@@ -126,16 +131,16 @@
             let Some(source) = &mut self.source else { return Poll::Ready(None) };
             let mut found = Vec::new();
             let (taken, over) = match ready!(source.poll(context)) {
-                Some(Ok(data)) => (self.events.take(&data, &mut found), None),
+                Some(Ok(data)) => (self.events.push(&data, &mut found), None),
                 Some(Err(cut)) => (Ok(()), Some(Err(cut))),
-                None => (self.events.end(&mut found), Some(Ok(()))),
+                None => (self.events.finish(&mut found), Some(Ok(()))),
             };
             if let Err(bad) = taken {
                 return Poll::Ready(Some(Err(bad.message)));
             }
             let events = found.into_iter().filter_map(|found| match found {
-                Incoming::Event(event) => Some(event),
-                Incoming::Done => None,
+                ServerEvent::Data(event) => Some(event),
+                ServerEvent::Done => None,
             });
             let mut events: Vec<Value> = events.collect();
             if let Some(stream) = &mut self.stream {
@@ -153,7 +158,7 @@
             };
             self.source = None;
             let cut = match over {
-                Ok(()) if self.stream.as_ref().is_none_or(Stream::ended) => {
+                Ok(()) if self.stream.as_ref().is_none_or(ResumableStream::ended_whole) => {
                     if events.is_empty() {
                         return Poll::Ready(None);
                     }
@@ -165,7 +170,7 @@
             let (Some(resuming), Some(stream)) = (resuming, &mut self.stream) else {
                 return Poll::Ready(Some(Err(cut.to_owned())));
             };
-            let then = stream.broke(resuming.clock.now());
+            let then = stream.on_break(resuming.clock.now());
             if let Some(end) = self.then(then, resuming, 0, cut) {
                 return Poll::Ready(end);
             }
@@ -175,40 +180,43 @@
     /// Does what is decided where a part has broken off; how the choice ends, if it does.
     fn then(
         &mut self,
-        then: Then,
+        then: BreakDecision,
         resuming: &Resuming,
         wait: Micros,
         cut: &str,
     ) -> Option<Option<Result<Vec<Value>, String>>> {
         match then {
-            Then::Ask { text, max_tokens, until } => {
+            BreakDecision::Resume { text, max_tokens, deadline_us } => {
                 info!(choice = self.choice, bytes = text.len(); "an answer broke off ({cut}): its rest is asked for");
-                self.asking = Some((resuming.ask)(self.choice, text, max_tokens, until, wait));
+                self.asking = Some((resuming.ask)(self.choice, text, max_tokens, deadline_us, wait));
                 None
             }
-            Then::Full { tell: false } => Some(None),
-            Then::Full { tell: true } => {
+            BreakDecision::Finished => Some(None),
+            BreakDecision::TokenLimitReached => {
                 let end = json!({"choices": [{"index": 0, "delta": {}, "finish_reason": "length"}]});
                 Some(Some(Ok(vec![end])))
             }
-            Then::Cut(Why::Once | Why::NotText | Why::TooLong | Why::Spent) => {
-                Some(Some(Err(cut.to_owned())))
-            }
-            Then::Cut(why) => Some(Some(Err(said(why).to_owned()))),
+            BreakDecision::Cut(
+                CutReason::AtMostOnce
+                | CutReason::MoreThanText
+                | CutReason::TooLong
+                | CutReason::LimitReached,
+            ) => Some(Some(Err(cut.to_owned()))),
+            BreakDecision::Cut(why) => Some(Some(Err(said(why).to_owned()))),
         }
     }
 }
 
-fn said(why: Why) -> &'static str {
+fn said(why: CutReason) -> &'static str {
     match why {
-        Why::Diverged => "another server came to other words",
-        Why::NoServer => "the server's stream broke, and no other server had room",
+        CutReason::Diverged => "another server came to other words",
+        CutReason::NoServer => "the server's stream broke, and no other server had room",
         _ => "the server's stream broke",
     }
 }
 
 /// What of a server's events the client gets, now that others may have come before.
-fn passed(stream: &mut Stream, events: Vec<Value>) -> Result<Vec<Value>, Why> {
+fn passed(stream: &mut ResumableStream, events: Vec<Value>) -> Result<Vec<Value>, CutReason> {
     let mut passed = Vec::with_capacity(events.len());
     for mut event in events {
         // Never by an index that is written to: what servers send may be of any shape.
@@ -218,21 +226,21 @@
         };
         let delta = &choice["delta"];
         let more = ["tool_calls", "refusal", "function_call"].iter().any(|name| !delta[*name].is_null());
-        let seen = stream.event(dewladder_resume::Event {
+        let seen = stream.on_event(AnswerEvent {
             text: delta["content"].as_str().unwrap_or(""),
-            more: more || !choice["logprobs"].is_null(),
-            finishes: !choice["finish_reason"].is_null(),
+            has_more_than_text: more || !choice["logprobs"].is_null(),
+            is_last: !choice["finish_reason"].is_null(),
         });
         match seen {
-            Passed::Whole => passed.push(event),
-            Passed::Text(text) => {
+            Forward::Unchanged => passed.push(event),
+            Forward::WithText(text) => {
                 if let Some(delta) = choice.get_mut("delta").and_then(Value::as_object_mut) {
                     delta.insert("content".to_owned(), Value::String(text));
                 }
                 passed.push(event);
             }
-            Passed::Nothing => {}
-            Passed::Cut(why) => return Err(why),
+            Forward::Nothing => {}
+            Forward::Cut(why) => return Err(why),
         }
     }
     Ok(passed)
@@ -252,8 +260,8 @@
         let part = |(choice, source)| Part {
             choice,
             source: Some(source),
-            events: Events::default(),
-            stream: resuming.as_ref().map(|resuming| Stream::new(resuming.policy, resuming.shape)),
+            events: EventParser::default(),
+            stream: resuming.as_ref().map(|resuming| ResumableStream::new(resuming.policy, resuming.traits)),
             asking: None,
         };
         let parts = sources.into_iter().enumerate().map(part).collect();
@@ -300,7 +308,7 @@
 pub struct Answering {
     /// `None` once the stream is over.
     parts: Option<Parts>,
-    writer: Writer,
+    writer: StreamWriter,
     opened: bool,
     keeping: Option<Keeping>,
     /// A comment is due where nothing has come for so long.
@@ -313,7 +321,7 @@
     #[must_use]
     pub fn new(
         sources: Vec<Source>,
-        writer: Writer,
+        writer: StreamWriter,
         keeping: Option<Keeping>,
         resuming: Option<Resuming>,
         quiet: Option<Duration>,
@@ -332,7 +340,7 @@
         loop {
             let Some(parts) = &mut self.parts else { return Poll::Ready(None) };
             let text = match ready!(parts.poll(context)) {
-                Some(Ok(_)) if self.writer.bytes() > MOST_ANSWER => {
+                Some(Ok(_)) if self.writer.text_bytes() > MOST_ANSWER => {
                     self.parts = None;
                     self.writer.cut("stream_cut", "the answer is too long")
                 }
@@ -345,8 +353,8 @@
                 None => {
                     self.parts = None;
                     let text = self.writer.close();
-                    if let Some(keeping) = self.keeping.take() {
-                        keeping.keep(self.writer.response(), self.writer.items());
+                    if let (Some(keeping), Some(response)) = (self.keeping.take(), self.writer.response()) {
+                        keeping.keep(response, self.writer.output_items());
                     }
                     text
                 }
@@ -390,37 +398,38 @@
 pub async fn whole(
     sources: Vec<Source>,
     request: &Request,
-    names: Names,
+    metadata: AnswerMetadata,
     keeping: Option<Keeping>,
     resuming: Option<Resuming>,
 ) -> Result<Value, String> {
     let mut parts = Parts::new(sources, resuming);
-    let (mut collected, mut writer) = (Collected::default(), Writer::new(request, names.clone()));
+    let (mut collected, mut writer) =
+        (CollectedAnswer::default(), StreamWriter::new(request, metadata.clone()));
     while let Some(event) = std::future::poll_fn(|context| parts.poll(context)).await {
         let (choice, event) = event?;
-        match request.shape {
-            Shape::Response => drop(writer.event(choice, &event)),
-            Shape::Chat | Shape::Completion => collected.take(choice, &event),
+        match request.kind {
+            RequestKind::Response => drop(writer.event(choice, &event)),
+            RequestKind::Chat | RequestKind::Completion => collected.push(choice, &event),
         }
-        if collected.bytes() + writer.bytes() > MOST_ANSWER {
+        if collected.text_bytes() + writer.text_bytes() > MOST_ANSWER {
             return Err("the answer is too long".to_owned());
         }
     }
     let prompt = |choice: usize| {
-        let part = &request.prompts[choice / request.choices as usize];
+        let prompt = request.prompt_of(choice);
         if request.echo {
-            part[0].1.clone()
+            prompt[0].text.clone()
         } else {
             String::new()
         }
     };
-    Ok(match request.shape {
-        Shape::Chat => collected.chat(&names),
-        Shape::Completion => collected.completion(&names, prompt),
-        Shape::Response => {
-            let response = writer.response();
+    Ok(match request.kind {
+        RequestKind::Chat => collected.chat(&metadata),
+        RequestKind::Completion => collected.completion(&metadata, prompt),
+        RequestKind::Response => {
+            let response = writer.response().unwrap_or_default();
             if let Some(keeping) = keeping {
-                keeping.keep(response.clone(), writer.items());
+                keeping.keep(response.clone(), writer.output_items());
             }
             response
         }
