--- a/benches/admin.rs
+++ b/benches/admin.rs
@@ -12,7 +12,7 @@
 use dewladder::edge::admin;
 use dewladder::edge::dispatcher::Dispatcher;
 use dewladder::edge::settings::{Config, Fronts};
-use dewladder_stand_in::{config, platform, until_close, Fleet, Shape};
+use dewladder_test_peers::{config, platform, until_close, Fleet, Shape};
 use hdrhistogram::Histogram;
 use tokio::sync::{oneshot, watch};
 
--- a/benches/load.rs
+++ b/benches/load.rs
@@ -7,7 +7,7 @@
 use std::process::Stdio;
 use std::time::Duration;
 
-use dewladder_stand_in::{config, Fault, Fleet, Shape};
+use dewladder_test_peers::{config, Fault, Fleet, Shape};
 use hdrhistogram::Histogram;
 use serde_json::{json, Value};
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
@@ -86,7 +86,7 @@
             format!("{:016x}", 0x5eed_0000_0000 + number),
             if number.is_multiple_of(4) { "book" } else { "ask" },
         );
-        dewladder_stand_in::platform(&id, lane, "6.0")
+        dewladder_test_peers::platform(&id, lane, "6.0")
             .replace("{\"stream\":true}", &body)
             .replace("Content-Length: 15", &format!("Content-Length: {}", body.len()))
     } else {
--- a/benches/quorum.rs
+++ b/benches/quorum.rs
@@ -8,7 +8,7 @@
 
 use dewladder::edge::dispatcher::Dispatcher;
 use dewladder::edge::settings::{Config, Fronts};
-use dewladder_stand_in::{config, Fleet, Shape};
+use dewladder_test_peers::{config, Fleet, Shape};
 use hdrhistogram::Histogram;
 use serde_json::json;
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
--- a/benches/scale/membership.rs
+++ b/benches/scale/membership.rs
@@ -2,10 +2,10 @@
 
 use std::time::Instant;
 
-use dewladder_lab::{name, Lab, SECOND};
 use dewladder_membership::{MemberState, Settings};
 use dewladder_scale::options;
 use dewladder_scale::results::{MembershipEvent, MembershipSample};
+use dewladder_simulation::{name, Lab, SECOND};
 use pico_args::Arguments;
 
 use crate::Failure;
--- a/crates/kin/tests/model.rs
+++ b/crates/hot-restart/tests/model.rs
@@ -1,6 +1,6 @@
 //! Two seats, any order of starts, looks, signals and deaths: the parts never add up to more than the whole.
 
-use dewladder_kin::{next_generation, Kin, Other, Said, Stage, HALF, RESERVE, WHOLE};
+use dewladder_hot_restart::{next_generation, Kin, Other, Said, Stage, HALF, RESERVE, WHOLE};
 use proptest::prelude::*;
 
 #[derive(Debug)]
--- a/crates/ledger/benches/ledger.rs
+++ b/crates/idempotency/benches/ledger.rs
@@ -1,11 +1,11 @@
 //! The ledger at 10^5 and 10^6 keys against a plain `HashMap` with a sorted set of expiries: cost of an operation
-//! and bytes a key, in one run. `cargo bench -p dewladder-ledger`.
+//! and bytes a key, in one run. `cargo bench -p dewladder-idempotency`.
 
 use std::collections::{BTreeSet, HashMap};
 use std::hint::black_box;
 use std::time::Instant;
 
-use dewladder_ledger::{
+use dewladder_idempotency::{
     Admission, Fingerprint, Fingerprinter, IdempotencyStore, IncomingRequest, Micros, Outcome, Policy,
     RequestIdentity, RetryBudgetPolicy,
 };
--- a/crates/ledger/tests/budget.rs
+++ b/crates/idempotency/tests/budget.rs
@@ -1,7 +1,7 @@
 //! The budget for retries.
 
-use dewladder_ledger::retry_budget::*;
-use dewladder_ledger::Micros;
+use dewladder_idempotency::retry_budget::*;
+use dewladder_idempotency::Micros;
 
 /// In microseconds.
 const SECOND: Micros = 1_000_000;
--- a/crates/ledger/tests/fingerprint.rs
+++ b/crates/idempotency/tests/fingerprint.rs
@@ -1,6 +1,6 @@
 //! Fingerprints of requests, and the canonical form of bodies.
 
-use dewladder_ledger::{canonical_json, Fingerprinter};
+use dewladder_idempotency::{canonical_json, Fingerprinter};
 
 #[test]
 fn fingerprints_differ_by_parts_domain_and_secret() {
--- a/crates/ledger/tests/model.rs
+++ b/crates/idempotency/tests/model.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use dewladder_ledger::{
+use dewladder_idempotency::{
     Admission, Effect, EntryId, Fingerprint, IdempotencyStore, IncomingRequest, Micros, Outcome, Policy,
     ReadResult, RejectReason, RequestIdentity, RetryBudgetPolicy,
 };
--- a/crates/ledger/tests/wheel.rs
+++ b/crates/idempotency/tests/wheel.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use dewladder_ledger::timing_wheel::{TimingWheel, TICK_US};
+use dewladder_idempotency::timing_wheel::{TimingWheel, TICK_US};
 use proptest::prelude::*;
 
 proptest! {
--- a/crates/scale/src/hollow/replicas.rs
+++ b/crates/scale/src/hollow/replicas.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use dewladder_stand_in::{chunk, field, message, plain};
+use dewladder_test_peers::{chunk, field, message, plain};
 use serde::{Deserialize, Serialize};
 use socket2::SockRef;
 use tokio::io::AsyncWriteExt as _;
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dewladder_stand_in::Agent;
+use dewladder_test_peers::Agent;
 use hdrhistogram::Histogram;
 use thiserror::Error;
 use tokio::task::JoinSet;
--- a/crates/scale/src/run/client.rs
+++ b/crates/scale/src/run/client.rs
@@ -232,7 +232,7 @@
         if status == 200 {
             return body.ends_with(END).then_some(End::Served);
         }
-        let length = dewladder_stand_in::field(self.text(), "content-length");
+        let length = dewladder_test_peers::field(self.text(), "content-length");
         let length: usize = length.and_then(|text| text.parse().ok()).unwrap_or(0);
         let refused = status == 429 || status == 503;
         (body.len() >= length).then_some(if refused { End::Refused } else { End::Failed })
--- a/crates/lab/benches/membership.rs
+++ b/crates/simulation/benches/membership.rs
@@ -1,11 +1,11 @@
 //! How soon a death is known to all, what is wrongly held for dead, and what it costs: membership against a plain
 //! heartbeat from each to all, in the same run, in virtual time.
 //!
-//! `cargo bench -p dewladder-lab --bench membership [-- members... loss%...]`; by default 5, 50 and 500, with 0, 5 and 20%.
+//! `cargo bench -p dewladder-simulation --bench membership [-- members... loss%...]`; by default 5, 50 and 500, with 0, 5 and 20%.
 
-use dewladder_lab::{Lab, SECOND};
 use dewladder_membership::codec::Codec;
 use dewladder_membership::{Body, MemberState, Membership, Message, Micros, Settings};
+use dewladder_simulation::{Lab, SECOND};
 use hdrhistogram::Histogram;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -60,7 +60,7 @@
         lab.kill(killed);
         let start = lab.now;
         lab.pass(120 * SECOND);
-        let name = dewladder_lab::name(killed);
+        let name = dewladder_simulation::name(killed);
         let mut knowing = std::collections::BTreeSet::new();
         for (at, when, change) in lab.changes() {
             let first = change.state == MemberState::Dead && change.name == name && when >= start;
--- a/crates/lab/tests/membership.rs
+++ b/crates/simulation/tests/membership.rs
@@ -1,7 +1,7 @@
 //! The faults that membership is for, in virtual time, each over many seeds. Times are in probe times.
 
-use dewladder_lab::{Lab, SECOND};
 use dewladder_membership::{MemberState, Micros, Settings};
+use dewladder_simulation::{Lab, SECOND};
 
 /// Probe time 1 s, whole states every 5 s.
 fn settings() -> Settings {
--- a/crates/soak/src/agent.rs
+++ b/crates/soak/src/agent.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use dewladder_stand_in::plain;
+use dewladder_test_peers::plain;
 use serde_json::{json, Value};
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::{TcpListener, TcpStream};
@@ -107,7 +107,7 @@
 async fn answers(mut stream: TcpStream, registry: Registry, dispatcher: usize) {
     let opened = registry.now();
     let mut read = Vec::new();
-    while let Some((head, _)) = dewladder_stand_in::message(&mut stream, &mut read).await {
+    while let Some((head, _)) = dewladder_test_peers::message(&mut stream, &mut read).await {
         let number = |name: &str| {
             let (_, rest) = head.split_once(name)?;
             rest.split(['&', ' ']).next()?.parse::<u64>().ok()
--- a/crates/soak/src/bin/false_dispatcher.rs
+++ b/crates/soak/src/bin/false_dispatcher.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use dewladder_stand_in::{field, message, plain};
+use dewladder_test_peers::{field, message, plain};
 use serde_json::Value;
 use socket2::{Domain, Socket, Type};
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
--- a/crates/soak/src/process.rs
+++ b/crates/soak/src/process.rs
@@ -5,7 +5,7 @@
 use std::process::Stdio;
 use std::time::Duration;
 
-use dewladder_stand_in::until_close;
+use dewladder_test_peers::until_close;
 use tokio::io::{AsyncBufReadExt as _, AsyncWriteExt as _, BufReader};
 use tokio::process::{Child, Command};
 use tokio::sync::watch;
--- a/crates/soak/src/servers.rs
+++ b/crates/soak/src/servers.rs
@@ -6,7 +6,7 @@
 use std::task::Poll;
 use std::time::Duration;
 
-use dewladder_stand_in::{chunk, field, plain};
+use dewladder_test_peers::{chunk, field, plain};
 use socket2::{Domain, SockRef, Socket, Type};
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::{TcpListener, TcpStream};
--- a/src/demo.rs
+++ b/src/demo.rs
@@ -3,7 +3,7 @@
 
 use dewladder::edge::dispatcher::Dispatcher;
 use dewladder::edge::settings::{Config, Fronts};
-use dewladder_stand_in::{config, Fleet, Shape};
+use dewladder_test_peers::{config, Fleet, Shape};
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::watch;
 
--- a/src/edge/clients/chat.rs
+++ b/src/edge/clients/chat.rs
@@ -1,6 +1,6 @@
 //! The second front: an OpenAI-style API with streamed events, for apps that speak no platform headers. It derives
 //! from the requests what the platform's headers would tell; decisions and rules are the same. What requests may
-//! hold, and how answers are put together, is in `crates/chat`; what repeats are told, in `crates/ledger`.
+//! hold, and how answers are put together, is in `crates/chat`; what repeats are told, in `crates/idempotency`.
 //! It listens where the fronts file says, and not at all without one.
 
 use std::collections::{BTreeMap, HashMap};
@@ -21,7 +21,7 @@
 use bytes::Bytes;
 use dewladder_chat as api;
 use dewladder_chat::{AnswerMetadata, Message, RequestKind, ResponseStore, StreamWriter};
-use dewladder_ledger::{Admission, IncomingRequest, Outcome};
+use dewladder_idempotency::{Admission, IncomingRequest, Outcome};
 use dewladder_router::mix;
 use log::warn;
 use serde_json::{json, Value};
--- a/src/edge/clients/problem.rs
+++ b/src/edge/clients/problem.rs
@@ -5,7 +5,7 @@
 use axum::http::{HeaderMap, HeaderName, HeaderValue, Response, StatusCode};
 use bytes::Bytes;
 use dewladder_chat::RequestError;
-use dewladder_ledger::{Admission, DeferReason, RejectReason};
+use dewladder_idempotency::{Admission, DeferReason, RejectReason};
 use serde_json::json;
 
 use crate::interface::{Micros, RequestId};
--- a/src/edge/clients/repeats.rs
+++ b/src/edge/clients/repeats.rs
@@ -10,7 +10,7 @@
 use axum::http::HeaderMap;
 use bytes::Bytes;
 use dewladder_chat::RequestKind;
-use dewladder_ledger::{
+use dewladder_idempotency::{
     canonical_json, Admission, Effect, EntryId, Execution, Fingerprinter, IdempotencyStore, IncomingRequest,
     Outcome, Policy, ReadResult, RequestIdentity, Stats,
 };
--- a/src/edge/dispatcher.rs
+++ b/src/edge/dispatcher.rs
@@ -23,7 +23,7 @@
 use crate::edge::transient::{self, is_transient, outlast};
 use crate::edge::{list, listing};
 use crate::interface::ListKind;
-use dewladder_kin::{replaced, Stage};
+use dewladder_hot_restart::{replaced, Stage};
 
 /// After SIGTERM new connections go on coming for up to 0.4 s; only then are idle ones closed.
 const LEAVE: Duration = Duration::from_millis(600);
--- a/src/edge/kin.rs
+++ b/src/edge/kin.rs
@@ -1,6 +1,6 @@
 //! Another process of this dispatcher, while a new version takes over: how the two know of each other. Each holds a
 //! lock on a file of its own in `$TMPDIR` for as long as it lives, and says there what it is; a file that nobody holds
-//! a lock on means nothing, whatever it says. What follows from it is `crates/kin`'s.
+//! a lock on means nothing, whatever it says. What follows from it is `crates/hot-restart`'s.
 
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io;
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use dewladder_kin::{next_generation, Generation, Kin, Other, Part, Said, Stage, WHOLE};
+use dewladder_hot_restart::{next_generation, Generation, Kin, Other, Part, Said, Stage, WHOLE};
 use dewladder_router::Handover;
 use log::{debug, info, warn};
 use serde::{Deserialize, Serialize};
@@ -275,13 +275,13 @@
                     }
                 }
             }
-            self.look(dewladder_kin::part_of(room.held() + figures.open(), config.limits.sockets));
+            self.look(dewladder_hot_restart::part_of(room.held() + figures.open(), config.limits.sockets));
             self.take_over(&driver);
             let part = self.kin.says().part;
             if part != applied {
                 applied = part;
-                room.holds(dewladder_kin::of(config.most_connections(), part));
-                let most_open = dewladder_kin::of(config.most_open(), part);
+                room.holds(dewladder_hot_restart::of(config.most_connections(), part));
+                let most_open = dewladder_hot_restart::of(config.most_open(), part);
                 driver.send(Message::Part { part: f64::from(part) / f64::from(WHOLE), most_open });
             }
             room.shrink(Instant::now());
--- a/src/edge/settings.rs
+++ b/src/edge/settings.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use axum::http::HeaderName;
-use dewladder_ledger::{Policy, RetryBudgetPolicy};
+use dewladder_idempotency::{Policy, RetryBudgetPolicy};
 use serde::Deserialize;
 use serde_json::Value;
 use thiserror::Error;
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use dewladder::edge::settings::Config;
-use dewladder_stand_in::{
+use dewladder_test_peers::{
     event, member, plain, platform, until_close, Does, Line, Peer, Server, LAST_EVENTS,
 };
 use listed::{answer, entry, list, settings, status, Running, Watched, SOON};
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -1,5 +1,5 @@
 //! Who is alive, under deaths, pauses, cuts in one direction, loss and partitions, with the program as it is started.
-//! The bounds themselves are held in virtual time (`crates/lab/tests/membership.rs`); here all that is waited for comes
+//! The bounds themselves are held in virtual time (`crates/simulation/tests/membership.rs`); here all that is waited for comes
 //! or the test fails.
 
 mod processes;
@@ -8,7 +8,7 @@
 use std::process::Stdio;
 use std::time::Duration;
 
-use dewladder_stand_in::{config, until_close, Fleet, Shape};
+use dewladder_test_peers::{config, until_close, Fleet, Shape};
 use processes::{Cluster, KEY};
 use serde_json::{json, Value};
 use tokio::io::{AsyncBufReadExt as _, BufReader};
--- a/tests/conform.rs
+++ b/tests/conform.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use dewladder_conform::{cases, run, Came, Outcome, Target};
-use dewladder_stand_in::{wrong_front, Wrong};
+use dewladder_test_peers::{wrong_front, Wrong};
 use stand_in::*;
 
 const ON: &str = "enabled = true\nafter_start_s = 0.0\n";
--- a/tests/crossing/mod.rs
+++ b/tests/crossing/mod.rs
@@ -7,7 +7,7 @@
 
 use dewladder::edge::dispatcher::Dispatcher;
 use dewladder::edge::settings::{Config, Fronts};
-use dewladder_stand_in::{config, member, Agent, Line, Peer};
+use dewladder_test_peers::{config, member, Agent, Line, Peer};
 use serde_json::{json, Value};
 use tokio::sync::{oneshot, watch};
 use tokio::task::JoinHandle;
@@ -213,12 +213,12 @@
 
 /// A platform's request of the class that must not run twice, on a connection that is kept.
 pub fn asks(id: &str, remaining: &str) -> String {
-    dewladder_stand_in::platform(id, "book", remaining).replace("Connection: close\r\n", "")
+    dewladder_test_peers::platform(id, "book", remaining).replace("Connection: close\r\n", "")
 }
 
 /// The same of the chat API.
 pub fn chats() -> String {
-    dewladder_stand_in::chat("kiln-book", true).replace("Connection: close\r\n", "")
+    dewladder_test_peers::chat("kiln-book", true).replace("Connection: close\r\n", "")
 }
 
 pub fn status(answer: &str) -> u16 {
@@ -237,16 +237,16 @@
 
 /// An event that the chat front passes on too, as a chunk.
 pub fn event(text: &str) -> String {
-    dewladder_stand_in::chunk(&format!(
+    dewladder_test_peers::chunk(&format!(
         "data: {{\"choices\":[{{\"index\":0,\"delta\":{{\"content\":\"{text}\"}},\"finish_reason\":null}}]}}\n\n"
     ))
 }
 
 /// The last events and the last chunk.
 pub fn last() -> String {
-    dewladder_stand_in::chunk(
+    dewladder_test_peers::chunk(
         "data: {\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}]}\n\n",
-    ) + &dewladder_stand_in::chunk("data: [DONE]\n\n")
+    ) + &dewladder_test_peers::chunk("data: [DONE]\n\n")
         + "0\r\n\r\n"
 }
 
--- a/tests/crossings_clients.rs
+++ b/tests/crossings_clients.rs
@@ -13,7 +13,7 @@
 use dewladder::edge::clients::listener::{self, Phase};
 use dewladder::edge::clients::room::Room;
 use dewladder::edge::stats::Figures;
-use dewladder_stand_in::{LatePeer, Line, Peer};
+use dewladder_test_peers::{LatePeer, Line, Peer};
 use serde_json::json;
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::{TcpListener, TcpStream};
@@ -232,7 +232,7 @@
     for front in 0..2 {
         let (reader, other, writer) =
             (Stepped::start().await, Stepped::start().await, Stepped::start().await);
-        let two = dewladder_stand_in::member(other.address, 3, "prefill", "up");
+        let two = dewladder_test_peers::member(other.address, 3, "prefill", "up");
         let members = vec![read(reader.address, "up"), two, write(writer.address, "up")];
         let site = Crossing::start(members, FRONTS, without_cancel).await;
         let (address, text) = site.fronts()[front].clone();
@@ -627,7 +627,7 @@
     let body = json!({"model": "kiln-ask", "stream": true, "n": 2,
         "messages": [{"role": "user", "content": "A glaze firing on Friday?"}]});
     let mut client = Line::to(site.chat).await;
-    client.says(&dewladder_stand_in::post(&body.to_string(), "key-of-clay")).await.unwrap();
+    client.says(&dewladder_test_peers::post(&body.to_string(), "key-of-clay")).await.unwrap();
     eventually("both reads are out", || reader.count("POST") == 2).await;
     drop(client);
     sleep(AFTER_CLOSE + AFTER_CLOSE / 2).await;
@@ -670,7 +670,7 @@
     let fronts = format!("{FRONTS}[chat.resume]\nenabled = true\nmost = 3\n");
     let site = Crossing::start(members, &fronts, patient).await;
     let mut client = Line::to(site.chat).await;
-    let text = dewladder_stand_in::chat("kiln-ask", true).replace("Connection: close\r\n", "");
+    let text = dewladder_test_peers::chat("kiln-ask", true).replace("Connection: close\r\n", "");
     client.says(&text).await.unwrap();
     let (mut writer, _) = timeout(LONG, peer.asked()).await.expect("a write");
     writer.says(&(STREAM.to_owned() + &event("one "))).await.unwrap();
@@ -702,7 +702,7 @@
     let fronts = format!("{FRONTS}[chat.resume]\nenabled = true\nmost = 3\n");
     let site = Crossing::start(members, &fronts, patient).await;
     let mut client = Line::to(site.chat).await;
-    client.says(&dewladder_stand_in::chat("kiln-ask", true)).await.unwrap();
+    client.says(&dewladder_test_peers::chat("kiln-ask", true)).await.unwrap();
     let (mut writer, _) = timeout(LONG, peer.asked()).await.expect("a write");
     writer.says(&(STREAM.to_owned() + &event("one "))).await.unwrap();
     client.until("one ").await;
--- a/tests/crossings_handover.rs
+++ b/tests/crossings_handover.rs
@@ -8,7 +8,7 @@
 
 use dewladder::edge::core::{Core, Effect as Asks, Ending, Input};
 use dewladder::interface::*;
-use dewladder_stand_in::{body, chunk, event, plain, platform};
+use dewladder_test_peers::{body, chunk, event, plain, platform};
 use proptest::prelude::*;
 use serde_json::{json, Value};
 use servers_bed::*;
@@ -229,7 +229,7 @@
         .replace("Content-Length: 15", &format!("Content-Length: {}", 15 + filler.len() + 7))
         .replace("{\"stream\":true}", &format!("{{\"stream\":true,\"m\":\"{filler}\"}}"));
     let to = bed.platform;
-    let _asked = tokio::spawn(async move { dewladder_stand_in::until_close(to, &text).await });
+    let _asked = tokio::spawn(async move { dewladder_test_peers::until_close(to, &text).await });
     let reading = bed.expect("POST 01").await;
     reading.says(&read()).await;
     released(&mut bed, "01", Instant::now()).await;
--- a/tests/crossings_list.rs
+++ b/tests/crossings_list.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use dewladder_stand_in::{chunk, field, plain, Does, LatePeer, Peer, Server};
+use dewladder_test_peers::{chunk, field, plain, Does, LatePeer, Peer, Server};
 use listed::{answer, entry, list, settings, status, Running, Watched, SOON};
 use serde_json::{json, Value};
 use tokio::io::{AsyncBufReadExt as _, AsyncReadExt as _, AsyncWriteExt as _, BufReader};
@@ -594,9 +594,9 @@
     let site = Running::start(&config);
     let mut line = listed::told(&agent, &list(1, true, &[up])).await;
     let other = Server::start(Does::Stream(1)).await;
-    let asks = dewladder_stand_in::platform("0a", "book", "4.000");
+    let asks = dewladder_test_peers::platform("0a", "book", "4.000");
     let to = site.platform;
-    let asking = tokio::spawn(async move { dewladder_stand_in::until_close(to, &asks).await });
+    let asking = tokio::spawn(async move { dewladder_test_peers::until_close(to, &asks).await });
     while site.health.figures().open() == 0 {
         sleep(Duration::from_millis(2)).await;
     }
@@ -637,9 +637,9 @@
         (0..2).for_each(|lane| config["settings"]["lanes"][lane]["aim_s"] = json!(4.0));
         let site = Running::start(&config);
         let mut line = listed::told(&agent, &list(1, true, &[up])).await;
-        let asks = dewladder_stand_in::platform("0b", lane, "4.000");
+        let asks = dewladder_test_peers::platform("0b", lane, "4.000");
         let to = site.platform;
-        let asking = tokio::spawn(async move { dewladder_stand_in::until_close(to, &asks).await });
+        let asking = tokio::spawn(async move { dewladder_test_peers::until_close(to, &asks).await });
         let (sent, _) = old.asked().await;
         let new = Server::start(Does::Stream(1)).await;
         let mut back = entry(new.address, 1, "up");
@@ -663,8 +663,8 @@
     let (reader, writer) = (Server::start(Does::Read).await, Server::start(Does::Stream(1)).await);
     let [both, prefill, decode] = [
         entry(whole.address, 1, "up"),
-        dewladder_stand_in::member(reader.address, 2, "prefill", "up"),
-        dewladder_stand_in::member(writer.address, 3, "decode", "up"),
+        dewladder_test_peers::member(reader.address, 2, "prefill", "up"),
+        dewladder_test_peers::member(writer.address, 3, "decode", "up"),
     ];
     let drains = entry(whole.address, 1, "draining");
     let mut wrong = Vec::new();
@@ -717,14 +717,14 @@
 async fn what_is_held_goes_by_the_time_that_the_new_file_allows() {
     let reader = Server::start(Does::Read).await;
     let agent = Peer::start().await;
-    let known = [dewladder_stand_in::member(reader.address, 1, "prefill", "up")];
+    let known = [dewladder_test_peers::member(reader.address, 1, "prefill", "up")];
     let mut config = settings(agent.address, &list(1, true, &known));
     config["settings"]["domain"]["release_within_s"] = json!(8.0);
     (0..2).for_each(|lane| config["settings"]["lanes"][lane]["aim_s"] = json!(4.0));
     let mut site = Running::start(&config);
-    let asks = dewladder_stand_in::platform("0f", "ask", "7.000");
+    let asks = dewladder_test_peers::platform("0f", "ask", "7.000");
     let to = site.platform;
-    let asking = tokio::spawn(async move { dewladder_stand_in::until_close(to, &asks).await });
+    let asking = tokio::spawn(async move { dewladder_test_peers::until_close(to, &asks).await });
     let start = Instant::now();
     while reader.posts() == 0 {
         assert!(start.elapsed() < SOON, "it is read");
@@ -751,15 +751,15 @@
 async fn what_is_held_may_wait_as_long_as_the_new_file_allows() {
     let (reader, writer) = (Server::start(Does::Read).await, Server::start(Does::Stream(1)).await);
     let agent = Peer::start().await;
-    let known = [dewladder_stand_in::member(reader.address, 1, "prefill", "up")];
+    let known = [dewladder_test_peers::member(reader.address, 1, "prefill", "up")];
     let mut config = settings(agent.address, &list(1, true, &known));
     config["settings"]["domain"]["release_within_s"] = json!(1.0);
     (0..2).for_each(|lane| config["settings"]["lanes"][lane]["aim_s"] = json!(4.0));
     let mut site = Running::start(&config);
     let open = listed::told(&agent, &list(1, true, &known)).await;
-    let asks = dewladder_stand_in::platform("10", "ask", "7.000");
+    let asks = dewladder_test_peers::platform("10", "ask", "7.000");
     let to = site.platform;
-    let asking = tokio::spawn(async move { dewladder_stand_in::until_close(to, &asks).await });
+    let asking = tokio::spawn(async move { dewladder_test_peers::until_close(to, &asks).await });
     let start = Instant::now();
     while reader.posts() == 0 {
         assert!(start.elapsed() < SOON, "it is read");
@@ -775,7 +775,7 @@
     sleep(Duration::from_millis(1_500)).await;
     assert!(!asking.is_finished(), "its state is held still");
     let mut told = known.to_vec();
-    told.push(dewladder_stand_in::member(writer.address, 2, "decode", "up"));
+    told.push(dewladder_test_peers::member(writer.address, 2, "decode", "up"));
     line.says(&answer(&list(2, true, &told))).await.unwrap();
     let said = timeout(SOON, asking).await.expect("an answer").unwrap();
     assert_eq!((status(&said), reader.posts(), writer.posts()), (200, 1, 1), "{said}");
@@ -823,7 +823,7 @@
 
     /// A figure that the second address shows.
     async fn figure(&self, name: &str) -> Option<u64> {
-        let text = timeout(SOON, dewladder_stand_in::until_close(self.admin, "STATS\n")).await.ok()?;
+        let text = timeout(SOON, dewladder_test_peers::until_close(self.admin, "STATS\n")).await.ok()?;
         let line = text.lines().find_map(|line| line.strip_prefix(&format!("edge_router.{name}:")))?;
         line.split('|').next()?.parse().ok()
     }
@@ -855,12 +855,12 @@
         let mut said = 0;
         while said != 200 {
             assert!(start.elapsed() < SOON, "{descriptors}: a request gets {said}");
-            let ask = dewladder_stand_in::platform(
+            let ask = dewladder_test_peers::platform(
                 &format!("{id}{:x}", start.elapsed().as_micros()),
                 "ask",
                 "0.900",
             );
-            said = status(&dewladder_stand_in::until_close(process.port, &ask).await);
+            said = status(&dewladder_test_peers::until_close(process.port, &ask).await);
         }
         // Discovery returns, with a third server for two.
         let third = Server::start(Does::Stream(1)).await;
@@ -873,14 +873,14 @@
         println!("{descriptors} descriptors: the list was taken {:?} after the return", back.elapsed());
         while third.posts() == 0 {
             assert!(back.elapsed() < TOLD, "{descriptors}: the third server gets nothing");
-            let ask = dewladder_stand_in::platform(
+            let ask = dewladder_test_peers::platform(
                 &format!("{id}b{:x}", back.elapsed().as_micros()),
                 "ask",
                 "0.900",
             );
-            dewladder_stand_in::until_close(process.port, &ask).await;
+            dewladder_test_peers::until_close(process.port, &ask).await;
         }
-        assert!(dewladder_stand_in::until_close(process.admin, "READY\n").await.starts_with("OK"));
+        assert!(dewladder_test_peers::until_close(process.admin, "READY\n").await.starts_with("OK"));
     }
 }
 
--- a/tests/crossings_retries.rs
+++ b/tests/crossings_retries.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use dewladder_stand_in::{body, event, plain, platform};
+use dewladder_test_peers::{body, event, plain, platform};
 use serde_json::{json, Value};
 use servers_bed::*;
 use tokio::io::AsyncWriteExt as _;
@@ -471,7 +471,7 @@
         let mut client = TcpStream::connect(bed.platform).await.unwrap();
         client.write_all(platform("01", "ask", "2.9").as_bytes()).await.unwrap();
         let writing = read_then(&mut bed, "01").await;
-        let begun = format!("{STREAM}{}", dewladder_stand_in::chunk(&event(1)));
+        let begun = format!("{STREAM}{}", dewladder_test_peers::chunk(&event(1)));
         if leaves_first {
             drop(client);
             writing.says(&begun).await;
--- a/tests/crossings_shutdown.rs
+++ b/tests/crossings_shutdown.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use crossing::*;
-use dewladder_stand_in::{body, field, until_close, Line, Peer};
+use dewladder_test_peers::{body, field, until_close, Line, Peer};
 use processes::Port;
 use serde_json::{json, Value};
 use tokio::io::{AsyncBufReadExt as _, BufReader};
@@ -489,12 +489,12 @@
 }
 
 impl Folder {
-    fn new(name: &str, agent: &dewladder_stand_in::Agent, members: &[Value], admin: bool) -> Self {
+    fn new(name: &str, agent: &dewladder_test_peers::Agent, members: &[Value], admin: bool) -> Self {
         let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("crossings-{name}"));
         std::fs::create_dir_all(path.join("shared")).unwrap();
         let list = json!({"revision": 1, "complete": true, "members": members});
         let mut config: Value =
-            serde_json::from_str(&dewladder_stand_in::config(agent.address, &list)).unwrap();
+            serde_json::from_str(&dewladder_test_peers::config(agent.address, &list)).unwrap();
         patient(&mut config);
         let port = Port::new();
         config["listen"] = json!(port.address());
@@ -554,7 +554,7 @@
 #[tokio::test]
 async fn the_word_to_end_twice_and_among_new_configurations_changes_nothing_under_way() {
     let (reader, peer) = (Stepped::saying(READ).await, Peer::start().await);
-    let agent = dewladder_stand_in::Agent::start(nobody()).await;
+    let agent = dewladder_test_peers::Agent::start(nobody()).await;
     agent.tells(None);
     let members = [read(reader.address, "up"), write(peer.address, "up")];
     let folder = Folder::new("twice", &agent, &members, true);
@@ -589,7 +589,7 @@
 /// that has come meanwhile is answered.
 #[tokio::test]
 async fn the_word_to_end_before_it_is_ready_ends_it_in_good_order() {
-    let agent = dewladder_stand_in::Agent::start(nobody()).await;
+    let agent = dewladder_test_peers::Agent::start(nobody()).await;
     agent.tells(None);
     let folder = Folder::new("unready", &agent, &[], true);
     let mut program = folder.start();
@@ -605,7 +605,7 @@
 /// SIGTERM at any moment of the start: it ends by itself, in good order or by the signal, and never fails.
 #[tokio::test]
 async fn the_word_to_end_at_any_moment_of_the_start_ends_it() {
-    let agent = dewladder_stand_in::Agent::start(nobody()).await;
+    let agent = dewladder_test_peers::Agent::start(nobody()).await;
     let folder = Folder::new("start", &agent, &[], true);
     for wait in [0, 1, 2, 4, 8, 16, 32] {
         let program = folder.start();
@@ -621,7 +621,7 @@
 #[tokio::test]
 async fn a_process_that_waits_for_its_turn_ends_at_once_when_told() {
     let (reader, writer) = (Stepped::saying(READ).await, Stepped::saying(&stream("x")).await);
-    let agent = dewladder_stand_in::Agent::start(nobody()).await;
+    let agent = dewladder_test_peers::Agent::start(nobody()).await;
     agent.tells(None);
     let members = [read(reader.address, "up"), write(writer.address, "up")];
     let folder = Folder::new("waiting", &agent, &members, true);
@@ -634,7 +634,7 @@
     third.tell("-TERM");
     assert_eq!(third.ended().await.0, Some(0));
     for at in 0..4 {
-        let text = dewladder_stand_in::platform(&format!("0{at}"), "book", "8.000");
+        let text = dewladder_test_peers::platform(&format!("0{at}"), "book", "8.000");
         let answer = until_close(folder.port.address(), &text).await;
         assert!(status(&answer) == 200 && body(&answer).1, "{answer:?}");
     }
--- a/tests/listed/mod.rs
+++ b/tests/listed/mod.rs
@@ -9,7 +9,7 @@
 use dewladder::edge::balancers::Health;
 use dewladder::edge::dispatcher::{Dispatcher, Retuning};
 use dewladder::edge::settings::{Config, Fronts};
-use dewladder_stand_in::{config, plain, platform, until_close, Does, Line, Message, Peer, Server};
+use dewladder_test_peers::{config, plain, platform, until_close, Does, Line, Message, Peer, Server};
 use serde_json::{json, Value};
 use tokio::sync::{oneshot, watch};
 use tokio::task::JoinHandle;
@@ -25,7 +25,7 @@
 
 /// A server that takes whole requests, as the list names it.
 pub fn entry(address: SocketAddr, id: u32, phase: &str) -> Value {
-    dewladder_stand_in::member(address, id, "both", phase)
+    dewladder_test_peers::member(address, id, "both", phase)
 }
 
 /// The whole list, or what has changed in it.
--- a/tests/local_connect_failures.rs
+++ b/tests/local_connect_failures.rs
@@ -8,7 +8,7 @@
 use dewladder::edge::settings::Config;
 use dewladder::edge::stats::Figures;
 use dewladder::interface::Outcome;
-use dewladder_stand_in::{config, message};
+use dewladder_test_peers::{config, message};
 use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
 use serde_json::json;
 use socket2::{Domain, Socket, Type};
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -12,7 +12,7 @@
 use dewladder::edge::clients::listener::{self, Phase};
 use dewladder::edge::clients::room::Room;
 use dewladder::edge::stats::Figures;
-use dewladder_stand_in::{Fault, Fleet, Shape};
+use dewladder_test_peers::{Fault, Fleet, Shape};
 use processes::Port;
 use serde_json::{json, Value};
 use stand_in::{field, platform, talk, until_close};
--- a/tests/own_sites.rs
+++ b/tests/own_sites.rs
@@ -14,7 +14,7 @@
 use dewladder::edge::dispatcher::Dispatcher;
 use dewladder::edge::settings::{Config, Fronts};
 use dewladder_router::interface::{DedupGroup, Effect, Micros, Role};
-use dewladder_stand_in::Peer;
+use dewladder_test_peers::Peer;
 use serde_json::{json, Value};
 use stand_in::{platform, until_close, Agent, Does, Server};
 use tokio::sync::{oneshot, watch};
@@ -446,7 +446,7 @@
     async fn start(site: &Site, draw: Draw, servers: &[Place], change: impl Fn(&mut Value)) -> Self {
         let member = |(at, &(address, kind, zone)): (usize, &Place)| {
             let kind = text(&site.file["tier"][0]["kind"][kind]["name"]);
-            let mut member = dewladder_stand_in::member(address, at as u32 + 1, kind, "up");
+            let mut member = dewladder_test_peers::member(address, at as u32 + 1, kind, "up");
             member["locality"] = json!(site.zone(zone));
             member["cell"] = json!(zone);
             member
--- a/tests/processes/mod.rs
+++ b/tests/processes/mod.rs
@@ -6,7 +6,7 @@
 use std::process::Stdio;
 use std::time::Duration;
 
-use dewladder_stand_in::{config, until_close, Fleet, Net, Shape};
+use dewladder_test_peers::{config, until_close, Fleet, Net, Shape};
 use serde_json::{json, Value};
 use socket2::{Domain, Socket, Type};
 use tokio::io::{AsyncBufReadExt as _, BufReader};
--- a/tests/replica.rs
+++ b/tests/replica.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use dewladder_stand_in::talk;
+use dewladder_test_peers::talk;
 use processes::{Cluster, KEY};
 use serde_json::json;
 use tokio::time::sleep;
--- a/tests/requests_in_pieces.rs
+++ b/tests/requests_in_pieces.rs
@@ -7,7 +7,7 @@
 
 use dewladder::edge::dispatcher::Dispatcher;
 use dewladder::edge::settings::{Config, Fronts};
-use dewladder_stand_in::Line;
+use dewladder_test_peers::Line;
 use serde_json::{json, Value};
 use stand_in::{body, config, event, member, Agent, Does, Server, FRONTS, LAST_EVENTS};
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
--- a/tests/servers_bed/mod.rs
+++ b/tests/servers_bed/mod.rs
@@ -11,7 +11,7 @@
 
 use dewladder::edge::dispatcher::Dispatcher;
 use dewladder::edge::settings::{Config, Fronts};
-use dewladder_stand_in::{
+use dewladder_test_peers::{
     chunk, config, event, field, member, plain, platform, until_close, Agent, LAST_EVENTS,
 };
 use serde_json::{json, Value};
--- a/tests/silent_releases.rs
+++ b/tests/silent_releases.rs
@@ -8,7 +8,7 @@
 use dewladder::edge::servers::{self, Attempt, Payload, Servers};
 use dewladder::edge::settings::Config;
 use dewladder::edge::stats::Figures;
-use dewladder_stand_in::{config, message, plain};
+use dewladder_test_peers::{config, message, plain};
 use serde_json::json;
 use tokio::io::AsyncWriteExt as _;
 use tokio::net::{TcpListener, TcpStream};
--- a/tests/stand_in/mod.rs
+++ b/tests/stand_in/mod.rs
@@ -7,7 +7,7 @@
 use dewladder::edge::dispatcher::Dispatcher;
 use dewladder::edge::settings::{Config, Fronts};
 #[allow(unused_imports)]
-pub use dewladder_stand_in::{
+pub use dewladder_test_peers::{
     body, chat, config, event, field, platform, post, talk, until_close, Agent, Does, Fault, Fleet, Server,
     Shape, LAST_EVENTS,
 };
@@ -17,7 +17,7 @@
 use tokio::time::sleep;
 
 pub fn member(server: &Server, id: u32, kind: &str, phase: &str) -> Value {
-    dewladder_stand_in::member(server.address, id, kind, phase)
+    dewladder_test_peers::member(server.address, id, kind, phase)
 }
 
 /// A reader, a writer, an agent and a dispatcher with both fronts.
--- a/tests/streams_in_time.rs
+++ b/tests/streams_in_time.rs
@@ -8,7 +8,7 @@
 
 use dewladder::edge::dispatcher::Dispatcher;
 use dewladder::edge::settings::{Config, Fronts};
-use dewladder_stand_in::chunk;
+use dewladder_test_peers::chunk;
 use serde_json::json;
 use stand_in::{body, chat, config, platform, Agent, Does, Server, LAST_EVENTS};
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
@@ -39,7 +39,7 @@
         let at = writer.local_addr().unwrap();
         let members = [
             stand_in::member(&reader, 1, "prefill", "up"),
-            dewladder_stand_in::member(at, 2, "decode", "up"),
+            dewladder_test_peers::member(at, 2, "decode", "up"),
         ];
         let list = json!({"revision": 1, "complete": true, "members": members});
         let agent = Agent::start(list.clone()).await;
--- a/tests/third_deployment.rs
+++ b/tests/third_deployment.rs
@@ -33,7 +33,7 @@
 }
 
 fn member(server: &Server, id: u32, kind: &str) -> Value {
-    let mut member = dewladder_stand_in::member(server.address, id, kind, "up");
+    let mut member = dewladder_test_peers::member(server.address, id, kind, "up");
     member["locality"] = json!("loft");
     member
 }
--- a/tests/trials/mod.rs
+++ b/tests/trials/mod.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use dewladder_stand_in::{body, field, Fleet, Shape};
+use dewladder_test_peers::{body, field, Fleet, Shape};
 use rand_core::{RngCore as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
--- a/tests/written_errors.rs
+++ b/tests/written_errors.rs
@@ -9,7 +9,7 @@
 use axum::http::{HeaderMap, Response, StatusCode};
 use dewladder::edge::clients::problem::{json_answer, told, with_id, Problem};
 use dewladder::interface::RequestId;
-use dewladder_ledger::{Admission, DeferReason, RejectReason};
+use dewladder_idempotency::{Admission, DeferReason, RejectReason};
 use golden_file::assert_golden;
 use http_body_util::BodyExt as _;
 use serde_json::json;
