--- a/benches/scale/configuration.rs
+++ b/benches/scale/configuration.rs
@@ -31,8 +31,8 @@
         (now, turn) = (now + 1_000_000, turn + 1);
         let mut settings = config.settings.clone();
         // Every class differs: each goes on under a new number.
-        settings.classes.values_mut().for_each(|class| class.aim += turn);
-        core.step(now, Input::Retuned(Box::new(settings)));
+        settings.classes.values_mut().for_each(|class| class.latency_objective += turn);
+        core.step(now, Input::SettingsReloaded(Box::new(settings)));
     });
     Ok(ConfigurationSample { servers, classes, bytes: text.len() as u64, read, taken_over })
 }
--- a/benches/scale/decisions.rs
+++ b/benches/scale/decisions.rs
@@ -61,9 +61,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
     Timer(TimerToken),
-    Ends(RequestId, u32, EngineId, Micros),
-    Begins(RequestId, u32, EngineId, Micros),
-    Streamed(RequestId, u32, EngineId, Micros),
+    Ends(RequestId, u32, ServerId, Micros),
+    Begins(RequestId, u32, ServerId, Micros),
+    Streamed(RequestId, u32, ServerId, Micros),
     Arrives,
 }
 
@@ -133,13 +133,13 @@
         u64::from(server) * 37 % 100 < u64::from(self.size.cold_percent)
     }
 
-    fn entries(&self) -> Vec<Entry> {
+    fn entries(&self) -> Vec<ServerEntry> {
         let started = |server| self.cold(server).then_some(999 * SECOND);
         (0..self.size.servers).map(|server| shape::entry(server, started(server))).collect()
     }
 
     fn list(&mut self) -> Duration {
-        let event = Event::Roster { how: ListKind::Whole, entries: self.entries() };
+        let event = Event::EndpointsUpdated { how: ListUpdateKind::Full, entries: self.entries() };
         self.tell(event, None)
     }
 
@@ -159,24 +159,24 @@
         }
         for action in actions {
             match action {
-                Action::Assign { id, engine, .. } => self.assigned(id, engine),
-                Action::Defer { delay, token } => self.plan(self.now + delay, Due::Timer(token)),
-                Action::Refuse { id, .. } | Action::GiveUp(id) => self.over(id, false),
-                Action::Tell(_) => self.told += 1,
+                Action::Assign { id, server, .. } => self.assigned(id, server),
+                Action::StartTimer { delay, token } => self.plan(self.now + delay, Due::Timer(token)),
+                Action::Reject { id, .. } | Action::Fail(id) => self.over(id, false),
+                Action::PublishGossip(_) => self.told += 1,
                 _ => {}
             }
         }
         took
     }
 
-    fn assigned(&mut self, id: RequestId, engine: EngineId) {
+    fn assigned(&mut self, id: RequestId, server: ServerId) {
         let number = self.attempts.entry(id).or_default();
         let attempt = std::mem::replace(number, *number + 1);
         let sent = self.now;
-        if shape::reads(engine.0) {
-            self.plan(sent + READ_TAKES, Due::Ends(id, attempt, engine, sent));
+        if shape::reads(server.0) {
+            self.plan(sent + READ_TAKES, Due::Ends(id, attempt, server, sent));
         } else {
-            self.plan(sent + WRITE_TAKES, Due::Begins(id, attempt, engine, sent));
+            self.plan(sent + WRITE_TAKES, Due::Begins(id, attempt, server, sent));
         }
     }
 
@@ -197,7 +197,7 @@
         let session = lot % 4_000;
         let shared = (lot >> 32) % 200 * ((lot >> 40) % 200) / 200;
         let shares = !session.is_multiple_of(3);
-        let call = Call {
+        let call = RequestInfo {
             id,
             class: session as u32 % self.size.classes,
             session: Some(Key(session)),
@@ -208,16 +208,17 @@
             hint: None,
             not_after: self.now + 5 * SECOND,
         };
-        self.tell(Event::Call(call), Some(id));
+        self.tell(Event::RequestArrived(call), Some(id));
         let gap = SECOND / self.rate;
         let next = self.now + gap / 2 + self.lots.next_u64() % gap;
         self.plan(next, Due::Arrives);
     }
 
-    fn ended(&mut self, id: RequestId, attempt: u32, engine: EngineId, sent: Micros, outcome: Outcome) {
+    fn ended(&mut self, id: RequestId, attempt: u32, server: ServerId, sent: Micros, outcome: Outcome) {
         let (taken, last) = (self.now - sent, outcome == Outcome::Served);
-        let ended = Ended { id, attempt, engine, taken, outcome, kept_tokens: 3_000, last, report: None };
-        self.tell(Event::Ended(ended), Some(id));
+        let ended =
+            AttemptFinished { id, attempt, server, taken, outcome, cached_tokens: 3_000, last, report: None };
+        self.tell(Event::AttemptFinished(ended), Some(id));
     }
 
     fn step(&mut self) {
@@ -225,20 +226,20 @@
         self.now = at;
         match due {
             Due::Timer(token) => {
-                let took = self.tell(Event::Due(token), None);
+                let took = self.tell(Event::TimerFired(token), None);
                 if self.asked > self.size.warm_up {
                     self.sweeps.record(took.as_nanos() as u64).expect("it grows");
                 }
             }
             Due::Arrives => self.arrives(),
-            Due::Ends(id, attempt, engine, sent) => self.ended(id, attempt, engine, sent, Outcome::Read),
-            Due::Begins(id, attempt, engine, sent) => {
+            Due::Ends(id, attempt, server, sent) => self.ended(id, attempt, server, sent, Outcome::Read),
+            Due::Begins(id, attempt, server, sent) => {
                 let taken = self.now - sent;
-                self.tell(Event::Begun { id, attempt, taken }, Some(id));
-                self.plan(self.now + STREAM_TAKES, Due::Streamed(id, attempt, engine, sent));
+                self.tell(Event::FirstToken { id, attempt, taken }, Some(id));
+                self.plan(self.now + STREAM_TAKES, Due::Streamed(id, attempt, server, sent));
             }
-            Due::Streamed(id, attempt, engine, sent) => {
-                self.ended(id, attempt, engine, sent, Outcome::Served);
+            Due::Streamed(id, attempt, server, sent) => {
+                self.ended(id, attempt, server, sent, Outcome::Served);
                 self.over(id, true);
             }
         }
@@ -272,15 +273,15 @@
             let server = at / 2 % play.size.servers;
             let mut entry = shape::entry(server, play.cold(server).then_some(999 * SECOND));
             entry.health = if at.is_multiple_of(2) { Health::Terminating } else { Health::Ready };
-            Event::Roster { how: ListKind::Patch, entries: vec![entry] }
+            Event::EndpointsUpdated { how: ListUpdateKind::Patch, entries: vec![entry] }
         })
     }
 
     fn update_heard(&mut self) -> f64 {
         self.mean(2_000, |play, at| {
-            let server = tag(EngineId(at * 7 % play.size.servers));
+            let server = tag(ServerId(at * 7 % play.size.servers));
             let load = Load::Waits(u64::from(at % 300) * 1_000);
-            Event::Heard(LoadUpdate { server, load, at: play.now }.to_bytes().to_vec())
+            Event::GossipReceived(LoadUpdate { server, load, at: play.now }.to_bytes().to_vec())
         })
     }
 }
--- a/benches/scale/gossip_samples.rs
+++ b/benches/scale/gossip_samples.rs
@@ -31,7 +31,7 @@
         requests: PLAYED,
         warm_up: 0,
     };
-    let mut play = Play::with(size, requests, |settings| settings.peer_price = price);
+    let mut play = Play::with(size, requests, |settings| settings.gossip_price = price);
     play.until_asked(PLAYED);
     let told = play.told() as f64 / PLAYED as f64;
     let sent = told * requests as f64;
--- a/benches/scale/list.rs
+++ b/benches/scale/list.rs
@@ -5,7 +5,7 @@
 
 use dewladder::edge::core::{Core, Input};
 use dewladder::edge::listing::{entries, Answer, Names};
-use dewladder_router::interface::{ListKind, Micros};
+use dewladder_router::interface::{ListUpdateKind, Micros};
 use dewladder_scale::options::{self, OptionsError};
 use dewladder_scale::results::{ListSample, ListTold};
 use dewladder_scale::shape;
@@ -64,9 +64,9 @@
         let start = Instant::now();
         let answer: Answer = serde_json::from_str(text).expect("an answer");
         let listing = answer.listing().expect("a list");
-        let how = if listing.complete { ListKind::Whole } else { ListKind::Patch };
+        let how = if listing.complete { ListUpdateKind::Full } else { ListUpdateKind::Patch };
         let entries = entries(&listing, &self.names).into_iter().map(|(entry, _)| entry).collect();
-        self.core.step(self.now, Input::Listed { how, entries });
+        self.core.step(self.now, Input::EndpointsUpdated { how, entries });
         start.elapsed().as_secs_f64() * 1e6
     }
 
--- a/crates/router/src/admission.rs
+++ b/crates/router/src/admission.rs
@@ -5,7 +5,7 @@
 use crate::eligibility::{self, RepeatScope};
 use crate::end_reason::EndReason;
 use crate::health;
-use crate::interface::{Action, DedupGroup, Effect, EngineId, Key, Micros, Role};
+use crate::interface::{Action, DedupGroup, Effect, Key, Micros, Role, ServerId};
 use crate::overload::is_overloaded;
 use crate::placement::{select_server, WhenFull};
 use crate::records::{HeldState, RequestState, Stage};
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NextStep {
     Send {
-        server: EngineId,
+        server: ServerId,
         stage: Stage,
     },
     /// Its state waits for a writer until the next sweep.
@@ -67,7 +67,7 @@
     held: HeldState,
     rng: &mut impl RngCore,
 ) -> NextStep {
-    let release_at = held.since + state.settings.release_within;
+    let release_at = held.since + state.settings.max_hold_time;
     match select_writer(state, request, held.reader, rng) {
         Some(server) if state.now < release_at => NextStep::Send { server, stage: Stage::Write },
         None if can_wait_for_sweep(state, release_at.min(request.call.not_after)) => NextStep::AwaitWriter,
@@ -101,7 +101,7 @@
     if let Some(server) = select_server(state, request, Role::Mixed, WhenFull::Queue, rng) {
         return NextStep::Send { server, stage: Stage::ReadAndWrite };
     }
-    if state.settings.writers_read {
+    if state.settings.writers_can_read {
         if let Some(server) = select_server(state, request, Role::Writer, WhenFull::Queue, rng) {
             return NextStep::Send { server, stage: Stage::ReadAndWrite };
         }
@@ -127,10 +127,10 @@
 pub(crate) fn final_answer(state: &RoutingState, request: &RequestState, rng: &mut impl RngCore) -> Action {
     let id = request.call.id;
     if !is_retry_harmless(state, request) || request.call.not_after <= state.now {
-        return Action::GiveUp(id);
+        return Action::Fail(id);
     }
     let half_us = state.settings.max_retry_after / 2;
-    Action::Refuse { id, retry_in: half_us + rng.next_u64() % half_us.max(1) }
+    Action::Reject { id, retry_in: half_us + rng.next_u64() % half_us.max(1) }
 }
 
 fn is_retry_harmless(state: &RoutingState, request: &RequestState) -> bool {
@@ -140,7 +140,7 @@
     let Some(class) = state.class(request.call.class) else { return true };
     match class.effect {
         Effect::Idempotent => true,
-        Effect::Deduplicated => class.group == DedupGroup::All,
+        Effect::Deduplicated => class.dedup_group == DedupGroup::All,
         Effect::AtMostOnce => false,
     }
 }
--- a/crates/router/src/attempts.rs
+++ b/crates/router/src/attempts.rs
@@ -39,18 +39,19 @@
     let work = work::estimate(state, call, stage, cached.map_or(0, |prefix| prefix.tokens));
     let reader = request.held_state.and_then(|held| state.fleet.get(held.reader));
     let crosses_cells = reader.is_some_and(|reader| reader.entry.cell != server.entry.cell);
-    let objective_us = state.class(call.class).map_or(0.0, |class| class.aim_for(call.prompt_tokens));
+    let objective_us =
+        state.class(call.class).map_or(0.0, |class| class.latency_objective_for(call.prompt_tokens));
     let failures = request.failed_at.len();
     let timeout_us = attempt_timeout_us(state, server, stage, work.work_tokens, failures, objective_us);
     let timeout_us = if crosses_cells { timeout_us * REMOTE_TIMEOUT_MULTIPLE } else { timeout_us };
     let attempt = Attempt {
         number: request.attempts,
-        server: server.entry.engine,
+        server: server.entry.server,
         stage,
         sent_at: state.now,
         memory_tokens: work.memory_tokens,
         work_tokens: work.work_tokens,
-        expected_queueing_us: state.gossip.believed_us(server.entry.engine, state.now),
+        expected_queueing_us: state.gossip.believed_us(server.entry.server, state.now),
         class: call.class,
         expected_prefix: cached.filter(|_| stage != Stage::Write),
         is_streaming: false,
@@ -67,7 +68,7 @@
 pub(crate) fn record_sent(state: &mut RoutingState, request: &mut RequestState, planned: PlannedAttempt) {
     let PlannedAttempt { attempt, slow_start_per_window, .. } = planned;
     let id: RequestId = request.call.id;
-    let (now, window_us) = (state.now, state.settings.fall_window);
+    let (now, window_us) = (state.now, state.settings.overload_window);
     let unloaded_us_per_token = state.stage(attempt.stage).unloaded_us_per_token;
     if attempt.stage != Stage::Write {
         state.gossip.record_sent(attempt.server, attempt.work_tokens * unloaded_us_per_token);
@@ -99,7 +100,7 @@
         // Also told where the reader is only cut off from that writer: the state may still be pinned.
         Outcome::NoState if request.held_state.take().is_some() => change = HeldStateChange::Release,
         // The time that a state may wait goes on running while connections fail to come up.
-        Outcome::ConnectFailed | Outcome::Moot | Outcome::Unacknowledged => {}
+        Outcome::ConnectFailed | Outcome::NotSent | Outcome::Unacknowledged => {}
         _ => request.held_state = request.held_state.map(|held| HeldState { since: now, ..held }),
     }
     if !matches!(outcome, Outcome::Read | Outcome::Served) {
--- a/crates/router/src/classes.rs
+++ b/crates/router/src/classes.rs
@@ -43,7 +43,7 @@
         in_use: impl Fn(u32) -> bool,
     ) -> BTreeMap<u32, u32> {
         let before = std::mem::take(&mut self.known);
-        let mut heirs = BTreeMap::new();
+        let mut class_renumbering = BTreeMap::new();
         for class in classes {
             let mut of_name = before.iter().filter(|(_, old)| old.name == class.name);
             let same = of_name.clone().find(|(_, old)| !old.retired && **old == class);
@@ -51,7 +51,7 @@
             if same.is_none() {
                 // The newest under this name: numbers only grow.
                 if let Some((&old, _)) = of_name.next_back() {
-                    heirs.insert(number, old);
+                    class_renumbering.insert(number, old);
                 }
                 self.next += 1;
             }
@@ -63,6 +63,6 @@
                 self.known.insert(number, old);
             }
         }
-        heirs
+        class_renumbering
     }
 }
--- a/crates/router/src/eligibility.rs
+++ b/crates/router/src/eligibility.rs
@@ -45,7 +45,7 @@
     if state.now + 2 * state.settings.resolution >= first.sent_at + class.dedup_window {
         return RepeatScope::Nowhere;
     }
-    match class.group {
+    match class.dedup_group {
         DedupGroup::All => RepeatScope::Everywhere,
         DedupGroup::Zone => RepeatScope::Zone(server.entry.zone),
         DedupGroup::Cell => RepeatScope::Cell(server.entry.cell),
@@ -101,7 +101,7 @@
         server.role == self.role
             && is_permitted(state, request, server)
             && (self.includes_unhealthy || health::is_healthy(server, request.call.class, state.now))
-            && (self.includes_failed || !request.failed_at.contains(&server.entry.engine))
+            && (self.includes_failed || !request.failed_at.contains(&server.entry.server))
     }
 }
 
--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Index;
 
-use crate::interface::{Call, CellId, Class, EngineId, Health, Key, Micros, Report, Role, ZoneId};
+use crate::interface::{CellId, Class, Health, Key, Micros, Report, RequestInfo, Role, ServerId, ZoneId};
 use crate::prefix_holders::PrefixHolders;
 use crate::prefix_table::{CachedPrefix, PREFIX_EXPIRY_US};
 use crate::records::{Server, ServerStatistics};
@@ -47,7 +47,7 @@
 /// See the [module](self).
 #[derive(Debug)]
 pub(crate) struct Fleet {
-    servers: BTreeMap<EngineId, Server>,
+    servers: BTreeMap<ServerId, Server>,
     index: FleetIndex,
     holders: PrefixHolders,
     times: FleetTimes,
@@ -97,7 +97,7 @@
     }
 
     /// Changes a server, if it is known.
-    pub(crate) fn change<T>(&mut self, id: EngineId, change: impl FnOnce(&mut Server) -> T) -> Option<T> {
+    pub(crate) fn change<T>(&mut self, id: ServerId, change: impl FnOnce(&mut Server) -> T) -> Option<T> {
         let server = self.servers.get_mut(&id)?;
         let before = IndexedServer::of(server, self.times, self.epoch, self.now);
         let changed = change(server);
@@ -110,7 +110,7 @@
 
     /// A server starts under that number. One that is known keeps its attempts alone, of which the memory is
     /// still to be given back.
-    pub(crate) fn start_server(&mut self, id: EngineId, fresh: Server) {
+    pub(crate) fn start_server(&mut self, id: ServerId, fresh: Server) {
         if !self.servers.contains_key(&id) {
             let indexed = self.indexed(&fresh);
             self.index.add(id, &indexed);
@@ -127,8 +127,8 @@
     }
 
     /// Marks all servers as gone that the list does not name.
-    pub(crate) fn mark_gone_all_but(&mut self, listed: BTreeSet<EngineId>) {
-        let gone: Vec<EngineId> = self.servers.keys().filter(|id| !listed.contains(id)).copied().collect();
+    pub(crate) fn mark_gone_all_but(&mut self, listed: BTreeSet<ServerId>) {
+        let gone: Vec<ServerId> = self.servers.keys().filter(|id| !listed.contains(id)).copied().collect();
         for id in gone {
             self.change(id, |server| server.entry.health = Health::Gone);
         }
@@ -136,11 +136,11 @@
 
     /// Forgets servers that have gone and have no attempts of this dispatcher.
     pub(crate) fn remove_gone(&mut self) {
-        let is_idle = |id: &EngineId| {
+        let is_idle = |id: &ServerId| {
             let server = &self.servers[id];
             server.memory_tokens_in_flight == 0 && server.unanswered.is_empty()
         };
-        let gone: Vec<EngineId> = self.index.gone.iter().copied().filter(is_idle).collect();
+        let gone: Vec<ServerId> = self.index.gone.iter().copied().filter(is_idle).collect();
         for id in gone {
             self.remove_holder(id);
             let Some(server) = self.servers.remove(&id) else { continue };
@@ -150,7 +150,7 @@
         }
     }
 
-    fn remove_holder(&mut self, id: EngineId) {
+    fn remove_holder(&mut self, id: ServerId) {
         let Some(server) = self.servers.get(&id) else { return };
         for (&key, _) in &server.prefixes.sent {
             self.holders.remove(key, id);
@@ -158,7 +158,7 @@
     }
 
     /// A server is sent the prompt of a request.
-    pub(crate) fn record_prefixes(&mut self, id: EngineId, call: &Call) {
+    pub(crate) fn record_prefixes(&mut self, id: ServerId, call: &RequestInfo) {
         let Some(server) = self.servers.get_mut(&id) else { return };
         let dropped = server.prefixes.record(call, self.now);
         for key in call.session.into_iter().chain(call.shared) {
@@ -174,7 +174,7 @@
     /// `max_keys` are kept. What is known to be newer stays.
     pub(crate) fn import_prefixes(
         &mut self,
-        id: EngineId,
+        id: ServerId,
         prefixes: &[(Key, CachedPrefix)],
         max_keys: usize,
     ) {
@@ -194,14 +194,14 @@
     }
 
     /// Keeps a server's load report, if there is one.
-    pub(crate) fn record_report(&mut self, id: EngineId, report: Option<Report>) {
+    pub(crate) fn record_report(&mut self, id: ServerId, report: Option<Report>) {
         let (Some(server), Some(report)) = (self.servers.get_mut(&id), report) else { return };
         server.statistics.report = Some((report, self.now));
     }
 
     /// Classes have new numbers: `previous` has the old number for each new one.
     pub(crate) fn renumber_classes(&mut self, previous: &BTreeMap<u32, u32>, classes: &BTreeMap<u32, Class>) {
-        let suspects: Vec<EngineId> = self.index.suspects.iter().copied().collect();
+        let suspects: Vec<ServerId> = self.index.suspects.iter().copied().collect();
         for id in suspects {
             self.change(id, |server| server.statistics.renumber_classes(previous, classes));
         }
@@ -218,7 +218,7 @@
 
     // ---- Questions about one server, or some ----
 
-    pub(crate) fn get(&self, id: EngineId) -> Option<&Server> {
+    pub(crate) fn get(&self, id: ServerId) -> Option<&Server> {
         self.servers.get(&id)
     }
 
@@ -228,7 +228,7 @@
     }
 
     /// The numbers of all servers, in their order.
-    pub(crate) fn ids(&self) -> impl Iterator<Item = EngineId> + '_ {
+    pub(crate) fn ids(&self) -> impl Iterator<Item = ServerId> + '_ {
         self.servers.keys().copied()
     }
 
@@ -237,19 +237,19 @@
     }
 
     /// Those of some servers that are known, each once, in the order of their numbers.
-    pub(crate) fn known_of(&self, ids: &[EngineId]) -> impl Iterator<Item = &Server> {
-        let ids: BTreeSet<EngineId> = ids.iter().copied().collect();
+    pub(crate) fn known_of(&self, ids: &[ServerId]) -> impl Iterator<Item = &Server> {
+        let ids: BTreeSet<ServerId> = ids.iter().copied().collect();
         ids.into_iter().filter_map(|id| self.get(id))
     }
 
     /// Servers whose tables may hold a prefix of a request, and one more.
     pub(crate) fn prefix_holders_and(
         &self,
-        one_more: EngineId,
-        call: &Call,
+        one_more: ServerId,
+        call: &RequestInfo,
     ) -> impl Iterator<Item = &Server> {
         let keys = call.session.into_iter().chain(call.shared);
-        let holders: Vec<EngineId> =
+        let holders: Vec<ServerId> =
             keys.flat_map(|key| self.holders.servers(key)).chain([one_more]).collect();
         self.known_of(&holders)
     }
@@ -287,9 +287,9 @@
     }
 
     /// Servers of a role that take work and pass a test, in the order of their numbers.
-    pub(crate) fn ready_passing(&self, role: Role, test: impl Fn(&Server) -> bool) -> Vec<EngineId> {
+    pub(crate) fn ready_passing(&self, role: Role, test: impl Fn(&Server) -> bool) -> Vec<ServerId> {
         let passing = self.ready(role).filter(|server| test(server));
-        let mut passing: Vec<EngineId> = passing.map(|server| server.entry.engine).collect();
+        let mut passing: Vec<ServerId> = passing.map(|server| server.entry.server).collect();
         passing.sort_unstable();
         passing
     }
@@ -363,10 +363,10 @@
     }
 }
 
-impl Index<EngineId> for Fleet {
+impl Index<ServerId> for Fleet {
     type Output = Server;
 
-    fn index(&self, id: EngineId) -> &Server {
+    fn index(&self, id: ServerId) -> &Server {
         &self.servers[&id]
     }
 }
--- a/crates/router/src/fleet/index.rs
+++ b/crates/router/src/fleet/index.rs
@@ -7,7 +7,7 @@
 
 use ordered_float::OrderedFloat;
 
-use crate::interface::{CellId, EngineId, Health, Micros, Role, ZoneId};
+use crate::interface::{CellId, Health, Micros, Role, ServerId, ZoneId};
 use crate::rate_sum::RateSum;
 use crate::records::stage::STAGES;
 use crate::records::Server;
@@ -95,7 +95,7 @@
 /// A server that takes work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ReadyServer {
-    pub(crate) id: EngineId,
+    pub(crate) id: ServerId,
     pub(crate) zone: ZoneId,
     /// A fixed hash of its number.
     pub(crate) hash: u64,
@@ -104,7 +104,7 @@
 /// A server in slow start that takes work.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct SlowStartingServer {
-    id: EngineId,
+    id: ServerId,
     pub(crate) started: Option<Micros>,
     pub(crate) budget: SlowStartBudget,
 }
@@ -163,7 +163,7 @@
         }
     }
 
-    fn set_slow_starting(&mut self, id: EngineId, of: &IndexedServer, operation: Operation) {
+    fn set_slow_starting(&mut self, id: ServerId, of: &IndexedServer, operation: Operation) {
         let server = SlowStartingServer { id, started: of.started, budget: of.slow_start_budget };
         match (self.slow_starting.binary_search_by_key(&id, |other| other.id), operation) {
             (Err(position), Operation::Add) => self.slow_starting.insert(position, server),
@@ -181,7 +181,7 @@
     pub(super) serving_ready: usize,
     pub(super) us_per_token: SortedValues,
     /// By what they queued, as of the common time.
-    pub(super) by_queueing: BTreeSet<(OrderedFloat<f64>, EngineId)>,
+    pub(super) by_queueing: BTreeSet<(OrderedFloat<f64>, ServerId)>,
 }
 
 /// Servers of a cell that take work, by role, in the order of their numbers.
@@ -219,12 +219,12 @@
     pub(super) roles: [RoleIndex; ROLES],
     pub(super) stages: [StageIndex; STAGES],
     pub(super) cells: BTreeMap<CellId, CellIndex>,
-    pub(super) busy: BTreeSet<EngineId>,
+    pub(super) busy: BTreeSet<ServerId>,
     /// Servers that have failed requests of some class since they last served one.
-    pub(super) suspects: BTreeSet<EngineId>,
-    pub(super) gone: BTreeSet<EngineId>,
+    pub(super) suspects: BTreeSet<ServerId>,
+    pub(super) gone: BTreeSet<ServerId>,
     /// Servers in slow start, by the end of it.
-    pub(super) warming: BTreeSet<(Micros, EngineId)>,
+    pub(super) warming: BTreeSet<(Micros, ServerId)>,
 }
 
 impl FleetIndex {
@@ -241,19 +241,19 @@
     }
 
     /// Adds a server that was not there.
-    pub(super) fn add(&mut self, id: EngineId, server: &IndexedServer) {
+    pub(super) fn add(&mut self, id: ServerId, server: &IndexedServer) {
         self.count(id, server, Operation::Add);
         self.order(id, server, Operation::Add);
     }
 
     /// Removes a server, as it was added.
-    pub(super) fn remove(&mut self, id: EngineId, server: &IndexedServer) {
+    pub(super) fn remove(&mut self, id: ServerId, server: &IndexedServer) {
         self.count(id, server, Operation::Remove);
         self.order(id, server, Operation::Remove);
     }
 
     /// Replaces what is kept of a server, as far as it differs.
-    pub(super) fn replace(&mut self, id: EngineId, before: &IndexedServer, after: &IndexedServer) {
+    pub(super) fn replace(&mut self, id: ServerId, before: &IndexedServer, after: &IndexedServer) {
         if before.us_per_token != after.us_per_token || before.queueing != after.queueing {
             self.order(id, before, Operation::Remove);
             self.order(id, after, Operation::Add);
@@ -267,7 +267,7 @@
     }
 
     /// Replaces what attempts change of a server that is otherwise as it was: the common case, kept cheap.
-    fn replace_load(&mut self, id: EngineId, before: &IndexedServer, after: &IndexedServer) {
+    fn replace_load(&mut self, id: ServerId, before: &IndexedServer, after: &IndexedServer) {
         let role = &mut self.roles[after.role as usize];
         role.memory_tokens_in_flight =
             role.memory_tokens_in_flight - before.memory_tokens_in_flight + after.memory_tokens_in_flight;
@@ -284,7 +284,7 @@
         }
     }
 
-    fn count(&mut self, id: EngineId, server: &IndexedServer, operation: Operation) {
+    fn count(&mut self, id: ServerId, server: &IndexedServer, operation: Operation) {
         let role = &mut self.roles[server.role as usize];
         operation.count(&mut role.known);
         role.memory_tokens_in_flight = match operation {
@@ -311,7 +311,7 @@
         }
     }
 
-    fn count_ready(&mut self, id: EngineId, server: &IndexedServer, operation: Operation) {
+    fn count_ready(&mut self, id: ServerId, server: &IndexedServer, operation: Operation) {
         let role = &mut self.roles[server.role as usize];
         operation.count(&mut role.ready);
         let in_zone = role.zones.entry(server.zone).or_default();
@@ -334,7 +334,7 @@
     }
 
     /// Puts a server's pace and queueing into their orders, or takes them out.
-    fn order(&mut self, id: EngineId, server: &IndexedServer, operation: Operation) {
+    fn order(&mut self, id: ServerId, server: &IndexedServer, operation: Operation) {
         for (stage, of_stage) in self.stages.iter_mut().enumerate() {
             match (server.us_per_token[stage], operation) {
                 (Some(us_per_token), Operation::Add) => of_stage.us_per_token.insert(us_per_token),
--- a/crates/router/src/gossip.rs
+++ b/crates/router/src/gossip.rs
@@ -8,7 +8,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::interface::{Action, EngineId, Micros, Settings};
+use crate::interface::{Action, Micros, ServerId, Settings};
 use crate::statistics::mix;
 
 /// The checksum starts from it, so that updates of another version do not pass.
@@ -48,8 +48,8 @@
 
 /// The part of a server's id that updates name it by. Two servers with one tag share what is said of either.
 #[must_use]
-pub fn tag(engine: EngineId) -> u16 {
-    mix(u64::from(engine.0)) as u16
+pub fn tag(server: ServerId) -> u16 {
+    mix(u64::from(server.0)) as u16
 }
 
 fn to_steps(amount: Micros) -> u8 {
@@ -129,7 +129,7 @@
 /// Something to tell of a server, in the current step.
 #[derive(Clone, Copy, Debug)]
 struct News {
-    server: EngineId,
+    server: ServerId,
     load: Load,
 }
 
@@ -167,12 +167,12 @@
 
 impl GossipCosts {
     fn new(settings: &Settings) -> Self {
-        let receivers = f64::from(settings.balancers.saturating_sub(1));
-        let price = settings.peer_price * receivers * UPDATE_BYTES as f64 / PRICED_BYTES;
+        let receivers = f64::from(settings.dispatcher_count.saturating_sub(1));
+        let price = settings.gossip_price * receivers * UPDATE_BYTES as f64 / PRICED_BYTES;
         Self {
-            is_enabled: settings.peers && settings.balancers > 1,
-            min_queue_step_us: QUEUE_NEWS_SHARE_OF_OBJECTIVE * settings.shortest_aim(),
-            min_work_us: WORK_NEWS_SHARE_OF_OBJECTIVE * settings.shortest_aim(),
+            is_enabled: settings.peers && settings.dispatcher_count > 1,
+            min_queue_step_us: QUEUE_NEWS_SHARE_OF_OBJECTIVE * settings.shortest_latency_objective(),
+            min_work_us: WORK_NEWS_SHARE_OF_OBJECTIVE * settings.shortest_latency_objective(),
             credit_per_request: (MAX_COST_SHARE / price.max(f64::MIN_POSITIVE)).min(1.0),
         }
     }
@@ -210,7 +210,7 @@
     }
 
     /// How much work is believed to wait at a server (us).
-    pub(crate) fn believed_us(&self, server: EngineId, now: Micros) -> f64 {
+    pub(crate) fn believed_us(&self, server: ServerId, now: Micros) -> f64 {
         self.believed_of_tag(tag(server), now)
     }
 
@@ -220,14 +220,14 @@
     }
 
     /// This dispatcher sends so much work there (us).
-    pub(crate) fn record_sent(&mut self, server: EngineId, work_us: f64) {
+    pub(crate) fn record_sent(&mut self, server: ServerId, work_us: f64) {
         if self.costs.is_enabled {
             self.pending.push(News { server, load: Load::Sent(work_us as Micros) });
         }
     }
 
     /// This dispatcher has seen work queue at a server for so long, where so much was expected to (us).
-    pub(crate) fn record_queueing(&mut self, server: EngineId, queueing_us: f64, expected_us: f64) {
+    pub(crate) fn record_queueing(&mut self, server: ServerId, queueing_us: f64, expected_us: f64) {
         if self.costs.is_enabled && self.costs.is_queue_news(queueing_us, expected_us) {
             self.pending.push(News { server, load: Load::Waits(queueing_us as Micros) });
         }
@@ -246,7 +246,7 @@
             if is_news && self.credit >= 1.0 {
                 self.credit -= 1.0;
                 self.counts.sent += 1;
-                actions.push(Action::Tell(update.to_bytes().to_vec()));
+                actions.push(Action::PublishGossip(update.to_bytes().to_vec()));
             }
             if is_news || matches!(load, Load::Sent(_)) {
                 self.believe(update, now);
@@ -281,7 +281,7 @@
     }
 
     /// These servers are on the list; others are forgotten.
-    pub(crate) fn set_servers(&mut self, servers: impl Iterator<Item = EngineId>) {
+    pub(crate) fn set_servers(&mut self, servers: impl Iterator<Item = ServerId>) {
         self.listed = servers.map(tag).collect();
         self.beliefs.retain(|tag, _| self.listed.contains(tag));
     }
--- a/crates/router/src/handover.rs
+++ b/crates/router/src/handover.rs
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::interface::{EngineId, Key, Micros};
+use crate::interface::{Key, Micros, ServerId};
 use crate::prefix_table::{CachedPrefix, PREFIX_KEYS};
 use crate::records::{Server, StageStatistics};
 use crate::routing_state::RoutingState;
@@ -155,7 +155,7 @@
         // The table has the newest first.
         let oldest_first = server.prefixes.sent.iter().rev().filter(|(_, prefix)| prefix.sent_at >= since);
         Self {
-            id: server.entry.engine.0,
+            id: server.entry.server.0,
             started: server.entry.started,
             us_per_token: server.statistics.us_per_token.clone(),
             served_per_second: server.statistics.served_per_second.clone(),
@@ -181,7 +181,7 @@
     }
 
     fn import(self, state: &mut RoutingState) {
-        let (id, now) = (EngineId(self.id), state.now);
+        let (id, now) = (ServerId(self.id), state.now);
         if state.fleet.get(id).is_none_or(|server| server.entry.started != self.started) {
             return;
         }
--- a/crates/router/src/interface.rs
+++ b/crates/router/src/interface.rs
@@ -16,7 +16,7 @@
 
 /// A server. Says nothing of zone, kind or age.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct EngineId(pub u32);
+pub struct ServerId(pub u32);
 
 /// A failure domain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -83,25 +83,25 @@
     /// Its name.
     pub name: String,
     /// How long a client waits for the first token where it does not say so.
-    pub give_up: Micros,
+    pub default_timeout: Micros,
     /// Most attempts for a request.
     pub max_attempts: u32,
     /// No new request has it: it is kept for those that are open.
     pub retired: bool,
     /// First token wanted within this time.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// Added to the aim for each 1,000 prompt tokens.
-    pub aim_per_1000_tokens: Micros,
+    pub latency_objective_per_1000_tokens: Micros,
     /// Wanted time between tokens, if told.
-    pub token_aim: Micros,
+    pub token_interval_objective: Micros,
     /// Whether repeating does harm.
     pub effect: Effect,
     /// Which servers drop repeats.
-    pub group: DedupGroup,
+    pub dedup_group: DedupGroup,
     /// How long they remember, from the send of the first attempt that may have run.
     pub dedup_window: Micros,
     /// Worth of a request, or of a unit of its work.
-    pub worth: f64,
+    pub priority_weight: f64,
 }
 
 /// A kind of server.
@@ -117,7 +117,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Number of fronts.
-    pub balancers: u32,
+    pub dispatcher_count: u32,
     /// This front's own zone.
     pub zone: ZoneId,
     /// The classes of requests, by number.
@@ -127,38 +127,39 @@
     /// The list of servers must be asked for.
     pub must_subscribe: bool,
     /// Without asking for this long, a front counts as told.
-    pub must_ask_in: Micros,
+    pub max_list_age: Micros,
     /// Calling off an attempt is allowed.
     pub may_cancel: bool,
     /// Messages to other fronts are allowed.
     pub peers: bool,
     /// Price of 256 bytes delivered for each first try, in shares of the whole result.
-    pub peer_price: f64,
+    pub gossip_price: f64,
     /// A writer reads a prompt itself when there is no state to fetch.
-    pub writers_read: bool,
+    pub writers_can_read: bool,
     /// Longest advice a client follows.
     pub max_retry_after: Micros,
     /// A state or place must be taken or let go within this.
-    pub release_within: Micros,
+    pub max_hold_time: Micros,
     /// Shortest time between two batches of events.
     pub resolution: Micros,
     /// A starting server has at least this share of its capacity.
-    pub cold_from: f64,
+    pub slow_start_min_share: f64,
     /// And is warm after this.
-    pub cold_for: Micros,
+    pub slow_start_window: Micros,
     /// The report field that holds the share of a server's memory held, where the settings name one.
     pub memory_field: Option<usize>,
     /// Sent more than this many times its present capacity...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ...for this long, a cold server falls over.
-    pub fall_window: Micros,
+    pub overload_window: Micros,
 }
 
 impl Class {
     /// The aim for the first token of a prompt of so many tokens (us): reading a long one takes longer.
     #[must_use]
-    pub fn aim_for(&self, prompt_tokens: u64) -> f64 {
-        self.aim as f64 + self.aim_per_1000_tokens as f64 * prompt_tokens as f64 / 1_000.0
+    pub fn latency_objective_for(&self, prompt_tokens: u64) -> f64 {
+        self.latency_objective as f64
+            + self.latency_objective_per_1000_tokens as f64 * prompt_tokens as f64 / 1_000.0
     }
 }
 
@@ -170,8 +171,8 @@
 
     /// The shortest aim of any class (us).
     #[must_use]
-    pub fn shortest_aim(&self) -> f64 {
-        self.current().map(|class| class.aim).min().unwrap_or(1_000_000) as f64
+    pub fn shortest_latency_objective(&self) -> f64 {
+        self.current().map(|class| class.latency_objective).min().unwrap_or(1_000_000) as f64
     }
 }
 
@@ -188,9 +189,9 @@
 
 /// An entry of the list of servers.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct ServerEntry {
     /// Which server.
-    pub engine: EngineId,
+    pub server: ServerId,
     /// Its zone.
     pub zone: ZoneId,
     /// Its cell.
@@ -207,20 +208,20 @@
 
 /// How a list update is to be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListKind {
+pub enum ListUpdateKind {
     /// Only changed entries.
     Patch,
     /// The whole list; what is not in it has gone.
-    Whole,
+    Full,
     /// The whole list as this front last had it.
     StaleCopy,
     /// A call failed; the old list stands.
-    Broken,
+    Failed,
 }
 
 /// A client's request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Call {
+pub struct RequestInfo {
     /// Its id.
     pub id: RequestId,
     /// Its class, by number.
@@ -265,7 +266,7 @@
     /// Called off; it might have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
     /// Not known to this version; it might have run.
     Unknown,
 }
@@ -274,7 +275,7 @@
     /// Whether the attempt may have run.
     #[must_use]
     pub fn may_have_run(self) -> bool {
-        !matches!(self, Self::Read | Self::Full | Self::NoState | Self::ConnectFailed | Self::Moot)
+        !matches!(self, Self::Read | Self::Full | Self::NoState | Self::ConnectFailed | Self::NotSent)
     }
 }
 
@@ -307,19 +308,19 @@
 
 /// How an attempt has ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ended {
+pub struct AttemptFinished {
     /// The request.
     pub id: RequestId,
     /// Which attempt.
     pub attempt: u32,
     /// The server that it went to.
-    pub engine: EngineId,
+    pub server: ServerId,
     /// Time since it was sent.
     pub taken: Micros,
     /// How it ended.
     pub outcome: Outcome,
     /// Prompt tokens found kept (with `Read` and `Served`).
-    pub kept_tokens: u64,
+    pub cached_tokens: u64,
     /// The request is over.
     pub last: bool,
     /// The server's load report, if one came along.
@@ -330,16 +331,16 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// News of the list of servers.
-    Roster {
+    EndpointsUpdated {
         /// How to read the entries.
-        how: ListKind,
+        how: ListUpdateKind,
         /// The entries.
-        entries: Vec<Entry>,
+        entries: Vec<ServerEntry>,
     },
     /// A client asks.
-    Call(Call),
+    RequestArrived(RequestInfo),
     /// The answer has begun to stream.
-    Begun {
+    FirstToken {
         /// The request.
         id: RequestId,
         /// Which attempt.
@@ -348,24 +349,24 @@
         taken: Micros,
     },
     /// An attempt has ended.
-    Ended(Ended),
+    AttemptFinished(AttemptFinished),
     /// The client has left.
-    Hangup(RequestId),
+    ClientDisconnected(RequestId),
     /// A timer is due.
-    Due(TimerToken),
+    TimerFired(TimerToken),
     /// A message of another front.
-    Heard(Vec<u8>),
+    GossipReceived(Vec<u8>),
     /// The settings have changed.
-    Retuned {
+    SettingsReloaded {
         /// What holds from now on.
         settings: Box<Settings>,
         /// For classes with a new number, the one that they had before.
-        heirs: BTreeMap<u32, u32>,
+        class_renumbering: BTreeMap<u32, u32>,
     },
     /// What the process whose place this one takes has learnt.
-    TakenOver(Box<Handover>),
+    StateImported(Box<Handover>),
     /// The part of its front that this process is from now on: of what all may send, it may send so much.
-    Part(f64),
+    LimitShareChanged(f64),
     /// News that needs no answer from this design: probes, places held ahead.
     Ignored,
 }
@@ -378,30 +379,30 @@
         /// The request.
         id: RequestId,
         /// The server.
-        engine: EngineId,
+        server: ServerId,
         /// The attempt's time-out.
-        patience: Micros,
+        attempt_timeout: Micros,
     },
     /// Refuse: trying again does no harm.
-    Refuse {
+    Reject {
         /// The request.
         id: RequestId,
         /// When the client may come again.
         retry_in: Micros,
     },
     /// Say that it failed.
-    GiveUp(RequestId),
+    Fail(RequestId),
     /// Stop waiting for an attempt.
-    Revoke {
+    CancelAttempt {
         /// The request.
         id: RequestId,
         /// The attempt.
         attempt: u32,
     },
     /// Let go of every state held for the request.
-    LetGo(RequestId),
+    ReleaseHeldState(RequestId),
     /// Ask for a timer.
-    Defer {
+    StartTimer {
         /// How long from now.
         delay: Micros,
         /// Handed back when due.
@@ -410,5 +411,5 @@
     /// Ask for changes of the list.
     Subscribe,
     /// Send a message to all other fronts; it may be lost.
-    Tell(Vec<u8>),
+    PublishGossip(Vec<u8>),
 }
--- a/crates/router/src/learning.rs
+++ b/crates/router/src/learning.rs
@@ -4,7 +4,7 @@
 use rand_core::RngCore;
 
 use crate::averaging::{AVERAGE_HALF_LIFE_US, RATE_TIME_CONSTANT_US, SAMPLE_WEIGHT};
-use crate::interface::{Call, Ended, Micros, Outcome, RequestId};
+use crate::interface::{AttemptFinished, Micros, Outcome, RequestId, RequestInfo};
 use crate::load::SLOW_MULTIPLE;
 use crate::popularity;
 use crate::prefix_table::PREFIX_KEYS;
@@ -35,7 +35,7 @@
 const MIN_REQUEST_RATE: f64 = 1e-3;
 
 /// A request has come in.
-pub(crate) fn record_request(state: &mut RoutingState, call: &Call) {
+pub(crate) fn record_request(state: &mut RoutingState, call: &RequestInfo) {
     let now = state.now;
     state.request_rate.add(1.0, now, RATE_TIME_CONSTANT_US);
     let window_us = popularity::window_us(state);
@@ -64,7 +64,7 @@
 pub(crate) fn record_end(
     state: &mut RoutingState,
     mut attempt: Attempt,
-    ended: &Ended,
+    ended: &AttemptFinished,
     prompt_tokens: u64,
     rng: &mut impl RngCore,
 ) {
@@ -72,7 +72,7 @@
     state.fleet.change(attempt.server, |server| {
         server.memory_tokens_in_flight = server.memory_tokens_in_flight.saturating_sub(attempt.memory_tokens);
         if let Some(expected) = attempt.expected_prefix.filter(|_| has_served) {
-            let found = ended.kept_tokens as f64 >= MIN_FOUND_SHARE * expected.tokens as f64;
+            let found = ended.cached_tokens as f64 >= MIN_FOUND_SHARE * expected.tokens as f64;
             server.prefixes.record_lookup(found, expected, attempt.sent_at);
         }
     });
@@ -81,7 +81,7 @@
     }
     record_answered(state, ended.id, &attempt);
     if ended.outcome == Outcome::Read {
-        let unread_tokens = prompt_tokens.saturating_sub(ended.kept_tokens);
+        let unread_tokens = prompt_tokens.saturating_sub(ended.cached_tokens);
         attempt.work_tokens = unread_tokens as f64 + READ_OVERHEAD_TOKENS;
     }
     if has_served {
@@ -154,7 +154,7 @@
             record_stage_queueing(state, stage, state.shortest_objective_us);
             return;
         }
-        Outcome::NoState | Outcome::Cancelled | Outcome::Moot => return,
+        Outcome::NoState | Outcome::Cancelled | Outcome::NotSent => return,
         Outcome::Timeout => {
             record_cell_timeout(state, attempt);
             let queueing_us = MAX_QUEUEING_OBJECTIVES * state.shortest_objective_us;
--- a/crates/router/src/load.rs
+++ b/crates/router/src/load.rs
@@ -45,7 +45,7 @@
 /// mean of the pool, as far above or below it as own work shows. With many own samples this comes near own
 /// work times dispatchers; with few it stays near the mean: one own request does not look like a full server.
 fn across_dispatchers(state: &RoutingState, own: f64, mean: f64, typical: f64) -> f64 {
-    let others = f64::from(state.settings.balancers - 1) * mean;
+    let others = f64::from(state.settings.dispatcher_count - 1) * mean;
     own + others * shrunk_ratio(own, mean, PRIOR_REQUESTS * typical)
 }
 
--- a/crates/router/src/overload.rs
+++ b/crates/router/src/overload.rs
@@ -44,8 +44,10 @@
 /// far as the class's priority weight is above the lowest, or it would push the others out.
 fn objective_by_priority_us(state: &RoutingState, class: u32) -> f64 {
     let Some(class) = state.class(class) else { return state.shortest_objective_us };
-    let lowest = state.settings.current().map(|class| class.worth).fold(class.worth, f64::min);
-    (class.aim as f64).min(state.shortest_objective_us * class.worth / lowest.max(f64::MIN_POSITIVE))
+    let lowest =
+        state.settings.current().map(|class| class.priority_weight).fold(class.priority_weight, f64::min);
+    (class.latency_objective as f64)
+        .min(state.shortest_objective_us * class.priority_weight / lowest.max(f64::MIN_POSITIVE))
 }
 
 /// The servers by which a stage is judged: those that serve it and answer in time; all that serve it where
@@ -96,7 +98,7 @@
             (WORK_SHARE_WITHOUT_QUEUEING, 1.0)
         };
         let unloaded_us_per_token = self.state.stage(self.stage).unloaded_us_per_token;
-        let dispatchers = f64::from(self.state.settings.balancers);
+        let dispatchers = f64::from(self.state.settings.dispatcher_count);
         let work_us = |server: &Server| {
             let behind_share = 1.0 - attempts_ahead / server.unanswered.len().max(1) as f64;
             let behind_tokens = server.unanswered_tokens[self.stage as usize] * behind_share;
--- a/crates/router/src/pairs.rs
+++ b/crates/router/src/pairs.rs
@@ -107,12 +107,12 @@
 pub fn from_pairs(values: HashMap<&str, &str>) -> Result<Settings, SettingsError> {
     let pairs = Pairs { values };
     let lanes = pairs.get("lanes.count", 0)?;
-    let balancers: u32 = pairs.get("balancers", 1)?;
-    if !(1..=MOST_BALANCERS).contains(&balancers) {
-        return Err(pairs.bad("balancers", &format!("{balancers} is not 1 to {MOST_BALANCERS}")));
+    let dispatcher_count: u32 = pairs.get("balancers", 1)?;
+    if !(1..=MOST_BALANCERS).contains(&dispatcher_count) {
+        return Err(pairs.bad("balancers", &format!("{dispatcher_count} is not 1 to {MOST_BALANCERS}")));
     }
     Ok(Settings {
-        balancers,
+        dispatcher_count,
         zone: ZoneId(pairs.get("locality", 0)?),
         classes: (0..lanes).map(|at| Ok((at, class(&pairs, at)?))).collect::<Result<_, _>>()?,
         kinds: kinds(&pairs)?,
@@ -121,18 +121,18 @@
             "automatic" | "" | "-" => false,
             other => return Err(pairs.bad("discovery", &format!("unknown way '{other}'"))),
         },
-        must_ask_in: pairs.time("rules.must_ask_in_s", 0)?,
+        max_list_age: pairs.time("rules.must_ask_in_s", 0)?,
         may_cancel: pairs.flag("limits.cancel")?,
         peers: pairs.flag("limits.peers")?,
-        peer_price: pairs.price("prices.peer")?,
-        writers_read: pairs.flag("domain.local_read")?,
+        gossip_price: pairs.price("prices.peer")?,
+        writers_can_read: pairs.flag("domain.local_read")?,
         max_retry_after: pairs.time("limits.max_retry_after_s", 0)?,
-        release_within: pairs.time("domain.release_within_s", 0)?,
+        max_hold_time: pairs.time("domain.release_within_s", 0)?,
         resolution: pairs.time("resolution_s", 0)?,
-        cold_from: pairs.within("rules.cold_from", 0.0, 1.0)?,
-        cold_for: pairs.time("rules.cold_s", 0)?,
-        fall_multiple: pairs.within("rules.fall_multiple", 1.0, MOST)?,
-        fall_window: pairs.time("rules.fall_s", 0)?,
+        slow_start_min_share: pairs.within("rules.cold_from", 0.0, 1.0)?,
+        slow_start_window: pairs.time("rules.cold_s", 0)?,
+        overload_multiple: pairs.within("rules.fall_multiple", 1.0, MOST)?,
+        overload_window: pairs.time("rules.fall_s", 0)?,
         memory_field: (0..REPORT_FIELDS)
             .find(|at| pairs.text(&format!("domain.report_x{at}")).replace(' ', "_") == MEMORY_HELD),
     })
@@ -160,16 +160,18 @@
     let name = pairs.text(&path("name"));
     Ok(Class {
         name: if name.is_empty() { at.to_string() } else { name.to_owned() },
-        give_up: pairs.time(&path("give_up_s"), GIVE_UP)?,
+        default_timeout: pairs.time(&path("give_up_s"), GIVE_UP)?,
         max_attempts: pairs.get("limits.max_attempts", u32::MAX)?,
         retired: false,
-        aim: pairs.time(&path("aim_s"), 0)?,
-        aim_per_1000_tokens: whole(pairs.time_at("domain.aim_us_per_1000_prompt_tokens", at as usize)?),
-        token_aim: whole(pairs.time_at("domain.token_aim_s", at as usize)? * 1e6),
+        latency_objective: pairs.time(&path("aim_s"), 0)?,
+        latency_objective_per_1000_tokens: whole(
+            pairs.time_at("domain.aim_us_per_1000_prompt_tokens", at as usize)?,
+        ),
+        token_interval_objective: whole(pairs.time_at("domain.token_aim_s", at as usize)? * 1e6),
         effect,
-        group,
+        dedup_group: group,
         dedup_window: pairs.time(&path("dedup_window_s"), 0)?,
-        worth: pairs.get(&path("worth"), 1.0)?,
+        priority_weight: pairs.get(&path("worth"), 1.0)?,
     })
 }
 
--- a/crates/router/src/placement.rs
+++ b/crates/router/src/placement.rs
@@ -7,7 +7,7 @@
 
 use crate::averaging::AVERAGE_HALF_LIFE_US;
 use crate::eligibility::CandidatePool;
-use crate::interface::{Call, EngineId, Key, Role};
+use crate::interface::{Key, RequestInfo, Role, ServerId};
 use crate::load::{self, CAPACITY_SHARE_OF_OBJECTIVE};
 use crate::popularity;
 use crate::ranking::{Rank, Ranking};
@@ -37,7 +37,7 @@
     /// The stage that the chosen server is to do.
     stage: Stage,
     /// The first server of the ranking.
-    home: EngineId,
+    home: ServerId,
     /// Random; parts servers that are equal otherwise.
     salt: u64,
     mean_memory_tokens: f64,
@@ -52,7 +52,7 @@
     role: Role,
     when_full: WhenFull,
     rng: &mut impl RngCore,
-) -> Option<EngineId> {
+) -> Option<ServerId> {
     let salt = rng.next_u64();
     let pool = CandidatePool::of(state, role, request)?;
     let mut ranking = rank_by_rendezvous(state, role, &request.call);
@@ -77,22 +77,22 @@
     fn cached_tokens(&self, server: &Server) -> u64 {
         let call = &self.request.call;
         let believed = server.prefixes.longest_match(call, self.state.now).map_or(0, |prefix| prefix.tokens);
-        let at_home = if server.entry.engine == self.home { call.shared_tokens } else { 0 };
+        let at_home = if server.entry.server == self.home { call.shared_tokens } else { 0 };
         believed.max(at_home)
     }
 
-    fn draw_for(&self, server: EngineId) -> u64 {
+    fn draw_for(&self, server: ServerId) -> u64 {
         mix(self.salt ^ mix(u64::from(server.0)))
     }
 
     /// Servers that are believed to keep a prefix, the best first.
-    fn matches(&self) -> Vec<EngineId> {
+    fn matches(&self) -> Vec<ServerId> {
         let holders = self.state.fleet.prefix_holders_and(self.home, &self.request.call);
         let mut ranked = Vec::new();
         for server in holders {
             let cached_tokens = self.cached_tokens(server);
             if cached_tokens > 0 && self.contains(server) {
-                let id = server.entry.engine;
+                let id = server.entry.server;
                 let rank = (Reverse(cached_tokens), server.unanswered.len(), id != self.home);
                 ranked.push((rank, self.draw_for(id), id));
             }
@@ -103,7 +103,7 @@
 
     /// The first server with capacity, first of those with a prefix, then by the ranking. Slow ones are
     /// passed over by chance, in proportion to their pace.
-    fn first_free(&self, ranking: &mut Ranking, rng: &mut impl RngCore) -> Option<EngineId> {
+    fn first_free(&self, ranking: &mut Ranking, rng: &mut impl RngCore) -> Option<ServerId> {
         for id in self.matches() {
             let server = &self.state.fleet[id];
             if self.is_free(server, self.cached_tokens(server), unit_interval(rng.next_u64())) {
@@ -140,7 +140,7 @@
         let reread_us = state.stage(self.stage).unloaded_us_per_token * cached_tokens as f64;
         let seen = &server.statistics.queueing_us[self.stage as usize];
         let seen_us = seen.value_at(state.now, 0.0, AVERAGE_HALF_LIFE_US);
-        let queueing_us = seen_us.max(state.gossip.believed_us(server.entry.engine, state.now));
+        let queueing_us = seen_us.max(state.gossip.believed_us(server.entry.server, state.now));
         !load::is_at_capacity(state, server, self.stage, reread_us)
             && queueing_us <= reread_us + CAPACITY_SHARE_OF_OBJECTIVE * state.shortest_objective_us
             && !remote_fetch::is_stranded(state, server, self.request.call.class)
@@ -148,18 +148,18 @@
 
     /// Of the servers with the fewest own attempts, the one that is done first: text read anew by a full pool
     /// fills it the more.
-    fn least_loaded(&self) -> Option<EngineId> {
+    fn least_loaded(&self) -> Option<ServerId> {
         let state = self.state;
         let candidates = || state.fleet.ready(self.pool.role).filter(|server| self.contains(server));
         let fewest = candidates().map(|server| server.unanswered.len()).min()?;
         let unloaded_us_per_token = state.stage(self.stage).unloaded_us_per_token;
         let done_in_us = |server: &Server| {
-            let queue_us = state.gossip.believed_us(server.entry.engine, state.now);
+            let queue_us = state.gossip.believed_us(server.entry.server, state.now);
             queue_us - unloaded_us_per_token * self.cached_tokens(server) as f64
         };
         let least = candidates().filter(|server| server.unanswered.len() == fewest);
         let ranked = least.map(|server| {
-            let id = server.entry.engine;
+            let id = server.entry.server;
             (done_in_us(server), self.draw_for(id), id)
         });
         let first = ranked.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
@@ -171,7 +171,7 @@
 /// stands in for it, and a change of the list moves only what lay there. A zone's own servers come first, for
 /// as many keys as they can take. Of several homes of a shared prefix the session picks one, and it counts as
 /// kept there: turns must find it, so nothing here may depend on how long the prompt has grown.
-fn rank_by_rendezvous(state: &RoutingState, role: Role, call: &Call) -> Ranking {
+fn rank_by_rendezvous(state: &RoutingState, role: Role, call: &RequestInfo) -> Ranking {
     let key = call.shared.or(call.session).unwrap_or(Key(0));
     let ready = state.fleet.ready_count(role);
     let own_zone_first = prefers_own_zone(state, role, key);
--- a/crates/router/src/popularity.rs
+++ b/crates/router/src/popularity.rs
@@ -1,7 +1,7 @@
 //! Popularity of shared prefixes: how many servers should keep one (its homes).
 
 use crate::averaging::RATE_TIME_CONSTANT_US;
-use crate::interface::{Call, Key};
+use crate::interface::{Key, RequestInfo};
 use crate::routing_state::RoutingState;
 
 /// Homes of a prefix for each even share of the requests that begin with it: more than one, so that no server
@@ -29,7 +29,7 @@
 }
 
 /// How many of `ready` servers are homes of a request's prefix, which has that key.
-pub(crate) fn home_count(state: &RoutingState, call: &Call, key: Key, ready: usize) -> usize {
+pub(crate) fn home_count(state: &RoutingState, call: &RequestInfo, key: Key, ready: usize) -> usize {
     let window_us = window_us(state);
     let seen = state.shared_prefixes.peek(&key).map_or(0.0, |rate| rate.count_at(state.now, window_us));
     let requests = state.recent_request_rate.count_at(state.now, window_us);
--- a/crates/router/src/prefix_holders.rs
+++ b/crates/router/src/prefix_holders.rs
@@ -3,12 +3,12 @@
 
 use std::collections::{BTreeSet, HashMap};
 
-use crate::interface::{EngineId, Key, Micros};
+use crate::interface::{Key, Micros, ServerId};
 
 /// A server that was sent a prefix, and when last.
 #[derive(Clone, Copy, Debug)]
 struct Holder {
-    server: EngineId,
+    server: ServerId,
     sent_at: Micros,
 }
 
@@ -18,12 +18,12 @@
 pub(crate) struct PrefixHolders {
     /// For each key, its holders in the order of their numbers. Looked up, never iterated.
     by_key: HashMap<Key, Vec<Holder>>,
-    by_age: BTreeSet<(Micros, Key, EngineId)>,
+    by_age: BTreeSet<(Micros, Key, ServerId)>,
 }
 
 impl PrefixHolders {
     /// A server has been sent a prefix at that time.
-    pub(crate) fn insert(&mut self, key: Key, server: EngineId, sent_at: Micros) {
+    pub(crate) fn insert(&mut self, key: Key, server: ServerId, sent_at: Micros) {
         let holders = self.by_key.entry(key).or_default();
         match holders.binary_search_by_key(&server, |holder| holder.server) {
             Ok(position) => {
@@ -36,7 +36,7 @@
     }
 
     /// A server's table has the key no more.
-    pub(crate) fn remove(&mut self, key: Key, server: EngineId) {
+    pub(crate) fn remove(&mut self, key: Key, server: ServerId) {
         let Some(holders) = self.by_key.get_mut(&key) else { return };
         let Ok(position) = holders.binary_search_by_key(&server, |holder| holder.server) else { return };
         let removed = holders.remove(position);
@@ -54,7 +54,7 @@
     }
 
     /// Servers that were sent a prefix, in the order of their numbers.
-    pub(crate) fn servers(&self, key: Key) -> impl Iterator<Item = EngineId> + '_ {
+    pub(crate) fn servers(&self, key: Key) -> impl Iterator<Item = ServerId> + '_ {
         self.by_key.get(&key).into_iter().flatten().map(|holder| holder.server)
     }
 
@@ -64,7 +64,7 @@
     }
 
     /// Whether a server is known to have been sent a prefix at that time or later.
-    pub(crate) fn contains(&self, key: Key, server: EngineId, sent_at: Micros) -> bool {
+    pub(crate) fn contains(&self, key: Key, server: ServerId, sent_at: Micros) -> bool {
         let mut holders = self.by_key.get(&key).into_iter().flatten();
         holders.any(|holder| holder.server == server && holder.sent_at >= sent_at)
     }
--- a/crates/router/src/prefix_table.rs
+++ b/crates/router/src/prefix_table.rs
@@ -3,7 +3,7 @@
 
 use lru::LruCache;
 
-use crate::interface::{Call, Key, Micros};
+use crate::interface::{Key, Micros, RequestInfo};
 
 /// How long a sent prefix is believed to be kept (us), as the design page has it.
 pub(crate) const PREFIX_EXPIRY_US: Micros = 60_000_000;
@@ -38,7 +38,7 @@
     }
 
     /// The longest prefix of the request that is believed to be there, at most the prompt.
-    pub(crate) fn longest_match(&self, call: &Call, now: Micros) -> Option<CachedPrefix> {
+    pub(crate) fn longest_match(&self, call: &RequestInfo, now: Micros) -> Option<CachedPrefix> {
         let believed = |key: Option<Key>| {
             let &CachedPrefix { tokens, sent_at } = self.sent.peek(&key?)?;
             let valid = sent_at + PREFIX_EXPIRY_US > now && sent_at > self.invalid_until;
@@ -48,7 +48,7 @@
     }
 
     /// Records what a server is sent now. Returns the keys that had to make room for it or have expired.
-    pub(crate) fn record(&mut self, call: &Call, now: Micros) -> Vec<Key> {
+    pub(crate) fn record(&mut self, call: &RequestInfo, now: Micros) -> Vec<Key> {
         let session = call.session.map(|key| (key, call.prompt_tokens));
         let shared = call.shared.map(|key| (key, call.shared_tokens.min(call.prompt_tokens)));
         for (key, tokens) in session.into_iter().chain(shared) {
--- a/crates/router/src/ranking.rs
+++ b/crates/router/src/ranking.rs
@@ -1,6 +1,6 @@
 //! A ranking of servers that is sorted only as far as it is looked at: a record without any rule.
 
-use crate::interface::EngineId;
+use crate::interface::ServerId;
 
 /// Ranks that are sorted at first; each further chunk ends four times as far back.
 const FIRST_CHUNK: usize = 16;
@@ -11,7 +11,7 @@
 pub(crate) struct Rank {
     pub(crate) tier: u8,
     pub(crate) key: u64,
-    pub(crate) server: EngineId,
+    pub(crate) server: ServerId,
 }
 
 /// Servers by rank, the first ones first.
@@ -32,7 +32,7 @@
     }
 
     /// Ranks the first `count` anew among themselves, in the lowest tier, by these keys.
-    pub(crate) fn rerank_first(&mut self, count: usize, key: impl Fn(EngineId) -> u64) {
+    pub(crate) fn rerank_first(&mut self, count: usize, key: impl Fn(ServerId) -> u64) {
         let count = count.min(self.ranks.len());
         if count == 0 {
             return;
@@ -45,7 +45,7 @@
     }
 
     /// The server at a place, from 0 on.
-    pub(crate) fn get(&mut self, at: usize) -> Option<EngineId> {
+    pub(crate) fn get(&mut self, at: usize) -> Option<ServerId> {
         while at >= self.sorted && self.sorted < self.ranks.len() {
             self.sort_further();
         }
--- a/crates/router/src/rate_sum.rs
+++ b/crates/router/src/rate_sum.rs
@@ -3,7 +3,7 @@
 
 use std::collections::HashMap;
 
-use crate::interface::{EngineId, Micros};
+use crate::interface::{Micros, ServerId};
 use crate::statistics::DecayingRate;
 
 /// The epoch is moved on after so many time constants: what is kept as of it must not overflow.
@@ -15,8 +15,8 @@
     time_constant_us: f64,
     epoch: Micros,
     /// Where each server's values are in the vectors below.
-    positions: HashMap<EngineId, usize>,
-    servers: Vec<EngineId>,
+    positions: HashMap<ServerId, usize>,
+    servers: Vec<ServerId>,
     /// Each rate as of the epoch.
     rates: Vec<f64>,
     /// The share that age takes from each rate, as of the epoch.
@@ -42,7 +42,7 @@
     }
 
     /// Adds a server's rate, or replaces the one that it had.
-    pub(crate) fn set(&mut self, server: EngineId, rate: &DecayingRate) {
+    pub(crate) fn set(&mut self, server: ServerId, rate: &DecayingRate) {
         let position = *self.positions.entry(server).or_insert(self.servers.len());
         if position == self.servers.len() {
             self.servers.push(server);
@@ -53,7 +53,7 @@
     }
 
     /// Takes a server out, if it is there.
-    pub(crate) fn remove(&mut self, server: EngineId) {
+    pub(crate) fn remove(&mut self, server: ServerId) {
         let Some(position) = self.positions.remove(&server) else { return };
         self.servers.swap_remove(position);
         self.rates.swap_remove(position);
--- a/crates/router/src/records/request.rs
+++ b/crates/router/src/records/request.rs
@@ -1,6 +1,6 @@
 //! An open request and its attempts.
 
-use crate::interface::{Call, EngineId, Micros};
+use crate::interface::{Micros, RequestInfo, ServerId};
 use crate::prefix_table::CachedPrefix;
 use crate::records::Stage;
 
@@ -9,7 +9,7 @@
 pub(crate) struct Attempt {
     /// Counted from 0 for each request.
     pub(crate) number: u32,
-    pub(crate) server: EngineId,
+    pub(crate) server: ServerId,
     pub(crate) stage: Stage,
     pub(crate) sent_at: Micros,
     /// Tokens of the server's memory that it takes.
@@ -31,7 +31,7 @@
 /// A state that has been read and waits at its reader for a writer to fetch it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct HeldState {
-    pub(crate) reader: EngineId,
+    pub(crate) reader: ServerId,
     /// Since when it has waited without an attempt in flight.
     pub(crate) since: Micros,
 }
@@ -39,14 +39,14 @@
 /// An attempt that may have taken effect.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Execution {
-    pub(crate) server: EngineId,
+    pub(crate) server: ServerId,
     pub(crate) sent_at: Micros,
 }
 
 /// An open request. It is removed once it is completed and nothing is in flight.
 #[derive(Debug)]
 pub(crate) struct RequestState {
-    pub(crate) call: Call,
+    pub(crate) call: RequestInfo,
     /// Attempts that have been sent.
     pub(crate) attempts: u32,
     pub(crate) in_flight: Option<Attempt>,
@@ -56,12 +56,12 @@
     /// The earliest attempt that may have taken effect.
     pub(crate) may_have_executed: Option<Execution>,
     /// Servers at which it has failed, one for each failure.
-    pub(crate) failed_at: Vec<EngineId>,
+    pub(crate) failed_at: Vec<ServerId>,
 }
 
 impl RequestState {
     /// One that has just come in.
-    pub(crate) fn new(call: Call) -> Self {
+    pub(crate) fn new(call: RequestInfo) -> Self {
         Self {
             call,
             attempts: 0,
--- a/crates/router/src/records/server.rs
+++ b/crates/router/src/records/server.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::interface::{Class, Entry, Micros, Report, RequestId, Role};
+use crate::interface::{Class, Micros, Report, RequestId, Role, ServerEntry};
 use crate::outlier_state::OutlierState;
 use crate::prefix_table::PrefixTable;
 use crate::records::stage::STAGES;
@@ -13,7 +13,7 @@
 /// A server that the list names, or that still has attempts of this dispatcher.
 #[derive(Debug)]
 pub(crate) struct Server {
-    pub(crate) entry: Entry,
+    pub(crate) entry: ServerEntry,
     pub(crate) role: Role,
     /// Its memory in tokens; 0 if not known.
     pub(crate) memory_tokens: u64,
@@ -30,7 +30,7 @@
 
 impl Server {
     /// One that the list names for the first time.
-    pub(crate) fn new(entry: Entry, prefixes: PrefixTable, slow_start_budget: SlowStartBudget) -> Self {
+    pub(crate) fn new(entry: ServerEntry, prefixes: PrefixTable, slow_start_budget: SlowStartBudget) -> Self {
         Self {
             entry,
             role: Role::Mixed,
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -29,7 +29,8 @@
 use crate::gossip::{GossipCounts, LoadGossip};
 use crate::handover::Handover;
 use crate::interface::{
-    Action, Call, Ended, EngineId, Entry, Event, ListKind, Micros, RequestId, Role, Settings,
+    Action, AttemptFinished, Event, ListUpdateKind, Micros, RequestId, RequestInfo, Role, ServerEntry,
+    ServerId, Settings,
 };
 use crate::learning;
 use crate::list_backoff::ListBackoff;
@@ -87,17 +88,19 @@
             self.sweep(actions);
         }
         match event {
-            Event::Roster { how, entries } => self.take_list(how, entries),
-            Event::Call(call) => self.take_request(call, actions),
-            Event::Begun { id, attempt, taken } => self.take_first_token(id, attempt, taken),
-            Event::Ended(ended) => self.take_end(ended, actions),
-            Event::Hangup(id) => self.take_disconnect(id, actions),
-            Event::Due(SWEEP) => self.sweep(actions),
-            Event::Heard(bytes) => self.state.gossip.receive(&bytes, now),
-            Event::Retuned { settings, heirs } => self.reload(*settings, &heirs),
-            Event::TakenOver(handover) => handover.import(&mut self.state),
-            Event::Part(part) => self.state.limit_share = part,
-            Event::Due(_) | Event::Ignored => {}
+            Event::EndpointsUpdated { how, entries } => self.take_list(how, entries),
+            Event::RequestArrived(call) => self.take_request(call, actions),
+            Event::FirstToken { id, attempt, taken } => self.take_first_token(id, attempt, taken),
+            Event::AttemptFinished(ended) => self.take_end(ended, actions),
+            Event::ClientDisconnected(id) => self.take_disconnect(id, actions),
+            Event::TimerFired(SWEEP) => self.sweep(actions),
+            Event::GossipReceived(bytes) => self.state.gossip.receive(&bytes, now),
+            Event::SettingsReloaded { settings, class_renumbering } => {
+                self.reload(*settings, &class_renumbering)
+            }
+            Event::StateImported(handover) => handover.import(&mut self.state),
+            Event::LimitShareChanged(part) => self.state.limit_share = part,
+            Event::TimerFired(_) | Event::Ignored => {}
         }
         self.state.gossip.publish(now, actions);
     }
@@ -134,11 +137,11 @@
 
     // ---- Events ----
 
-    fn take_list(&mut self, kind: ListKind, entries: Vec<Entry>) {
+    fn take_list(&mut self, kind: ListUpdateKind, entries: Vec<ServerEntry>) {
         let settings = &self.state.settings;
-        if kind == ListKind::Broken {
+        if kind == ListUpdateKind::Failed {
             let draw = self.rng.next_u64();
-            let wait_us = self.list_backoff.failed(settings.balancers, settings.must_ask_in, draw);
+            let wait_us = self.list_backoff.failed(settings.dispatcher_count, settings.max_list_age, draw);
             self.subscribe_at = settings.must_subscribe.then_some(self.state.now + wait_us);
             return;
         }
@@ -147,7 +150,7 @@
     }
 
     /// A client asks. An id that is open already is ignored.
-    fn take_request(&mut self, call: Call, actions: &mut Vec<Action>) {
+    fn take_request(&mut self, call: RequestInfo, actions: &mut Vec<Action>) {
         let id = call.id;
         if self.requests.contains_key(&id) {
             return;
@@ -171,9 +174,9 @@
         learning::record_first_token(&mut self.state, id, &attempt, taken_us);
     }
 
-    fn take_end(&mut self, ended: Ended, actions: &mut Vec<Action>) {
+    fn take_end(&mut self, ended: AttemptFinished, actions: &mut Vec<Action>) {
         let (id, now) = (ended.id, self.state.now);
-        self.state.fleet.record_report(ended.engine, ended.report);
+        self.state.fleet.record_report(ended.server, ended.report);
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(attempt) = request.in_flight.take_if(|attempt| attempt.number == ended.attempt) else {
             return;
@@ -181,7 +184,7 @@
         request.is_completed |= ended.last;
         let change = attempts::record_outcome(request, &attempt, ended.outcome, now);
         if change == HeldStateChange::Release {
-            actions.push(Action::LetGo(id));
+            actions.push(Action::ReleaseHeldState(id));
         }
         let (prompt_tokens, is_completed) = (request.call.prompt_tokens, request.is_completed);
         learning::record_end(&mut self.state, attempt, &ended, prompt_tokens, &mut self.rng);
@@ -199,7 +202,7 @@
         request.is_completed = true;
         if let Some(attempt) = request.in_flight.as_ref() {
             if self.state.settings.may_cancel && !attempt.is_streaming {
-                actions.push(Action::Revoke { id, attempt: attempt.number });
+                actions.push(Action::CancelAttempt { id, attempt: attempt.number });
             }
         }
         self.close(id, actions);
@@ -211,15 +214,15 @@
         let state = &mut self.state;
         state.fleet.renumber_classes(previous, &settings.classes);
         state.gossip.reload(&settings);
-        state.fleet.set_slow_start_window(settings.cold_for);
-        state.shortest_objective_us = settings.shortest_aim();
+        state.fleet.set_slow_start_window(settings.slow_start_window);
+        state.shortest_objective_us = settings.shortest_latency_objective();
         state.settings = settings;
     }
 
     /// What no event brings up: the list to ask for, the medians, states that wait for a writer, readers that
     /// have become unresponsive.
     fn sweep(&mut self, actions: &mut Vec<Action>) {
-        actions.push(Action::Defer { delay: SWEEP_INTERVAL_US, token: SWEEP });
+        actions.push(Action::StartTimer { delay: SWEEP_INTERVAL_US, token: SWEEP });
         if self.subscribe_at.is_some_and(|at| at <= self.state.now) {
             self.subscribe_at = None;
             actions.push(Action::Subscribe);
@@ -260,7 +263,7 @@
     }
 
     /// Sends a request to a server. The rules are asked once more, whoever has chosen it.
-    fn send(&mut self, id: RequestId, to: EngineId, stage: Stage, actions: &mut Vec<Action>) {
+    fn send(&mut self, id: RequestId, to: ServerId, stage: Stage, actions: &mut Vec<Action>) {
         let state = &mut self.state;
         let (Some(request), Some(server)) = (self.requests.get_mut(&id), state.fleet.get(to)) else { return };
         if !eligibility::is_permitted(state, request, server)
@@ -269,7 +272,7 @@
             return self.answer(id, EndReason::NotAllowed, actions);
         }
         let planned = attempts::plan(state, request, server, stage);
-        actions.push(Action::Assign { id, engine: to, patience: planned.timeout_us });
+        actions.push(Action::Assign { id, server: to, attempt_timeout: planned.timeout_us });
         attempts::record_sent(state, request, planned);
         self.awaiting_writer.remove(&id);
     }
@@ -292,7 +295,7 @@
             return;
         }
         if request.held_state.is_some() {
-            actions.push(Action::LetGo(id));
+            actions.push(Action::ReleaseHeldState(id));
         }
         self.requests.remove(&id);
     }
@@ -300,15 +303,15 @@
 
 /// What is known at the start: nothing but first guesses.
 fn initial_state(settings: Settings, now: Micros) -> RoutingState {
-    let us_per_token = settings.shortest_aim() / FIRST_GUESS_TOKENS;
+    let us_per_token = settings.shortest_latency_objective() / FIRST_GUESS_TOKENS;
     let times = FleetTimes {
-        slow_start_window_us: settings.cold_for,
+        slow_start_window_us: settings.slow_start_window,
         queueing_half_life_us: AVERAGE_HALF_LIFE_US,
         rate_time_constant_us: RATE_TIME_CONSTANT_US,
     };
     RoutingState {
         now,
-        shortest_objective_us: settings.shortest_aim(),
+        shortest_objective_us: settings.shortest_latency_objective(),
         fleet: Fleet::new(times, now),
         stages: std::array::from_fn(|_| StageStatistics::new(us_per_token, WRITE_OVERHEAD_TOKENS)),
         cells: BTreeMap::new(),
--- a/crates/router/src/server_list.rs
+++ b/crates/router/src/server_list.rs
@@ -3,7 +3,7 @@
 use rand_core::RngCore;
 
 use crate::cells::balance_cells;
-use crate::interface::{EngineId, Entry, Health, ListKind, Role};
+use crate::interface::{Health, ListUpdateKind, Role, ServerEntry, ServerId};
 use crate::prefix_table::PrefixTable;
 use crate::records::Server;
 use crate::routing_state::RoutingState;
@@ -14,12 +14,12 @@
 /// named have gone.
 pub(crate) fn apply_list(
     state: &mut RoutingState,
-    kind: ListKind,
-    entries: Vec<Entry>,
+    kind: ListUpdateKind,
+    entries: Vec<ServerEntry>,
     rng: &mut impl RngCore,
 ) {
-    if kind != ListKind::Patch {
-        state.fleet.mark_gone_all_but(entries.iter().map(|entry| entry.engine).collect());
+    if kind != ListUpdateKind::Patch {
+        state.fleet.mark_gone_all_but(entries.iter().map(|entry| entry.server).collect());
     }
     for entry in entries {
         apply_entry(state, entry, rng);
@@ -33,11 +33,11 @@
 
 /// Takes an entry. A new start time is a new and empty server in slow start under an old number; what it owes
 /// from the start is drawn at random, so that dispatchers do not all send to it at once.
-fn apply_entry(state: &mut RoutingState, entry: Entry, rng: &mut impl RngCore) {
+fn apply_entry(state: &mut RoutingState, entry: ServerEntry, rng: &mut impl RngCore) {
     let kind = state.settings.kinds.get(entry.kind as usize);
     let (role, memory_tokens) = kind.map_or((Role::Mixed, 0), |kind| (kind.role, kind.memory_tokens));
     let budget = SlowStartBudget::with_debt(unit_interval(rng.next_u64()), state.now);
-    let id: EngineId = entry.engine;
+    let id: ServerId = entry.server;
     let is_same = |server: &Server| server.entry.started == entry.started || entry.health != Health::Ready;
     if !state.fleet.get(id).is_some_and(is_same) {
         state.fleet.start_server(id, Server::new(entry.clone(), PrefixTable::new(), budget));
--- a/crates/router/src/slow_start.rs
+++ b/crates/router/src/slow_start.rs
@@ -23,7 +23,7 @@
     started: Option<Micros>,
     budget: &SlowStartBudget,
 ) -> bool {
-    let window_us = state.settings.fall_window;
+    let window_us = state.settings.overload_window;
     let permitted = requests_per_window(state, role, started);
     permitted.is_none_or(|per_window| budget.allows(state.now, per_window, window_us))
 }
@@ -33,8 +33,8 @@
 /// for a warm server.
 pub(crate) fn requests_per_window(state: &RoutingState, role: Role, started: Option<Micros>) -> Option<f64> {
     let (started, settings) = (started?, &state.settings);
-    let age = state.now.saturating_sub(started) as f64 / settings.cold_for.max(1) as f64;
-    let capacity = settings.cold_from * (1.0 + CAPACITY_GAIN * age);
+    let age = state.now.saturating_sub(started) as f64 / settings.slow_start_window.max(1) as f64;
+    let capacity = settings.slow_start_min_share * (1.0 + CAPACITY_GAIN * age);
     let warm = state.fleet.served_by_warm(role);
     let warm_rate = if warm.servers > 0 {
         warm.served_per_second / warm.servers as f64
@@ -42,8 +42,8 @@
         let requests = state.request_rate.age_corrected_at(state.now, RATE_TIME_CONSTANT_US);
         SHARE_WITHOUT_WARM_PEERS * (requests / state.fleet.known_count(role))
     };
-    let per_second = state.limit_share * BUDGET_MARGIN * settings.fall_multiple * capacity * warm_rate;
-    let per_window = per_second * settings.fall_window as f64 / 1e6;
-    let is_in_slow_start = state.now < started.saturating_add(settings.cold_for);
+    let per_second = state.limit_share * BUDGET_MARGIN * settings.overload_multiple * capacity * warm_rate;
+    let per_window = per_second * settings.overload_window as f64 / 1e6;
+    let is_in_slow_start = state.now < started.saturating_add(settings.slow_start_window);
     is_in_slow_start.then_some(per_window)
 }
--- a/crates/router/src/start_times.rs
+++ b/crates/router/src/start_times.rs
@@ -12,7 +12,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::interface::{EngineId, Entry, Health, ListKind, Micros};
+use crate::interface::{Health, ListUpdateKind, Micros, ServerEntry, ServerId};
 
 /// Clocks of machines that are kept in step differ by less (us).
 const SKEW: Micros = 1_000_000;
@@ -32,9 +32,9 @@
 /// Start times of the servers that were told of. See the [module](self).
 #[derive(Clone, Debug, Default)]
 pub struct StartTimes {
-    known: BTreeMap<EngineId, Start>,
+    known: BTreeMap<ServerId, Start>,
     /// Those that were told to have gone, the last ones.
-    gone: VecDeque<EngineId>,
+    gone: VecDeque<ServerId>,
     /// By so much discovery's clock is ahead of this process's.
     ahead: Micros,
     /// Discovery has answered.
@@ -44,46 +44,46 @@
 impl StartTimes {
     /// Puts the start times of entries that are told now on this process's clock. What is known of a server
     /// stays while it is told of under the same start time.
-    pub fn localize(&mut self, now: Micros, how: ListKind, entries: &mut [Entry]) {
+    pub fn localize(&mut self, now: Micros, how: ListUpdateKind, entries: &mut [ServerEntry]) {
         let newest = entries.iter().filter_map(|entry| entry.started).max().unwrap_or(0);
         if newest > now + self.ahead + SKEW {
             self.ahead = newest - now;
         }
-        if how == ListKind::Whole {
-            let listed: Vec<EngineId> = entries.iter().map(|entry| entry.engine).collect();
+        if how == ListUpdateKind::Full {
+            let listed: Vec<ServerId> = entries.iter().map(|entry| entry.server).collect();
             self.keep_only(listed);
         }
         for entry in entries.iter_mut() {
             if entry.health == Health::Gone {
-                self.has_gone(entry.engine);
+                self.has_gone(entry.server);
             } else {
-                entry.started = entry.started.map(|told| self.start_of(entry.engine, told, now).own);
+                entry.started = entry.started.map(|told| self.start_of(entry.server, told, now).own);
             }
         }
-        self.listed |= matches!(how, ListKind::Whole | ListKind::Patch);
+        self.listed |= matches!(how, ListUpdateKind::Full | ListUpdateKind::Patch);
     }
 
-    fn keep_only(&mut self, mut listed: Vec<EngineId>) {
+    fn keep_only(&mut self, mut listed: Vec<ServerId>) {
         listed.sort_unstable();
-        self.known.retain(|engine, _| listed.binary_search(engine).is_ok());
+        self.known.retain(|server, _| listed.binary_search(server).is_ok());
     }
 
     /// A server that comes back under the start time that it had is not taken for a new one.
-    fn has_gone(&mut self, engine: EngineId) {
-        self.gone.push_back(engine);
+    fn has_gone(&mut self, server: ServerId) {
+        self.gone.push_back(server);
         if self.gone.len() > MOST_GONE {
             self.gone.pop_front().and_then(|longest| self.known.remove(&longest));
         }
     }
 
-    fn start_of(&mut self, engine: EngineId, told: Micros, now: Micros) -> Start {
-        if let Some(known) = self.known.get(&engine).filter(|known| known.told == told) {
+    fn start_of(&mut self, server: ServerId, told: Micros, now: Micros) -> Start {
+        if let Some(known) = self.known.get(&server).filter(|known| known.told == told) {
             return *known;
         }
         let aligned = told.saturating_sub(self.ahead).min(now);
         let is_late = self.listed && now - aligned > TOLD_WITHIN;
         let start = Start { told, own: if is_late { now } else { aligned } };
-        self.known.insert(engine, start);
+        self.known.insert(server, start);
         start
     }
 }
--- a/crates/router/src/work.rs
+++ b/crates/router/src/work.rs
@@ -1,6 +1,6 @@
 //! Estimates of the work of an attempt, in tokens.
 
-use crate::interface::Call;
+use crate::interface::RequestInfo;
 use crate::records::Stage;
 use crate::routing_state::RoutingState;
 
@@ -19,7 +19,12 @@
 }
 
 /// The work of a stage of a request at a server that keeps so many tokens of its prompt.
-pub(crate) fn estimate(state: &RoutingState, call: &Call, stage: Stage, cached_tokens: u64) -> WorkEstimate {
+pub(crate) fn estimate(
+    state: &RoutingState,
+    call: &RequestInfo,
+    stage: Stage,
+    cached_tokens: u64,
+) -> WorkEstimate {
     let unread_tokens = call.prompt_tokens - cached_tokens;
     let read_tokens = unread_tokens as f64 + READ_OVERHEAD_TOKENS;
     let whole_tokens = call.prompt_tokens + answer_tokens(state, call);
@@ -32,8 +37,8 @@
 }
 
 /// The likely length of an answer in tokens: as the client hints, else half of what it allows.
-fn answer_tokens(state: &RoutingState, call: &Call) -> u64 {
-    let token_objective_us = state.class(call.class).map_or(0, |class| class.token_aim);
+fn answer_tokens(state: &RoutingState, call: &RequestInfo) -> u64 {
+    let token_objective_us = state.class(call.class).map_or(0, |class| class.token_interval_objective);
     match call.hint {
         Some(hint_us) if token_objective_us > 0 => hint_us / token_objective_us,
         _ => call.max_tokens / 2,
--- a/crates/router/src/writers.rs
+++ b/crates/router/src/writers.rs
@@ -8,7 +8,7 @@
 
 use crate::averaging::AVERAGE_HALF_LIFE_US;
 use crate::eligibility::CandidatePool;
-use crate::interface::{CellId, EngineId, Entry, Role};
+use crate::interface::{CellId, Role, ServerEntry, ServerId};
 use crate::load::{self, SLOW_MULTIPLE};
 use crate::overload::{QUEUEING_SHARE, WAIT_SHARE_OF_OBJECTIVE};
 use crate::records::{CellBalance, RequestState, Server, Stage};
@@ -67,9 +67,9 @@
 pub(crate) fn select_writer(
     state: &RoutingState,
     request: &RequestState,
-    reader: EngineId,
+    reader: ServerId,
     rng: &mut impl RngCore,
-) -> Option<EngineId> {
+) -> Option<ServerId> {
     let draws = Draws::new(rng);
     let candidates = Candidates::of(state, request, &draws)?;
     let writers = match state.fleet.get(reader) {
@@ -110,18 +110,18 @@
     }
 
     /// Those among which the draw is made for a state of that reader.
-    fn near(&self, reader: &Entry, draws: &Draws) -> Vec<EngineId> {
+    fn near(&self, reader: &ServerEntry, draws: &Draws) -> Vec<ServerId> {
         let of_cell = self.balance(reader, |cell| cell.writer_surplus);
         if draws.stay_in_cell < of_cell {
             let local = self.state.fleet.ready_in_cell(reader.cell, self.pool.role);
             let local = local.filter(|server| self.contains(server));
-            let local: Vec<EngineId> = local.map(|server| server.entry.engine).collect();
+            let local: Vec<ServerId> = local.map(|server| server.entry.server).collect();
             if !local.is_empty() {
                 return local;
             }
         }
         for destination in DESTINATIONS {
-            let is_there = |entry: &Entry| self.lies_in(destination, entry, reader, draws);
+            let is_there = |entry: &ServerEntry| self.lies_in(destination, entry, reader, draws);
             let passing = |server: &Server| is_there(&server.entry) && self.contains(server);
             let found = self.state.fleet.ready_passing(self.pool.role, passing);
             if !found.is_empty() {
@@ -131,7 +131,13 @@
         Vec::new()
     }
 
-    fn lies_in(&self, destination: Destination, writer: &Entry, reader: &Entry, draws: &Draws) -> bool {
+    fn lies_in(
+        &self,
+        destination: Destination,
+        writer: &ServerEntry,
+        reader: &ServerEntry,
+        draws: &Draws,
+    ) -> bool {
         let is_in_zone = writer.zone == reader.zone;
         match destination {
             Destination::SpareInZone => {
@@ -145,13 +151,13 @@
     }
 
     /// Whether the cell of a writer has writers to spare, by chance in proportion to how many.
-    fn has_spare(&self, writer: &Entry, draws: &Draws) -> bool {
-        let draw = unit_interval(mix(draws.spare ^ u64::from(writer.engine.0)));
+    fn has_spare(&self, writer: &ServerEntry, draws: &Draws) -> bool {
+        let draw = unit_interval(mix(draws.spare ^ u64::from(writer.server.0)));
         draw < 1.0 - 1.0 / self.balance(writer, |cell| cell.writer_surplus)
     }
 
     /// A figure of a server's cell, or that of a balanced cell where it is not known.
-    fn balance(&self, entry: &Entry, figure: impl Fn(&CellBalance) -> f64) -> f64 {
+    fn balance(&self, entry: &ServerEntry, figure: impl Fn(&CellBalance) -> f64) -> f64 {
         match self.state.cells.get(&entry.cell) {
             Some(cell) => figure(cell),
             None => figure(&CellBalance::default()),
@@ -162,7 +168,7 @@
 /// Whether a held state has waited for half of its time: what has been read is not thrown away for an
 /// estimate, and a connect may yet fail.
 fn is_urgent(state: &RoutingState, request: &RequestState) -> bool {
-    request.held_state.is_none_or(|held| state.now >= held.since + state.settings.release_within / 2)
+    request.held_state.is_none_or(|held| state.now >= held.since + state.settings.max_hold_time / 2)
 }
 
 /// Cells to pass over: their writers lately queued or timed out over what is permitted and twice the median
@@ -187,9 +193,9 @@
 /// Of two servers drawn at random, the one with fewer own tokens in flight for its weight and pace.
 fn less_loaded_of_two(
     state: &RoutingState,
-    servers: &[EngineId],
+    servers: &[ServerId],
     rng: &mut impl RngCore,
-) -> Option<EngineId> {
+) -> Option<ServerId> {
     if servers.len() < 2 {
         return servers.first().copied();
     }
--- a/crates/router/tests/bounds.rs
+++ b/crates/router/tests/bounds.rs
@@ -26,11 +26,11 @@
 }
 
 impl Front {
-    fn new(entries: Vec<Entry>) -> Self {
+    fn new(entries: Vec<ServerEntry>) -> Self {
         let mut settings = common::settings();
         settings.peers = true;
         let mut front = Self { router: Router::new(settings, 7, 1_000 * S), now: 1_000 * S };
-        front.tell(Event::Roster { how: ListKind::Whole, entries });
+        front.tell(Event::EndpointsUpdated { how: ListUpdateKind::Full, entries });
         front
     }
 
@@ -41,29 +41,29 @@
     }
 
     /// A request is read, written and served at once.
-    fn serves(&mut self, call: Call) {
+    fn serves(&mut self, call: RequestInfo) {
         let id = call.id;
-        let mut out = self.tell(Event::Call(call));
+        let mut out = self.tell(Event::RequestArrived(call));
         for attempt in 0..2 {
             let sent = out.iter().find_map(|action| match action {
-                Action::Assign { engine, .. } => Some(*engine),
+                Action::Assign { server, .. } => Some(*server),
                 _ => None,
             });
-            let Some(engine) = sent else { return };
+            let Some(server) = sent else { return };
             self.now += 1_000;
-            let reads = engine.0 < 10;
+            let reads = server.0 < 10;
             if !reads {
-                self.tell(Event::Begun { id, attempt, taken: 1_000 });
+                self.tell(Event::FirstToken { id, attempt, taken: 1_000 });
             }
             let outcome = if reads { Outcome::Read } else { Outcome::Served };
-            let (taken, kept_tokens, last, report) = (1_000, 0, !reads, None);
-            out = self.tell(Event::Ended(Ended {
+            let (taken, cached_tokens, last, report) = (1_000, 0, !reads, None);
+            out = self.tell(Event::AttemptFinished(AttemptFinished {
                 id,
                 attempt,
-                engine,
+                server,
                 taken,
                 outcome,
-                kept_tokens,
+                cached_tokens,
                 last,
                 report,
             }));
@@ -87,9 +87,9 @@
             before = held();
         }
         let (session, shared) = (Some(Key(id)), Some(Key(1 << 40 | id)));
-        front.serves(Call { session, shared, shared_tokens: 300, ..common::call(id, front.now) });
+        front.serves(RequestInfo { session, shared, shared_tokens: 300, ..common::call(id, front.now) });
         if id.is_multiple_of(20) {
-            front.tell(Event::Due(TimerToken(1)));
+            front.tell(Event::TimerFired(TimerToken(1)));
         }
     }
     let grown = held() - before;
@@ -112,7 +112,7 @@
     let mut front = Front::new(common::fleet(false));
     for id in 1..=3_000u64 {
         front.now += 200_000;
-        front.serves(Call { session: Some(Key(id)), ..common::call(id, front.now) });
+        front.serves(RequestInfo { session: Some(Key(id)), ..common::call(id, front.now) });
     }
     let learnt = front.hands_over();
     let servers = learnt["servers"].as_array().expect("servers");
@@ -133,42 +133,45 @@
             before = held();
         }
         // One of the readers and one of the writers are others than before, in cells of their own.
-        let fresh = |entry: &mut Entry| (entry.cell, entry.zone) = (CellId(day), ZoneId(day % 3));
-        let mut entries: Vec<Entry> = common::fleet(false).into_iter().skip(1).collect();
+        let fresh = |entry: &mut ServerEntry| (entry.cell, entry.zone) = (CellId(day), ZoneId(day % 3));
+        let mut entries: Vec<ServerEntry> = common::fleet(false).into_iter().skip(1).collect();
         for kind in 0..2 {
             let mut entry = common::entry(1_000 + 2 * day + kind, kind);
             fresh(&mut entry);
             entries.push(entry);
         }
-        let changes = entries.iter().filter(|entry| entry.engine.0 >= 1_000).cloned();
-        let gone = (0..2)
-            .filter(|_| day > 0)
-            .map(|kind| Entry { health: Health::Gone, ..common::entry(1_000 + 2 * (day - 1) + kind, kind) });
-        let patch = Event::Roster { how: ListKind::Patch, entries: gone.chain(changes).collect() };
-        let whole = Event::Roster { how: ListKind::Whole, entries };
+        let changes = entries.iter().filter(|entry| entry.server.0 >= 1_000).cloned();
+        let gone = (0..2).filter(|_| day > 0).map(|kind| ServerEntry {
+            health: Health::Gone,
+            ..common::entry(1_000 + 2 * (day - 1) + kind, kind)
+        });
+        let patch =
+            Event::EndpointsUpdated { how: ListUpdateKind::Patch, entries: gone.chain(changes).collect() };
+        let whole = Event::EndpointsUpdated { how: ListUpdateKind::Full, entries };
         front.tell(if day.is_multiple_of(2) { whole } else { patch });
         for fails in 0..6 {
             id += 1;
             front.now += 50_000;
             let now = front.now;
-            let out = front.tell(Event::Call(Call { class: fails % 4, ..common::call(id, now) }));
+            let out =
+                front.tell(Event::RequestArrived(RequestInfo { class: fails % 4, ..common::call(id, now) }));
             let sent = out.iter().find_map(|action| match action {
-                Action::Assign { engine, .. } => Some(*engine),
+                Action::Assign { server, .. } => Some(*server),
                 _ => None,
             });
-            let Some(engine) = sent else { continue };
+            let Some(server) = sent else { continue };
             let load = Load::Waits(900_000);
-            let update = LoadUpdate { server: tag(engine), load, at: now };
-            front.tell(Event::Heard(update.to_bytes().to_vec()));
+            let update = LoadUpdate { server: tag(server), load, at: now };
+            front.tell(Event::GossipReceived(update.to_bytes().to_vec()));
             let (outcome, id) = (Outcome::ConnectFailed, RequestId(id));
-            let (attempt, taken, kept_tokens, last, report) = (0, 500, 0, true, None);
-            front.tell(Event::Ended(Ended {
+            let (attempt, taken, cached_tokens, last, report) = (0, 500, 0, true, None);
+            front.tell(Event::AttemptFinished(AttemptFinished {
                 id,
                 attempt,
-                engine,
+                server,
                 taken,
                 outcome,
-                kept_tokens,
+                cached_tokens,
                 last,
                 report,
             }));
@@ -186,26 +189,26 @@
     let _alone = ALONE.lock();
     let mut front = Front::new(common::fleet(false));
     let now = front.now;
-    let out = front.tell(Event::Call(common::call(1, now)));
-    let Some(Action::Assign { engine, .. }) =
+    let out = front.tell(Event::RequestArrived(common::call(1, now)));
+    let Some(Action::Assign { server, .. }) =
         out.iter().find(|action| matches!(action, Action::Assign { .. }))
     else {
         panic!("sent");
     };
-    let entries: Vec<Entry> =
-        common::fleet(false).into_iter().filter(|entry| entry.engine != *engine).collect();
-    let list = || Event::Roster { how: ListKind::Whole, entries: entries.clone() };
+    let entries: Vec<ServerEntry> =
+        common::fleet(false).into_iter().filter(|entry| entry.server != *server).collect();
+    let list = || Event::EndpointsUpdated { how: ListUpdateKind::Full, entries: entries.clone() };
     let known = |front: &Front| front.hands_over()["servers"].as_array().map_or(0, Vec::len);
     front.tell(list());
     assert_eq!(known(&front), 8, "its work is out");
-    let (id, engine, outcome, last) = (RequestId(1), *engine, Outcome::Reset, true);
-    front.tell(Event::Ended(Ended {
+    let (id, server, outcome, last) = (RequestId(1), *server, Outcome::Reset, true);
+    front.tell(Event::AttemptFinished(AttemptFinished {
         id,
         attempt: 0,
-        engine,
+        server,
         taken: 9,
         outcome,
-        kept_tokens: 0,
+        cached_tokens: 0,
         last,
         report: None,
     }));
@@ -225,21 +228,24 @@
         }
         let mut settings = common::settings();
         settings.classes = BTreeMap::from([(round, common::class(Effect::Idempotent, DedupGroup::All))]);
-        front.tell(Event::Retuned { settings: Box::new(settings), heirs: BTreeMap::new() });
+        front.tell(Event::SettingsReloaded {
+            settings: Box::new(settings),
+            class_renumbering: BTreeMap::new(),
+        });
         let (id, now) = (u64::from(round) + 1, front.now);
-        let out = front.tell(Event::Call(Call { class: round, ..common::call(id, now) }));
-        if let Some(Action::Assign { engine, .. }) =
+        let out = front.tell(Event::RequestArrived(RequestInfo { class: round, ..common::call(id, now) }));
+        if let Some(Action::Assign { server, .. }) =
             out.iter().find(|action| matches!(action, Action::Assign { .. }))
         {
-            let (id, engine, outcome) = (RequestId(id), *engine, Outcome::Reset);
-            let (attempt, taken, kept_tokens, last, report) = (0, 9, 0, true, None);
-            front.tell(Event::Ended(Ended {
+            let (id, server, outcome) = (RequestId(id), *server, Outcome::Reset);
+            let (attempt, taken, cached_tokens, last, report) = (0, 9, 0, true, None);
+            front.tell(Event::AttemptFinished(AttemptFinished {
                 id,
                 attempt,
-                engine,
+                server,
                 taken,
                 outcome,
-                kept_tokens,
+                cached_tokens,
                 last,
                 report,
             }));
--- a/crates/router/tests/classes.rs
+++ b/crates/router/tests/classes.rs
@@ -31,8 +31,8 @@
                 0 => {
                     told = picks.iter().map(|&(name, variant)| (names[name], rules(variant))).collect();
                     let new: Vec<Class> = told.iter().map(|(name, effect)| named(name, *effect)).collect();
-                    let heirs = classes.retune(new, |number| open.iter().any(|(its, ..)| *its == number));
-                    for (new, old) in heirs {
+                    let class_renumbering = classes.retune(new, |number| open.iter().any(|(its, ..)| *its == number));
+                    for (new, old) in class_renumbering {
                         prop_assert!(old < new, "an heir is newer");
                     }
                 }
@@ -79,7 +79,7 @@
     changed.max_attempts = 1;
     settings.classes.insert(4, changed);
     world.settings = settings.clone();
-    world.tell(Event::Retuned { settings: Box::new(settings), heirs: [(4, 0)].into() });
+    world.tell(Event::SettingsReloaded { settings: Box::new(settings), class_renumbering: [(4, 0)].into() });
     world.end(id, Outcome::ConnectFailed);
     assert_eq!(world.known[&id].attempts, 2, "the old number may be sent five times");
     let mut new = call(2, world.now);
--- a/crates/router/tests/cold_fleet.rs
+++ b/crates/router/tests/cold_fleet.rs
@@ -41,11 +41,11 @@
 
 fn play(draw: Draw) -> Worst {
     let mut settings = common::settings();
-    settings.balancers = draw.fronts as u32;
+    settings.dispatcher_count = draw.fronts as u32;
     settings.classes.retain(|&class, _| class == 0);
     settings.kinds.iter_mut().for_each(|kind| kind.memory_tokens = 10_000_000);
-    (settings.cold_from, settings.cold_for) = (0.26, 10 * S);
-    (settings.fall_multiple, settings.fall_window) = (2.5, S);
+    (settings.slow_start_min_share, settings.slow_start_window) = (0.26, 10 * S);
+    (settings.overload_multiple, settings.overload_window) = (2.5, S);
     // Zones are uneven: half of the fronts are in the first, half of the rest in the second.
     let zone = |at: usize, of: usize| ZoneId(if 2 * at < of { 0 } else { 1 + u32::from(4 * at >= 3 * of) });
     let zones = (0..draw.fronts).map(|at| zone(at, draw.fronts)).collect();
@@ -56,7 +56,7 @@
         for at in 0..count {
             let place = zone((at * 7 % count) as usize, count as usize);
             let (zone, cell) = (place, CellId(place.0));
-            let entry = Entry { zone, cell, ..common::entry(first + at, kind) };
+            let entry = ServerEntry { zone, cell, ..common::entry(first + at, kind) };
             model.serves(entry, 0.0, takes, 600_000);
         }
     }
@@ -91,10 +91,10 @@
         if !restarted && now > back {
             restarted = true;
             model.until(back);
-            for engine in model.servers.keys().copied().collect::<Vec<_>>() {
+            for server in model.servers.keys().copied().collect::<Vec<_>>() {
                 if model.lot() < draw.cold {
-                    cold.push(engine);
-                    model.restarts(engine);
+                    cold.push(server);
+                    model.restarts(server);
                 }
             }
         }
@@ -108,23 +108,23 @@
         let session = model.lots.next_u64() % 400;
         let shared = (!session.is_multiple_of(4)).then(|| Key(9_000 + session % 13));
         let (shared_tokens, session) = (if shared.is_some() { 500 } else { 0 }, Some(Key(session)));
-        let call = Call { session, shared, shared_tokens, ..common::call(id, now) };
+        let call = RequestInfo { session, shared, shared_tokens, ..common::call(id, now) };
         model.ask(front.unwrap_or(0), call);
     }
     let mut worst = Worst { colds: cold.len(), limit: 1.0, ..Worst::default() };
-    for engine in cold {
+    for server in cold {
         let times: Vec<Micros> = model
             .sends
             .iter()
-            .filter(|sent| sent.engine == engine && sent.at >= back)
+            .filter(|sent| sent.server == server && sent.at >= back)
             .map(|sent| sent.at)
             .collect();
         worst.all += times.len();
         for (at, &first) in times.iter().enumerate() {
-            let window = model.settings.fall_window;
+            let window = model.settings.overload_window;
             let sent = times[at..].iter().take_while(|&&later| later < first + window).count() as f64;
-            let share = model.share(&model.servers[&engine], first);
-            let allowed = model.settings.fall_multiple * share * draw.capacity * window as f64 / 1e6;
+            let share = model.share(&model.servers[&server], first);
+            let allowed = model.settings.overload_multiple * share * draw.capacity * window as f64 / 1e6;
             let limit = allowed + 2.0 * allowed.sqrt() + 2.0;
             worst.windows_over += usize::from(sent > limit);
             if sent / limit > worst.sent / worst.limit {
--- a/crates/router/tests/common/decision_hash.rs
+++ b/crates/router/tests/common/decision_hash.rs
@@ -48,16 +48,16 @@
 
     pub fn action(&mut self, action: &Action) {
         match action {
-            Action::Assign { id, engine, patience } => {
-                self.numbers(1, &[id.0, u64::from(engine.0), *patience]);
+            Action::Assign { id, server, attempt_timeout } => {
+                self.numbers(1, &[id.0, u64::from(server.0), *attempt_timeout]);
             }
-            Action::Refuse { id, retry_in } => self.numbers(2, &[id.0, *retry_in]),
-            Action::GiveUp(id) => self.numbers(3, &[id.0]),
-            Action::Revoke { id, attempt } => self.numbers(4, &[id.0, u64::from(*attempt)]),
-            Action::LetGo(id) => self.numbers(5, &[id.0]),
-            Action::Defer { delay, token } => self.numbers(6, &[*delay, token.0]),
+            Action::Reject { id, retry_in } => self.numbers(2, &[id.0, *retry_in]),
+            Action::Fail(id) => self.numbers(3, &[id.0]),
+            Action::CancelAttempt { id, attempt } => self.numbers(4, &[id.0, u64::from(*attempt)]),
+            Action::ReleaseHeldState(id) => self.numbers(5, &[id.0]),
+            Action::StartTimer { delay, token } => self.numbers(6, &[*delay, token.0]),
             Action::Subscribe => self.numbers(7, &[]),
-            Action::Tell(bytes) => {
+            Action::PublishGossip(bytes) => {
                 self.numbers(8, &[bytes.len() as u64]);
                 self.bytes(bytes);
             }
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -11,25 +11,25 @@
 
 pub const SECOND: Micros = 1_000_000;
 
-pub fn class(effect: Effect, group: DedupGroup) -> Class {
+pub fn class(effect: Effect, dedup_group: DedupGroup) -> Class {
     Class {
-        name: format!("{effect:?}-{group:?}"),
-        give_up: 5 * SECOND,
+        name: format!("{effect:?}-{dedup_group:?}"),
+        default_timeout: 5 * SECOND,
         max_attempts: 5,
         retired: false,
-        aim: SECOND,
-        aim_per_1000_tokens: 40_000,
-        token_aim: 60_000,
+        latency_objective: SECOND,
+        latency_objective_per_1000_tokens: 40_000,
+        token_interval_objective: 60_000,
         effect,
-        group,
+        dedup_group,
         dedup_window: 2 * SECOND,
-        worth: 1.0,
+        priority_weight: 1.0,
     }
 }
 
 pub fn settings() -> Settings {
     Settings {
-        balancers: 2,
+        dispatcher_count: 2,
         zone: ZoneId(0),
         classes: (0..)
             .zip([
@@ -45,27 +45,27 @@
             Kind { role: Role::Mixed, memory_tokens: 200_000 },
         ],
         must_subscribe: false,
-        must_ask_in: 10 * SECOND,
+        max_list_age: 10 * SECOND,
         may_cancel: true,
         peers: false,
-        peer_price: 0.0,
-        writers_read: true,
+        gossip_price: 0.0,
+        writers_can_read: true,
         max_retry_after: SECOND,
-        release_within: 300_000,
+        max_hold_time: 300_000,
         resolution: 4_000,
-        cold_from: 0.3,
-        cold_for: 12 * SECOND,
+        slow_start_min_share: 0.3,
+        slow_start_window: 12 * SECOND,
         memory_field: Some(0),
-        fall_multiple: 2.5,
-        fall_window: 1_500_000,
+        overload_multiple: 2.5,
+        overload_window: 1_500_000,
     }
 }
 
-pub fn entry(engine: u32, kind: u32) -> Entry {
-    Entry {
-        engine: EngineId(engine),
-        zone: ZoneId(engine % 2),
-        cell: CellId(engine % 2),
+pub fn entry(server: u32, kind: u32) -> ServerEntry {
+    ServerEntry {
+        server: ServerId(server),
+        zone: ZoneId(server % 2),
+        cell: CellId(server % 2),
         weight: 1.0,
         started: None,
         health: Health::Ready,
@@ -74,16 +74,17 @@
 }
 
 /// Readers 0 to 3, writers 10 to 13, and with `mixed` also servers 20 and 21.
-pub fn fleet(mixed: bool) -> Vec<Entry> {
-    let mut list: Vec<Entry> = (0..4).map(|id| entry(id, 0)).chain((10..14).map(|id| entry(id, 1))).collect();
+pub fn fleet(mixed: bool) -> Vec<ServerEntry> {
+    let mut list: Vec<ServerEntry> =
+        (0..4).map(|id| entry(id, 0)).chain((10..14).map(|id| entry(id, 1))).collect();
     if mixed {
         list.extend([entry(20, 2), entry(21, 2)]);
     }
     list
 }
 
-pub fn call(id: u64, now: Micros) -> Call {
-    Call {
+pub fn call(id: u64, now: Micros) -> RequestInfo {
+    RequestInfo {
         id: RequestId(id),
         class: 0,
         session: Some(Key(id)),
@@ -99,7 +100,7 @@
 #[derive(Clone, Debug)]
 pub struct Sent {
     pub number: u32,
-    pub engine: EngineId,
+    pub server: ServerId,
     pub at: Micros,
     pub until: Micros,
     pub begun: bool,
@@ -108,13 +109,13 @@
 
 #[derive(Clone, Debug)]
 pub struct Known {
-    pub call: Call,
+    pub call: RequestInfo,
     pub attempts: u32,
     pub out: Option<Sent>,
     pub ended: bool,
-    pub ran: Option<(EngineId, Micros)>,
+    pub ran: Option<(ServerId, Micros)>,
     /// Reader that holds its state, and since when nothing was out.
-    pub held: Option<(EngineId, Micros)>,
+    pub held: Option<(ServerId, Micros)>,
 }
 
 /// A router with its surroundings; every action is held against the rules as it comes.
@@ -122,20 +123,20 @@
     pub settings: Settings,
     pub router: Router,
     pub now: Micros,
-    pub list: BTreeMap<EngineId, Entry>,
+    pub list: BTreeMap<ServerId, ServerEntry>,
     pub known: BTreeMap<RequestId, Known>,
     pub timers: BTreeSet<(Micros, u64)>,
     pub log: Vec<Action>,
-    pub sends: Vec<(Micros, EngineId, bool)>,
+    pub sends: Vec<(Micros, ServerId, bool)>,
     pub subscribes: Vec<Micros>,
 }
 
 impl World {
-    pub fn new(settings: Settings, list: Vec<Entry>) -> Self {
+    pub fn new(settings: Settings, list: Vec<ServerEntry>) -> Self {
         Self::with_seed(settings, list, 7)
     }
 
-    pub fn with_seed(settings: Settings, list: Vec<Entry>, seed: u64) -> Self {
+    pub fn with_seed(settings: Settings, list: Vec<ServerEntry>, seed: u64) -> Self {
         let router = Router::new(settings.clone(), seed, 1_000 * SECOND);
         let mut world = Self {
             settings,
@@ -148,27 +149,27 @@
             sends: Vec::new(),
             subscribes: Vec::new(),
         };
-        world.roster(ListKind::StaleCopy, list);
+        world.roster(ListUpdateKind::StaleCopy, list);
         world
     }
 
-    pub fn roster(&mut self, how: ListKind, entries: Vec<Entry>) {
-        if how != ListKind::Broken {
-            if how != ListKind::Patch {
+    pub fn roster(&mut self, how: ListUpdateKind, entries: Vec<ServerEntry>) {
+        if how != ListUpdateKind::Failed {
+            if how != ListUpdateKind::Patch {
                 self.list.clear();
             }
             for entry in &entries {
-                self.list.insert(entry.engine, entry.clone());
+                self.list.insert(entry.server, entry.clone());
             }
         }
-        self.tell(Event::Roster { how, entries });
+        self.tell(Event::EndpointsUpdated { how, entries });
     }
 
     /// Changes one entry of the list and tells the router.
-    pub fn change(&mut self, engine: u32, change: impl FnOnce(&mut Entry)) {
-        let mut entry = self.list[&EngineId(engine)].clone();
+    pub fn change(&mut self, server: u32, change: impl FnOnce(&mut ServerEntry)) {
+        let mut entry = self.list[&ServerId(server)].clone();
         change(&mut entry);
-        self.roster(ListKind::Patch, vec![entry]);
+        self.roster(ListUpdateKind::Patch, vec![entry]);
     }
 
     /// The front is killed and comes back with its last list; its requests are its clients' to repeat.
@@ -177,14 +178,14 @@
         self.known.clear();
         self.timers.clear();
         let list = self.list.values().cloned().collect();
-        self.roster(ListKind::StaleCopy, list);
+        self.roster(ListUpdateKind::StaleCopy, list);
     }
 
-    pub fn ask(&mut self, call: Call) {
+    pub fn ask(&mut self, call: RequestInfo) {
         let id = call.id;
         let known = Known { call: call.clone(), attempts: 0, out: None, ended: false, ran: None, held: None };
         self.known.insert(id, known);
-        self.tell(Event::Call(call));
+        self.tell(Event::RequestArrived(call));
     }
 
     pub fn simple(&mut self, id: u64) -> RequestId {
@@ -197,9 +198,9 @@
         self.known.get(&id).and_then(|known| known.out.clone())
     }
 
-    pub fn is_reader(&self, engine: EngineId) -> bool {
+    pub fn is_reader(&self, server: ServerId) -> bool {
         self.list
-            .get(&engine)
+            .get(&server)
             .is_some_and(|entry| self.settings.kinds[entry.kind as usize].role == Role::Reader)
     }
 
@@ -208,7 +209,7 @@
         let Some(out) = known.out.as_mut() else { return };
         out.begun = true;
         known.held = None;
-        let event = Event::Begun { id, attempt: out.number, taken: self.now - out.at };
+        let event = Event::FirstToken { id, attempt: out.number, taken: self.now - out.at };
         self.tell(event);
     }
 
@@ -217,30 +218,30 @@
         self.end_with(id, outcome, 0);
     }
 
-    pub fn end_with(&mut self, id: RequestId, outcome: Outcome, kept_tokens: u64) {
+    pub fn end_with(&mut self, id: RequestId, outcome: Outcome, cached_tokens: u64) {
         let Some(known) = self.known.get_mut(&id) else { return };
         let Some(out) = known.out.take() else { return };
         let last = known.ended || outcome == Outcome::Served || out.begun;
         match outcome {
-            Outcome::Read => known.held = Some((out.engine, self.now)),
+            Outcome::Read => known.held = Some((out.server, self.now)),
             // A reader that is cut off from the writer still holds the state.
-            _ => known.held = known.held.map(|(engine, _)| (engine, self.now)),
+            _ => known.held = known.held.map(|(server, _)| (server, self.now)),
         }
         let proven = matches!(
             outcome,
-            Outcome::Full | Outcome::NoState | Outcome::ConnectFailed | Outcome::Moot | Outcome::Read
+            Outcome::Full | Outcome::NoState | Outcome::ConnectFailed | Outcome::NotSent | Outcome::Read
         );
         if !proven && !out.reads && known.ran.is_none() {
-            known.ran = Some((out.engine, out.at));
+            known.ran = Some((out.server, out.at));
         }
         known.ended = last;
-        let event = Event::Ended(Ended {
+        let event = Event::AttemptFinished(AttemptFinished {
             id,
             attempt: out.number,
-            engine: out.engine,
+            server: out.server,
             taken: self.now - out.at,
             outcome,
-            kept_tokens,
+            cached_tokens,
             last,
             report: None,
         });
@@ -251,7 +252,7 @@
         if let Some(known) = self.known.get_mut(&id) {
             known.ended = true;
         }
-        self.tell(Event::Hangup(id));
+        self.tell(Event::ClientDisconnected(id));
     }
 
     /// Lets time pass in small steps; timers and time-outs come due, the clock rules are checked.
@@ -264,7 +265,7 @@
                     break;
                 }
                 self.timers.pop_first();
-                self.tell(Event::Due(TimerToken(token)));
+                self.tell(Event::TimerFired(TimerToken(token)));
             }
             let late: Vec<RequestId> = self
                 .known
@@ -290,7 +291,7 @@
                 "rule 1: {id:?} not answered"
             );
             if let (None, Some((_, since))) = (&known.out, known.held) {
-                assert!(self.now <= since + self.settings.release_within, "rule 5: {id:?} left pinned");
+                assert!(self.now <= since + self.settings.max_hold_time, "rule 5: {id:?} left pinned");
             }
         }
     }
@@ -305,44 +306,44 @@
 
     fn take(&mut self, action: Action) {
         match &action {
-            Action::Assign { id, engine, patience } => self.take_send(*id, *engine, *patience),
-            Action::Refuse { id, .. } => {
+            Action::Assign { id, server, attempt_timeout } => self.take_send(*id, *server, *attempt_timeout),
+            Action::Reject { id, .. } => {
                 let known = self.known.get_mut(id).expect("a known request");
                 assert!(!known.ended, "rule 1: {id:?} answered twice");
                 assert!(known.out.is_none(), "refused while an attempt is out");
                 let class = &self.settings.classes[&known.call.class];
                 let harmless = known.ran.is_none()
                     || class.effect == Effect::Idempotent
-                    || (class.effect == Effect::Deduplicated && class.group == DedupGroup::All);
+                    || (class.effect == Effect::Deduplicated && class.dedup_group == DedupGroup::All);
                 assert!(harmless, "rule 2: {id:?} refused though it may have run");
                 known.ended = true;
             }
-            Action::GiveUp(id) => {
+            Action::Fail(id) => {
                 let known = self.known.get_mut(id).expect("a known request");
                 assert!(!known.ended, "rule 1: {id:?} answered twice");
                 known.ended = true;
             }
-            Action::LetGo(id) => {
+            Action::ReleaseHeldState(id) => {
                 if let Some(known) = self.known.get_mut(id) {
                     known.held = None;
                 }
             }
-            Action::Revoke { id, attempt } => {
+            Action::CancelAttempt { id, attempt } => {
                 let known = self.known.get(id).expect("a known request");
                 assert!(*attempt < known.attempts, "an attempt that was made");
             }
-            Action::Defer { delay, token } => {
+            Action::StartTimer { delay, token } => {
                 self.timers.insert((self.now + delay, token.0));
             }
             Action::Subscribe => self.subscribes.push(self.now),
-            Action::Tell(_) => {}
+            Action::PublishGossip(_) => {}
         }
         self.log.push(action);
     }
 
-    fn take_send(&mut self, id: RequestId, engine: EngineId, patience: Micros) {
-        let entry = self.list.get(&engine).expect("a server of the list").clone();
-        let reads = self.is_reader(engine);
+    fn take_send(&mut self, id: RequestId, server: ServerId, attempt_timeout: Micros) {
+        let entry = self.list.get(&server).expect("a server of the list").clone();
+        let reads = self.is_reader(server);
         let known = self.known.get_mut(&id).expect("a known request");
         assert!(!known.ended && self.now <= known.call.not_after, "rule 1: {id:?} sent after its end");
         assert!(known.out.is_none(), "rule 2: {id:?} has two attempts out");
@@ -354,40 +355,40 @@
                 assert!(self.now <= sent + class.dedup_window, "rule 2: {id:?} sent after the window");
                 let cell = self.list.get(&first).map(|entry| entry.cell);
                 assert!(
-                    class.group == DedupGroup::All || cell == Some(entry.cell),
-                    "rule 2: outside its group"
+                    class.dedup_group == DedupGroup::All || cell == Some(entry.cell),
+                    "rule 2: outside its dedup_group"
                 );
             }
         }
-        let until = (self.now + patience.max(1)).min(known.call.not_after);
+        let until = (self.now + attempt_timeout.max(1)).min(known.call.not_after);
         let number = known.attempts;
-        known.out = Some(Sent { number, engine, at: self.now, until, begun: false, reads });
+        known.out = Some(Sent { number, server, at: self.now, until, begun: false, reads });
         known.attempts += 1;
         assert!(
             known.attempts <= self.settings.classes[&known.call.class].max_attempts,
             "{id:?} sent too often"
         );
-        let cold = entry.started.is_some_and(|at| self.now < at + self.settings.cold_for);
-        self.sends.push((self.now, engine, cold));
+        let cold = entry.started.is_some_and(|at| self.now < at + self.settings.slow_start_window);
+        self.sends.push((self.now, server, cold));
         if cold {
-            self.check_cold(engine);
+            self.check_cold(server);
         }
     }
 
     /// Rule 4, loosely and from outside: since its last start, within a window, no more than one send for the start, one for chance,
     /// and the cold share of the most that any one server was sent in a window of that length.
-    fn check_cold(&self, engine: EngineId) {
-        let window = self.settings.fall_window;
-        let sent_in = |to: EngineId, end: Micros| {
+    fn check_cold(&self, server: ServerId) {
+        let window = self.settings.overload_window;
+        let sent_in = |to: ServerId, end: Micros| {
             self.sends.iter().filter(|&&(at, id, _)| id == to && at + window > end && at <= end).count()
         };
         let warm = self.sends.iter().filter(|&&(_, _, cold)| !cold);
         let most = warm.map(|&(at, id, _)| sent_in(id, at)).max().unwrap_or(0);
-        let share = self.settings.fall_multiple * self.settings.cold_from;
-        let started = self.list[&engine].started.unwrap_or(0);
+        let share = self.settings.overload_multiple * self.settings.slow_start_min_share;
+        let started = self.list[&server].started.unwrap_or(0);
         let since_start = |at: Micros| at >= started && at + window > self.now;
-        let sent = self.sends.iter().filter(|&&(at, id, _)| id == engine && since_start(at)).count() as f64;
-        assert!(sent <= 2.0 + share * most as f64, "rule 4: {engine:?} was sent {sent} while cold");
+        let sent = self.sends.iter().filter(|&&(at, id, _)| id == server && since_start(at)).count() as f64;
+        assert!(sent <= 2.0 + share * most as f64, "rule 4: {server:?} was sent {sent} while cold");
     }
 
     pub fn count(&self, test: impl Fn(&Action) -> bool) -> usize {
--- a/crates/router/tests/decisions.rs
+++ b/crates/router/tests/decisions.rs
@@ -43,12 +43,13 @@
 
 fn settings(of: Scenario) -> Settings {
     let mut settings = common::settings();
-    settings.balancers = of.dispatchers;
+    settings.dispatcher_count = of.dispatchers;
     settings.peers = of.peers;
     settings.must_subscribe = of.seed.is_multiple_of(2);
     settings.kinds.iter_mut().for_each(|kind| kind.memory_tokens = of.memory_tokens);
     for (at, class) in &mut settings.classes {
-        (class.aim, class.worth) = (600_000 + 400_000 * u64::from(*at), 1.0 + f64::from(*at));
+        (class.latency_objective, class.priority_weight) =
+            (600_000 + 400_000 * u64::from(*at), 1.0 + f64::from(*at));
     }
     settings
 }
@@ -83,8 +84,8 @@
         id += 1;
         let count = of.rate as u64;
         if id == 6 * count {
-            model.restarts(EngineId(1));
-            model.restarts(EngineId(101));
+            model.restarts(ServerId(1));
+            model.restarts(ServerId(101));
         }
         if id == 12 * count {
             model.forgets(0);
@@ -92,7 +93,7 @@
         let dispatcher = (model.lot() * f64::from(of.dispatchers)) as usize;
         let (session, class) = ((model.lot() * 40.0) as u64, (model.lot() * 4.0) as u32);
         let prompt_tokens = 400 + (model.lot() * 9_000.0) as u64;
-        let call = Call {
+        let call = RequestInfo {
             class,
             session: Some(Key(session)),
             shared: (!session.is_multiple_of(3)).then_some(Key(900 + session % 4)),
--- a/crates/router/tests/failures.rs
+++ b/crates/router/tests/failures.rs
@@ -6,11 +6,11 @@
 use dewladder_router::interface::*;
 
 /// Serves a request at once, both stages; says where it was read.
-fn serve(world: &mut World, id: u64, session: u64) -> EngineId {
+fn serve(world: &mut World, id: u64, session: u64) -> ServerId {
     let mut call = call(id, world.now);
     call.session = Some(Key(session));
     world.ask(call);
-    let reader = world.out(RequestId(id)).expect("sent to a reader").engine;
+    let reader = world.out(RequestId(id)).expect("sent to a reader").server;
     world.pass(40_000);
     world.end_with(RequestId(id), Outcome::Read, 1_000);
     world.pass(12_000);
@@ -42,7 +42,7 @@
         world.simple(id);
     }
     world.pass(2 * SECOND - 400_000);
-    let refused = |world: &World| world.count(|action| matches!(action, Action::Refuse { .. }));
+    let refused = |world: &World| world.count(|action| matches!(action, Action::Reject { .. }));
     for id in 200..240 {
         world.simple(id);
     }
@@ -66,7 +66,7 @@
     let mut call = call(2, world.now);
     call.session = Some(Key(5));
     world.ask(call);
-    assert_eq!(world.out(RequestId(2)).unwrap().engine, silent);
+    assert_eq!(world.out(RequestId(2)).unwrap().server, silent);
     world.pass(600_000);
     assert_ne!(serve(&mut world, 3, 5), silent, "the oldest attempt there has been silent for too long");
 }
@@ -75,11 +75,11 @@
 fn failed_connections_rest_a_server_and_one_request_at_a_time_tries_it() {
     let mut world = World::new(settings(), fleet(false));
     let id = world.simple(1);
-    let dead = world.out(id).unwrap().engine;
+    let dead = world.out(id).unwrap().server;
     world.end(id, Outcome::ConnectFailed);
-    assert_ne!(world.out(id).unwrap().engine, dead);
+    assert_ne!(world.out(id).unwrap().server, dead);
     let mut again = (2..10).map(|other| world.simple(other)).collect::<Vec<_>>();
-    again.retain(|&id| world.out(id).unwrap().engine == dead);
+    again.retain(|&id| world.out(id).unwrap().server == dead);
     world.end(again[0], Outcome::ConnectFailed);
     // Those that had gone there before the second failure are all that it gets.
     let before = 1 + again.len();
@@ -99,7 +99,7 @@
 #[test]
 fn a_reader_that_forgot_is_not_believed_about_older_prompts_either() {
     let mut world = World::new(settings(), fleet(false));
-    let with_shared = |id: u64, session: u64, shared: u64, now: Micros| Call {
+    let with_shared = |id: u64, session: u64, shared: u64, now: Micros| RequestInfo {
         session: Some(Key(session)),
         shared: Some(Key(shared)),
         shared_tokens: 100,
@@ -112,7 +112,7 @@
         .find(|&shared| {
             let id = RequestId(shared);
             world.ask(with_shared(shared, 1_000 + shared, shared, world.now));
-            let elsewhere = world.out(id).unwrap().engine != reader;
+            let elsewhere = world.out(id).unwrap().server != reader;
             world.pass(40_000);
             world.end_with(id, Outcome::Read, 0);
             world.end(id, Outcome::Served);
@@ -124,13 +124,13 @@
         let mut call = call(id, world.now);
         call.session = Some(Key(0));
         world.ask(call);
-        assert_eq!(world.out(RequestId(id)).unwrap().engine, reader);
+        assert_eq!(world.out(RequestId(id)).unwrap().server, reader);
         world.pass(40_000);
         world.end_with(RequestId(id), Outcome::Read, 0);
         world.end(RequestId(id), Outcome::Served);
     }
     world.ask(with_shared(9, other, shared, world.now));
-    assert_ne!(world.out(RequestId(9)).unwrap().engine, reader, "its longer match is not believed");
+    assert_ne!(world.out(RequestId(9)).unwrap().server, reader, "its longer match is not believed");
 }
 
 #[test]
@@ -139,7 +139,7 @@
     let id = world.simple(1);
     world.end(id, Outcome::Read);
     world.end(id, Outcome::NoState);
-    assert_eq!(world.count(|action| *action == Action::LetGo(id)), 1);
+    assert_eq!(world.count(|action| *action == Action::ReleaseHeldState(id)), 1);
     assert!(world.out(id).unwrap().reads);
 }
 
@@ -147,7 +147,7 @@
 fn a_state_that_leaves_its_cell_has_more_time() {
     let far = |cell: u32| {
         let mut world =
-            World::new(settings(), vec![entry(0, 0), Entry { cell: CellId(cell), ..entry(10, 1) }]);
+            World::new(settings(), vec![entry(0, 0), ServerEntry { cell: CellId(cell), ..entry(10, 1) }]);
         let id = world.simple(1);
         world.end(id, Outcome::Read);
         let out = world.out(id).unwrap();
@@ -173,15 +173,15 @@
 
 #[test]
 fn over_slow_links_a_reader_without_a_writer_in_its_cell_is_passed() {
-    let lone = Entry { cell: CellId(7), ..entry(0, 0) };
+    let lone = ServerEntry { cell: CellId(7), ..entry(0, 0) };
     let mut world = World::new(settings(), vec![lone, entry(2, 0), entry(10, 1)]);
-    let near = (100..120).filter(|&session| serve(&mut world, session, session) == EngineId(2)).count();
+    let near = (100..120).filter(|&session| serve(&mut world, session, session) == ServerId(2)).count();
     assert!(near > 2, "moves within the cell are the yardstick");
-    let far = (0..99).find(|&session| serve(&mut world, session, session) == EngineId(0)).unwrap();
+    let far = (0..99).find(|&session| serve(&mut world, session, session) == ServerId(0)).unwrap();
     let mut again = call(500, world.now);
     again.session = Some(Key(far));
     world.ask(again.clone());
-    assert_eq!(world.out(RequestId(500)).unwrap().engine, EngineId(0), "its match is there");
+    assert_eq!(world.out(RequestId(500)).unwrap().server, ServerId(0), "its match is there");
     world.end(RequestId(500), Outcome::Read);
     world.pass(900_000);
     world.begin(RequestId(500));
@@ -189,13 +189,13 @@
     again.id = RequestId(501);
     again.not_after = world.now + 5 * SECOND;
     world.ask(again);
-    assert_eq!(world.out(RequestId(501)).unwrap().engine, EngineId(2), "the move from there took long");
+    assert_eq!(world.out(RequestId(501)).unwrap().server, ServerId(2), "the move from there took long");
 }
 
 #[test]
 fn one_own_request_among_many_fronts_is_no_full_server() {
     let mut crowd = settings();
-    crowd.balancers = 200;
+    crowd.dispatcher_count = 200;
     let mut world = World::new(crowd, fleet(false));
     let reader = serve(&mut world, 1, 5);
     let mut first = call(2, world.now);
@@ -204,8 +204,8 @@
     let mut second = call(3, world.now);
     second.session = Some(Key(5));
     world.ask(second);
-    assert_eq!(world.out(RequestId(2)).unwrap().engine, reader);
-    assert_eq!(world.out(RequestId(3)).unwrap().engine, reader, "the match is kept beside one own read");
+    assert_eq!(world.out(RequestId(2)).unwrap().server, reader);
+    assert_eq!(world.out(RequestId(3)).unwrap().server, reader, "the match is kept beside one own read");
 }
 
 #[test]
@@ -218,7 +218,7 @@
         asked.shared_tokens = 800;
         world.ask(asked);
         world.end(RequestId(1), Outcome::ConnectFailed);
-        world.out(RequestId(1)).unwrap().engine
+        world.out(RequestId(1)).unwrap().server
     };
     let first = second_choice(1);
     assert!((2..20).all(|seed| second_choice(seed) == first));
@@ -229,13 +229,13 @@
     // One writer only fails class 0; the other fails nothing.
     let list = [entry(0, 0), entry(10, 1), entry(12, 1)];
     let mut world = World::new(settings(), list.into());
-    let sick = EngineId(10);
+    let sick = ServerId(10);
     let write = |world: &mut World, id: u64, class: u32| {
         let mut asked = call(id, world.now);
         asked.class = class;
         world.ask(asked);
         world.end(RequestId(id), Outcome::Read);
-        let writer = world.out(RequestId(id)).unwrap().engine;
+        let writer = world.out(RequestId(id)).unwrap().server;
         if writer == sick && class == 0 {
             world.end(RequestId(id), Outcome::Error);
         }
@@ -256,7 +256,7 @@
 #[test]
 fn a_rack_keeps_only_the_states_that_its_writers_can_take() {
     // Cell 0: four readers and one writer; cell 1: one reader and four writers.
-    let place = |mut entry: Entry, cell: u32| {
+    let place = |mut entry: ServerEntry, cell: u32| {
         entry.cell = CellId(cell);
         entry.zone = ZoneId(0);
         entry
@@ -268,10 +268,10 @@
     for id in 1..200 {
         world.simple(id);
         let Some(read) = world.out(RequestId(id)) else { continue };
-        if read.engine.0 < 4 {
+        if read.server.0 < 4 {
             world.end(RequestId(id), Outcome::Read);
             all += 1;
-            lone += u32::from(world.out(RequestId(id)).unwrap().engine == EngineId(10));
+            lone += u32::from(world.out(RequestId(id)).unwrap().server == ServerId(10));
             world.begin(RequestId(id));
         }
         world.end(RequestId(id), Outcome::Served);
@@ -290,7 +290,7 @@
     for (cell, zone, readers, writers) in cells {
         for (kind, count) in [(0, readers), (1, writers)] {
             let from = 100 * (kind + 1) + 20 * cell;
-            let place = |id| Entry { cell: CellId(cell), zone: ZoneId(zone), ..entry(id, kind) };
+            let place = |id| ServerEntry { cell: CellId(cell), zone: ZoneId(zone), ..entry(id, kind) };
             list.extend((from..from + count).map(place));
         }
     }
@@ -316,7 +316,7 @@
 /// States read in cell 0 of three equal cells, where first tokens take 600 ms in cells that `crowded` names
 /// and 20 ms elsewhere: how many of the last 60 were sent to cell 0, and to any.
 fn stayed(seed: u64, crowded: impl Fn(u32) -> bool) -> (usize, usize) {
-    let place = |id: u32, kind| Entry { cell: CellId(id % 3), zone: ZoneId(0), ..entry(id, kind) };
+    let place = |id: u32, kind| ServerEntry { cell: CellId(id % 3), zone: ZoneId(0), ..entry(id, kind) };
     let list = (0..6).map(|id| place(id, 0)).chain((30..39).map(|id| place(id, 1))).collect();
     let mut world = World::with_seed(settings(), list, seed);
     let mut to = Vec::new();
@@ -324,8 +324,8 @@
         world.simple(id);
         let Some(read) = world.out(RequestId(id)) else { continue };
         world.end(RequestId(id), Outcome::Read);
-        let writer = world.out(RequestId(id)).unwrap().engine.0;
-        if read.engine.0 % 3 == 0 {
+        let writer = world.out(RequestId(id)).unwrap().server.0;
+        if read.server.0 % 3 == 0 {
             to.push(writer % 3);
         }
         world.pass(if crowded(writer % 3) { 600_000 } else { 20_000 });
@@ -360,7 +360,7 @@
         asked.shared = Some(Key(77));
         asked.shared_tokens = 900;
         world.ask(asked);
-        used.insert(world.out(RequestId(id)).unwrap().engine);
+        used.insert(world.out(RequestId(id)).unwrap().server);
         world.pass(20_000);
         world.end_with(RequestId(id), Outcome::Read, 900);
         world.begin(RequestId(id));
@@ -372,20 +372,21 @@
 
 #[test]
 fn fronts_that_have_seen_nothing_spread_a_beginning_over_the_same_few_homes() {
-    let list: Vec<Entry> = (0..24).map(|id| entry(id, 0)).chain((30..40).map(|id| entry(id, 1))).collect();
+    let list: Vec<ServerEntry> =
+        (0..24).map(|id| entry(id, 0)).chain((30..40).map(|id| entry(id, 1))).collect();
     let mut used = std::collections::BTreeSet::new();
     for session in 0..40 {
         let mut world = World::new(settings(), list.clone());
-        let shared = Call { shared: Some(Key(77)), shared_tokens: 900, ..call(session, world.now) };
+        let shared = RequestInfo { shared: Some(Key(77)), shared_tokens: 900, ..call(session, world.now) };
         world.ask(shared);
-        used.insert(world.out(RequestId(session)).unwrap().engine);
+        used.insert(world.out(RequestId(session)).unwrap().server);
     }
     assert_eq!(used.len(), 3, "24 readers; read at {used:?}");
 }
 
 /// One of 200 fronts, which has served some requests.
 fn warm_front_of_many() -> World {
-    let mut world = World::new(Settings { balancers: 200, ..settings() }, fleet(false));
+    let mut world = World::new(Settings { dispatcher_count: 200, ..settings() }, fleet(false));
     for id in 0..40 {
         serve(&mut world, id, id);
     }
@@ -455,7 +456,7 @@
 
 /// Eight readers. A minute of 12 calls a second, each with a beginning of its own; then two of five begin with one
 /// new text, for ten seconds. Where those of the last two seconds are read.
-fn read_at_of_a_text_that_turned_hot() -> std::collections::BTreeSet<EngineId> {
+fn read_at_of_a_text_that_turned_hot() -> std::collections::BTreeSet<ServerId> {
     let list = (0..8).map(|id| entry(id, 0)).chain((10..14).map(|id| entry(id, 1))).collect();
     let mut world = World::new(settings(), list);
     let mut used = std::collections::BTreeSet::new();
@@ -467,7 +468,7 @@
         world.ask(asked);
         let id = RequestId(id);
         if hot && id.0 >= 816 {
-            used.extend(world.out(id).map(|out| out.engine));
+            used.extend(world.out(id).map(|out| out.server));
         }
         world.pass(20_000);
         world.end_with(id, Outcome::Read, if hot { 900 } else { 0 });
@@ -498,17 +499,18 @@
         world.end(id, Outcome::Read);
         leave(&mut world, id);
     }
-    let again = |id: u64, now: Micros| Call { session: Some(Key(5)), prompt_tokens: 6_000, ..call(id, now) };
+    let again =
+        |id: u64, now: Micros| RequestInfo { session: Some(Key(5)), prompt_tokens: 6_000, ..call(id, now) };
     world.ask(again(200, world.now));
     world.ask(again(201, world.now));
-    assert_eq!(world.out(RequestId(200)).map(|out| out.engine), Some(reader));
-    assert_eq!(world.out(RequestId(201)).map(|out| out.engine), Some(reader), "read anew elsewhere");
+    assert_eq!(world.out(RequestId(200)).map(|out| out.server), Some(reader));
+    assert_eq!(world.out(RequestId(201)).map(|out| out.server), Some(reader), "read anew elsewhere");
 }
 
 #[test]
 fn where_all_readers_are_late_text_is_still_read_where_it_is_kept() {
     let mut world = World::new(settings(), fleet(false));
-    let kept: Vec<(u64, EngineId)> =
+    let kept: Vec<(u64, ServerId)> =
         (1..40).map(|session| (session, serve(&mut world, session, session))).collect();
     // Readers are fast, so that what waits is no jam.
     for id in 50..90 {
@@ -521,16 +523,16 @@
     let mut stuck = std::collections::BTreeSet::new();
     for id in 100..200 {
         let id = world.simple(id);
-        if !stuck.insert(world.out(id).expect("sent").engine) {
+        if !stuck.insert(world.out(id).expect("sent").server) {
             leave(&mut world, id);
         }
     }
     assert_eq!(stuck.len(), 4, "a read is out at each");
     world.pass(700_000);
     for &(session, reader) in kept.iter().take(8) {
-        world.ask(Call { session: Some(Key(session)), ..call(300 + session, world.now) });
+        world.ask(RequestInfo { session: Some(Key(session)), ..call(300 + session, world.now) });
         let id = RequestId(300 + session);
-        assert_eq!(world.out(id).map(|out| out.engine), Some(reader), "session {session}");
+        assert_eq!(world.out(id).map(|out| out.server), Some(reader), "session {session}");
         leave(&mut world, id);
     }
 }
--- a/crates/router/tests/fairness.rs
+++ b/crates/router/tests/fairness.rs
@@ -15,13 +15,13 @@
 
 fn settings(classes: u32) -> Settings {
     let mut settings = common::settings();
-    settings.balancers = 4;
+    settings.dispatcher_count = 4;
     let effects = [Effect::Idempotent, Effect::AtMostOnce, Effect::Deduplicated];
     settings.classes = (0..classes)
         .map(|at| {
             let mut class = common::class(effects[at as usize], DedupGroup::All);
-            (class.aim, class.give_up) = (1_200_000 + 400_000 * u64::from(at), 6 * S);
-            class.worth = 1.0 + f64::from(at);
+            (class.latency_objective, class.default_timeout) = (1_200_000 + 400_000 * u64::from(at), 6 * S);
+            class.priority_weight = 1.0 + f64::from(at);
             (at, class)
         })
         .collect();
@@ -76,7 +76,7 @@
         id += 1;
         let (class, front) = (u32::from(model.lot() < 0.3), (model.lot() * 4.0) as usize);
         let (prompt_tokens, now) = (prompt(&mut model), model.now);
-        let call = Call { class, prompt_tokens, not_after: now + 6 * S, ..common::call(id, now) };
+        let call = RequestInfo { class, prompt_tokens, not_after: now + 6 * S, ..common::call(id, now) };
         model.ask(front, call);
     }
     model.until(end + 10 * S);
@@ -110,7 +110,7 @@
 fn sessions(classes: u32, mixed: bool, load: f64, trouble: &[Trouble], seed: u64) -> Vec<(f64, f64, usize)> {
     let mut model = fleet(classes, mixed, seed);
     for &(id, slower, does) in trouble {
-        let server = model.servers.get_mut(&EngineId(id)).expect("a server");
+        let server = model.servers.get_mut(&ServerId(id)).expect("a server");
         (server.token_takes, server.attempt_takes, server.does) =
             (server.token_takes * slower, server.attempt_takes * slower, does);
     }
@@ -138,7 +138,7 @@
         let (class, session) =
             ((session % u64::from(classes)) as u32, Some(Key::from_text(&format!("s{session}"))));
         let not_after = at + 6 * S;
-        let call = Call {
+        let call = RequestInfo {
             class,
             session,
             shared,
@@ -209,11 +209,11 @@
     for (does, mixed, classes) in
         [(Does::Hang, false, 2), (Does::Refuse, false, 2), (Does::Hang, true, 3), (Does::Refuse, true, 3)]
     {
-        for (rate, balancers, seed) in
+        for (rate, dispatcher_count, seed) in
             [(4.0, 300, 1), (4.0, 300, 2), (8.0, 300, 3), (6.0, 4, 4), (12.0, 1, 5)]
         {
             let mut settings = settings(classes);
-            settings.balancers = balancers;
+            settings.dispatcher_count = dispatcher_count;
             let mut model = Model::new(settings, vec![ZoneId(0)], seed);
             let mut ids: Vec<(u32, u32)> =
                 (0..9).map(|id| (id, 0)).chain((100..109).map(|id| (id, 1))).collect();
@@ -234,8 +234,13 @@
                 let prompt_tokens = prompt(&mut model);
                 let class = (model.lot() * f64::from(classes)) as u32;
                 let session = Some(Key::from_text(&format!("s{}", id % 40)));
-                let call =
-                    Call { class, session, prompt_tokens, not_after: at + 6 * S, ..common::call(id + 1, at) };
+                let call = RequestInfo {
+                    class,
+                    session,
+                    prompt_tokens,
+                    not_after: at + 6 * S,
+                    ..common::call(id + 1, at)
+                };
                 model.ask(0, call);
             }
             model.until(model.now + 10 * S);
--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -83,9 +83,9 @@
 
 #[test]
 fn waits_grow_with_fronts_and_failures_up_to_what_the_rule_on_asking_allows() {
-    let longest = |fronts, must_ask_in, failures| {
+    let longest = |fronts, max_list_age, failures| {
         let mut asking = ListBackoff::default();
-        (0..failures).map(|_| asking.failed(fronts, must_ask_in, u64::MAX)).last().unwrap_or(0)
+        (0..failures).map(|_| asking.failed(fronts, max_list_age, u64::MAX)).last().unwrap_or(0)
     };
     assert_eq!(longest(1, 10 * S, 1), 300_000);
     assert_eq!(longest(100, 10 * S, 1), 20_100_000);
@@ -110,11 +110,11 @@
 impl Many {
     fn new(fronts: u32, peers: bool) -> Self {
         let mut settings = common::settings();
-        (settings.balancers, settings.peers, settings.peer_price) = (fronts, peers, 0.0025);
+        (settings.dispatcher_count, settings.peers, settings.gossip_price) = (fronts, peers, 0.0025);
         let mut many = Self { fronts: Vec::new(), now: 100 * S };
         for front in 0..fronts {
             let mut router = Router::new(settings.clone(), 500 + u64::from(front), many.now);
-            let roster = Event::Roster { how: ListKind::Whole, entries: common::fleet(false) };
+            let roster = Event::EndpointsUpdated { how: ListUpdateKind::Full, entries: common::fleet(false) };
             router.handle(many.now, roster, &mut Vec::new());
             many.fronts.push(router);
         }
@@ -126,20 +126,20 @@
         let mut out = Vec::new();
         self.fronts[front].handle(self.now, event, &mut out);
         for action in &out {
-            let Action::Tell(bytes) = action else { continue };
+            let Action::PublishGossip(bytes) = action else { continue };
             for (_, other) in self.fronts.iter_mut().enumerate().filter(|(at, _)| *at != front) {
-                other.handle(self.now, Event::Heard(bytes.clone()), &mut Vec::new());
+                other.handle(self.now, Event::GossipReceived(bytes.clone()), &mut Vec::new());
             }
         }
         out
     }
 
     /// Where a front sends a request of the one session that all ask for; it is not answered.
-    fn ask(&mut self, front: usize, id: u64) -> Option<EngineId> {
-        let call = Call { session: Some(Key(7)), ..common::call(id, self.now) };
-        let out = self.tell(front, Event::Call(call));
+    fn ask(&mut self, front: usize, id: u64) -> Option<ServerId> {
+        let call = RequestInfo { session: Some(Key(7)), ..common::call(id, self.now) };
+        let out = self.tell(front, Event::RequestArrived(call));
         out.iter().find_map(|action| match action {
-            Action::Assign { engine, .. } => Some(*engine),
+            Action::Assign { server, .. } => Some(*server),
             _ => None,
         })
     }
@@ -152,7 +152,7 @@
         let mut many = Many::new(40, peers);
         let buried = many.ask(0, 1).expect("sent");
         many.now += 1_500_000;
-        many.tell(0, Event::Due(TimerToken(1))); // the sweep sees that it is silent
+        many.tell(0, Event::TimerFired(TimerToken(1))); // the sweep sees that it is silent
         let at = many.now;
         let asked: Vec<_> = (1..39).filter_map(|front| many.ask(front, 1)).collect();
         assert_eq!(asked.len(), 38, "none is turned away");
@@ -172,18 +172,18 @@
         for id in 0..100 {
             let Some(at) = many.ask(0, 1_000 + id) else { continue };
             many.now += 700_000;
-            let ended = Ended {
+            let ended = AttemptFinished {
                 id: RequestId(1_000 + id),
                 attempt: 0,
-                engine: at,
+                server: at,
                 taken: if id % 2 == 0 { 700_000 } else { 60_000_000 },
                 outcome: Outcome::Read,
-                kept_tokens: 0,
+                cached_tokens: 0,
                 last: true,
                 report: None,
             };
-            let out = many.tell(0, Event::Ended(ended));
-            told += out.iter().filter(|action| matches!(action, Action::Tell(_))).count();
+            let out = many.tell(0, Event::AttemptFinished(ended));
+            told += out.iter().filter(|action| matches!(action, Action::PublishGossip(_))).count();
         }
         assert_eq!(told as u64, many.fronts[0].gossip().sent);
         assert!(told <= most && (told > 0) == (most > 0), "{fronts} {peers}: {told}");
@@ -196,7 +196,7 @@
     fn messages_of_any_bytes_are_dropped_and_counted(bytes in proptest::collection::vec(0u8.., 0..300)) {
         let mut many = Many::new(2, true);
         let read = LoadUpdate::read(&bytes, many.now);
-        many.tell(0, Event::Heard(bytes));
+        many.tell(0, Event::GossipReceived(bytes));
         let counts = many.fronts[0].gossip();
         proptest::prop_assert_eq!(counts.received + counts.dropped, 1);
         proptest::prop_assert!(counts.dropped == 1 || read.is_some());
@@ -205,11 +205,11 @@
     /// Amounts are told in steps of 9%, times in steps of 16 ms; one changed bit, or another length, is no update.
     #[test]
     fn an_update_is_read_as_it_was_sent_while_it_is_fresh_and_no_other_bytes_are(
-        engine in 0u32.., amount in 1_000u64..60_000_000, waits in proptest::bool::ANY, at in 10_000_000u64..1 << 50,
+        server in 0u32.., amount in 1_000u64..60_000_000, waits in proptest::bool::ANY, at in 10_000_000u64..1 << 50,
         age in 0u64..2_400_000, bit in 0usize..40,
     ) {
         let load = if waits { Load::Waits(amount) } else { Load::Sent(amount) };
-        let update = LoadUpdate { server: tag(EngineId(engine)), load, at };
+        let update = LoadUpdate { server: tag(ServerId(server)), load, at };
         let mut bytes = update.to_bytes();
         let read = LoadUpdate::read(&bytes, at + age);
         if age <= 1_450_000 {
@@ -242,6 +242,6 @@
         assert_eq!(error.path, "prices.peer");
     }
     let absent = read("x", "y").expect("defaults");
-    assert_eq!((absent.balancers, absent.peers, absent.peer_price), (1, false, 0.0));
-    assert_eq!(read("balancers", "100000").map(|settings| settings.balancers), Ok(100_000));
+    assert_eq!((absent.dispatcher_count, absent.peers, absent.gossip_price), (1, false, 0.0));
+    assert_eq!(read("balancers", "100000").map(|settings| settings.dispatcher_count), Ok(100_000));
 }
--- a/crates/router/tests/fleet_model/mod.rs
+++ b/crates/router/tests/fleet_model/mod.rs
@@ -16,7 +16,7 @@
 /// A server as it truly is.
 #[derive(Clone, Debug)]
 pub struct Server {
-    pub entry: Entry,
+    pub entry: ServerEntry,
     pub role: Role,
     /// Time for a token of a prompt, when warm and alone.
     pub token_takes: f64,
@@ -41,13 +41,13 @@
 pub struct Sent {
     pub at: Micros,
     pub front: usize,
-    pub engine: EngineId,
+    pub server: ServerId,
 }
 
 /// What became of a request.
 #[derive(Clone, Debug)]
 pub struct Record {
-    pub call: Call,
+    pub call: RequestInfo,
     pub front: usize,
     pub at: Micros,
     pub attempts: u32,
@@ -61,7 +61,7 @@
     router: Router,
     life: u32,
     /// For each attempt that is out: its request's number of the attempt, server, when sent.
-    out: BTreeMap<RequestId, (u32, EngineId, Micros)>,
+    out: BTreeMap<RequestId, (u32, ServerId, Micros)>,
 }
 
 #[derive(Debug)]
@@ -76,7 +76,7 @@
 pub struct Model {
     pub now: Micros,
     pub settings: Settings,
-    pub servers: BTreeMap<EngineId, Server>,
+    pub servers: BTreeMap<ServerId, Server>,
     pub sends: Vec<Sent>,
     pub records: BTreeMap<RequestId, Record>,
     /// Timers come due at the next multiple of this: many fronts need not be swept as often as few.
@@ -141,10 +141,10 @@
     }
 
     /// Sets a server up; the fronts hear of it with the next list.
-    pub fn serves(&mut self, entry: Entry, token_takes: f64, attempt_takes: f64, streams_for: Micros) {
+    pub fn serves(&mut self, entry: ServerEntry, token_takes: f64, attempt_takes: f64, streams_for: Micros) {
         let role = self.settings.kinds[entry.kind as usize].role;
         let (does, free_at) = (Does::Work, 0);
-        let id = entry.engine;
+        let id = entry.server;
         self.servers
             .insert(id, Server { entry, role, token_takes, attempt_takes, streams_for, does, free_at });
     }
@@ -158,17 +158,20 @@
 
     fn list_to(&mut self, front: usize) {
         let entries = self.servers.values().map(|server| server.entry.clone()).collect();
-        self.tell(front, Event::Roster { how: ListKind::Whole, entries });
+        self.tell(front, Event::EndpointsUpdated { how: ListUpdateKind::Full, entries });
     }
 
     /// A server comes back cold; all fronts are told at once.
-    pub fn restarts(&mut self, engine: EngineId) {
+    pub fn restarts(&mut self, server: ServerId) {
         let now = self.now;
-        let server = self.servers.get_mut(&engine).expect("a server");
+        let server = self.servers.get_mut(&server).expect("a server");
         (server.entry.started, server.free_at) = (Some(now), now);
         let entries = vec![server.entry.clone()];
         for front in 0..self.fronts.len() {
-            self.tell(front, Event::Roster { how: ListKind::Patch, entries: entries.clone() });
+            self.tell(
+                front,
+                Event::EndpointsUpdated { how: ListUpdateKind::Patch, entries: entries.clone() },
+            );
         }
     }
 
@@ -183,11 +186,11 @@
     /// The part of its capacity that a server has now, rising evenly while it is cold.
     pub fn share(&self, server: &Server, now: Micros) -> f64 {
         let Some(from) = server.entry.started else { return 1.0 };
-        let age = now.saturating_sub(from) as f64 / self.settings.cold_for as f64;
-        (self.settings.cold_from + (1.0 - self.settings.cold_from) * age).min(1.0)
+        let age = now.saturating_sub(from) as f64 / self.settings.slow_start_window as f64;
+        (self.settings.slow_start_min_share + (1.0 - self.settings.slow_start_min_share) * age).min(1.0)
     }
 
-    pub fn ask(&mut self, front: usize, call: Call) {
+    pub fn ask(&mut self, front: usize, call: RequestInfo) {
         let (id, at, not_after) = (call.id, self.now, call.not_after);
         let record = Record {
             call: call.clone(),
@@ -200,7 +203,7 @@
         };
         self.records.insert(id, record);
         self.plan(not_after, front, Step::Leaves(id));
-        self.tell(front, Event::Call(call));
+        self.tell(front, Event::RequestArrived(call));
     }
 
     fn plan(&mut self, at: Micros, front: usize, step: Step) {
@@ -222,11 +225,11 @@
 
     fn step(&mut self, front: usize, step: Step) {
         match step {
-            Step::Due(token) => self.tell(front, Event::Due(token)),
+            Step::Due(token) => self.tell(front, Event::TimerFired(token)),
             Step::Leaves(id) => {
                 let record = &self.records[&id];
                 if record.answered.is_none() && !record.refused && !record.failed {
-                    self.tell(front, Event::Hangup(id));
+                    self.tell(front, Event::ClientDisconnected(id));
                 }
             }
             Step::Begins(id, attempt) => {
@@ -236,11 +239,11 @@
                 };
                 self.records.get_mut(&id).expect("known").answered = Some(self.now);
                 let taken = self.now - sent;
-                self.tell(front, Event::Begun { id, attempt, taken });
+                self.tell(front, Event::FirstToken { id, attempt, taken });
             }
             Step::Ends(id, attempt, outcome) => {
                 let out = self.fronts[front].out.get(&id).filter(|out| out.0 == attempt);
-                let Some(&(_, engine, sent)) = out else { return };
+                let Some(&(_, server, sent)) = out else { return };
                 if outcome == Outcome::Timeout && self.records[&id].answered.is_some() {
                     return; // it belongs to the client
                 }
@@ -248,8 +251,17 @@
                 let record = &self.records[&id];
                 let last = outcome == Outcome::Served || record.refused || record.failed;
                 let taken = self.now - sent;
-                let ended = Ended { id, attempt, engine, taken, outcome, kept_tokens: 0, last, report: None };
-                self.tell(front, Event::Ended(ended));
+                let ended = AttemptFinished {
+                    id,
+                    attempt,
+                    server,
+                    taken,
+                    outcome,
+                    cached_tokens: 0,
+                    last,
+                    report: None,
+                };
+                self.tell(front, Event::AttemptFinished(ended));
             }
         }
     }
@@ -261,63 +273,65 @@
         self.decisions.decided(front, self.now, &actions, router.end_reasons());
         for action in actions {
             match action {
-                Action::Assign { id, engine, patience } => self.send(front, id, engine, patience),
-                Action::Refuse { id, .. } => self.records.get_mut(&id).expect("known").refused = true,
-                Action::GiveUp(id) => self.records.get_mut(&id).expect("known").failed = true,
-                Action::Revoke { id, attempt } => {
+                Action::Assign { id, server, attempt_timeout } => {
+                    self.send(front, id, server, attempt_timeout)
+                }
+                Action::Reject { id, .. } => self.records.get_mut(&id).expect("known").refused = true,
+                Action::Fail(id) => self.records.get_mut(&id).expect("known").failed = true,
+                Action::CancelAttempt { id, attempt } => {
                     self.plan(self.now, front, Step::Ends(id, attempt, Outcome::Cancelled))
                 }
-                Action::Defer { delay, token } => {
+                Action::StartTimer { delay, token } => {
                     let due = (self.now + delay).next_multiple_of(self.sweep);
                     self.plan(due, front, Step::Due(token));
                 }
-                Action::Tell(bytes) => {
+                Action::PublishGossip(bytes) => {
                     for other in (0..self.fronts.len()).filter(|&other| other != front) {
                         // Heard without an answer: what a front does next, it does at its next event.
-                        let heard = Event::Heard(bytes.clone());
+                        let heard = Event::GossipReceived(bytes.clone());
                         self.fronts[other].router.handle(self.now, heard, &mut Vec::new());
                     }
                 }
-                Action::LetGo(_) | Action::Subscribe => {}
+                Action::ReleaseHeldState(_) | Action::Subscribe => {}
             }
         }
     }
 
-    fn send(&mut self, front: usize, id: RequestId, engine: EngineId, patience: Micros) {
+    fn send(&mut self, front: usize, id: RequestId, server: ServerId, attempt_timeout: Micros) {
         let now = self.now;
-        self.sends.push(Sent { at: now, front, engine });
+        self.sends.push(Sent { at: now, front, server });
         let record = self.records.get_mut(&id).expect("known");
         let attempt = record.attempts;
         record.attempts += 1;
-        let until = (now + patience.max(1)).min(record.call.not_after);
+        let until = (now + attempt_timeout.max(1)).min(record.call.not_after);
         let tokens = record.call.prompt_tokens as f64;
-        self.fronts[front].out.insert(id, (attempt, engine, now));
-        let mut server = self.servers.remove(&engine).expect("a server");
-        let of_role = || self.servers.values().filter(|other| other.role == server.role);
+        self.fronts[front].out.insert(id, (attempt, server, now));
+        let mut model = self.servers.remove(&server).expect("a server");
+        let of_role = || self.servers.values().filter(|other| other.role == model.role);
         let bad = of_role().filter(|other| other.does != Does::Work).count();
         if let Some(does) = self.first_ones.filter(|_| 3 * (bad + 1) <= of_role().count() + 1) {
-            server.does = does;
+            model.does = does;
         }
-        let takes = (tokens * server.token_takes + server.attempt_takes) / self.share(&server, now);
-        let (role, streams_for) = (server.role, server.streams_for);
-        let done = match server.does {
+        let takes = (tokens * model.token_takes + model.attempt_takes) / self.share(&model, now);
+        let (role, streams_for) = (model.role, model.streams_for);
+        let done = match model.does {
             Does::Hang => Micros::MAX,
             Does::Refuse => {
                 self.plan(now + 500, front, Step::Ends(id, attempt, Outcome::ConnectFailed));
-                self.servers.insert(engine, server);
+                self.servers.insert(server, model);
                 return;
             }
             Does::Work => {
-                let begins = server.free_at.max(now);
+                let begins = model.free_at.max(now);
                 let done = begins + takes as Micros;
                 // What is given up before its turn is never begun.
                 if begins < until {
-                    server.free_at = done.min(until);
+                    model.free_at = done.min(until);
                 }
                 done
             }
         };
-        self.servers.insert(engine, server);
+        self.servers.insert(server, model);
         if done > until {
             self.plan(until, front, Step::Ends(id, attempt, Outcome::Timeout));
         } else if role == Role::Reader {
--- a/crates/router/tests/full_scan.rs
+++ b/crates/router/tests/full_scan.rs
@@ -33,7 +33,7 @@
 const SECOND: Micros = 1_000_000;
 
 fn class(at: u32) -> Class {
-    let (effect, group) = [
+    let (effect, dedup_group) = [
         (Effect::Idempotent, DedupGroup::All),
         (Effect::AtMostOnce, DedupGroup::All),
         (Effect::Deduplicated, DedupGroup::Zone),
@@ -42,49 +42,49 @@
     ][at as usize % 5];
     Class {
         name: format!("class {at}"),
-        give_up: 5 * SECOND,
+        default_timeout: 5 * SECOND,
         max_attempts: 6,
         retired: false,
-        aim: SECOND / 2 + u64::from(at) * 90_000,
-        aim_per_1000_tokens: 40_000,
-        token_aim: 60_000,
+        latency_objective: SECOND / 2 + u64::from(at) * 90_000,
+        latency_objective_per_1000_tokens: 40_000,
+        token_interval_objective: 60_000,
         effect,
-        group,
+        dedup_group,
         dedup_window: 2 * SECOND,
-        worth: 1.0 + f64::from(at),
+        priority_weight: 1.0 + f64::from(at),
     }
 }
 
 fn settings(dispatchers: u32) -> Settings {
     let kind = |role, memory_tokens| Kind { role, memory_tokens };
     Settings {
-        balancers: dispatchers,
+        dispatcher_count: dispatchers,
         zone: ZoneId(1),
         classes: (0..5).map(|at| (at, class(at))).collect(),
         kinds: vec![kind(Role::Reader, 200_000), kind(Role::Writer, 60_000), kind(Role::Mixed, 200_000)],
         must_subscribe: false,
-        must_ask_in: 10 * SECOND,
+        max_list_age: 10 * SECOND,
         may_cancel: true,
         peers: true,
-        peer_price: 0.001,
-        writers_read: true,
+        gossip_price: 0.001,
+        writers_can_read: true,
         max_retry_after: SECOND,
-        release_within: SECOND / 2,
+        max_hold_time: SECOND / 2,
         resolution: 4_000,
-        cold_from: 0.3,
-        cold_for: 6 * SECOND,
+        slow_start_min_share: 0.3,
+        slow_start_window: 6 * SECOND,
         memory_field: Some(0),
-        fall_multiple: 2.5,
-        fall_window: SECOND,
+        overload_multiple: 2.5,
+        overload_window: SECOND,
     }
 }
 
-fn entry(engine: u32, mixed: bool) -> Entry {
-    let kind = if mixed && engine.is_multiple_of(9) { 2 } else { u32::from(engine % 20 >= 9) };
-    Entry {
-        engine: EngineId(engine),
-        zone: ZoneId(engine / 8 % 3),
-        cell: CellId(engine / 8),
+fn entry(server: u32, mixed: bool) -> ServerEntry {
+    let kind = if mixed && server.is_multiple_of(9) { 2 } else { u32::from(server % 20 >= 9) };
+    ServerEntry {
+        server: ServerId(server),
+        zone: ZoneId(server / 8 % 3),
+        cell: CellId(server / 8),
         weight: 1.0,
         started: None,
         health: Health::Ready,
@@ -96,7 +96,7 @@
 #[derive(Clone, Debug)]
 struct Out {
     number: u32,
-    engine: EngineId,
+    server: ServerId,
     sent: Micros,
     until: Micros,
     begun: bool,
@@ -108,7 +108,7 @@
     scanning: control::Router,
     settings: Settings,
     now: Micros,
-    list: BTreeMap<EngineId, Entry>,
+    list: BTreeMap<ServerId, ServerEntry>,
     out: BTreeMap<RequestId, Out>,
     attempts: BTreeMap<RequestId, u32>,
     due: Vec<(Micros, TimerToken)>,
@@ -117,21 +117,21 @@
 }
 
 impl Pair {
-    fn new(settings: Settings, entries: Vec<Entry>, seed: u64) -> Self {
+    fn new(settings: Settings, entries: Vec<ServerEntry>, seed: u64) -> Self {
         let now = 1_000 * SECOND;
         let mut pair = Self {
             indexed: dewladder_router::Router::new(settings.clone(), seed, now),
             scanning: control::Router::new(settings.clone(), seed, now),
             settings,
             now,
-            list: entries.iter().map(|entry| (entry.engine, entry.clone())).collect(),
+            list: entries.iter().map(|entry| (entry.server, entry.clone())).collect(),
             out: BTreeMap::new(),
             attempts: BTreeMap::new(),
             due: Vec::new(),
             next: 0,
             decisions: DecisionHash::default(),
         };
-        pair.tell(Event::Roster { how: ListKind::Whole, entries });
+        pair.tell(Event::EndpointsUpdated { how: ListUpdateKind::Full, entries });
         pair
     }
 
@@ -145,20 +145,20 @@
         self.decisions.decided(0, self.now, &actions, self.indexed.end_reasons());
         for action in actions {
             match action {
-                Action::Assign { id, engine, patience } => {
+                Action::Assign { id, server, attempt_timeout } => {
                     let number = self.attempts.entry(id).or_default();
                     let out = Out {
                         number: *number,
-                        engine,
+                        server,
                         sent: self.now,
-                        until: self.now + patience,
+                        until: self.now + attempt_timeout,
                         begun: false,
                     };
                     *number += 1;
                     self.out.insert(id, out);
                 }
-                Action::Defer { delay, token } => self.due.push((self.now + delay, token)),
-                Action::Revoke { id, .. } => {
+                Action::StartTimer { delay, token } => self.due.push((self.now + delay, token)),
+                Action::CancelAttempt { id, .. } => {
                     let out = self.out.remove(&id);
                     if let Some(out) = out {
                         self.ends(id, &out, Outcome::Cancelled, 0, false);
@@ -169,16 +169,16 @@
         }
     }
 
-    fn ends(&mut self, id: RequestId, out: &Out, outcome: Outcome, kept_tokens: u64, full: bool) {
+    fn ends(&mut self, id: RequestId, out: &Out, outcome: Outcome, cached_tokens: u64, full: bool) {
         let mut report = Report::default();
         report.set("x0", Some(if full { 0.97 } else { 0.4 }));
-        self.tell(Event::Ended(Ended {
+        self.tell(Event::AttemptFinished(AttemptFinished {
             id,
             attempt: out.number,
-            engine: out.engine,
+            server: out.server,
             taken: self.now - out.sent,
             outcome,
-            kept_tokens,
+            cached_tokens,
             last: out.begun || outcome == Outcome::Served,
             report: full.then_some(report),
         }));
@@ -192,7 +192,7 @@
             self.now = self.now.max(at);
             let place = self.due.iter().position(|&(due, _)| due == at).expect("there");
             let (_, token) = self.due.swap_remove(place);
-            self.tell(Event::Due(token));
+            self.tell(Event::TimerFired(token));
             let late = |(_, out): &(&RequestId, &Out)| !out.begun && out.until <= self.now;
             let late: Vec<RequestId> = self.out.iter().filter(late).map(|(&id, _)| id).collect();
             for id in late {
@@ -207,7 +207,7 @@
         self.next += 1;
         let session = u64::from(lot >> 4) % 23;
         let shared = (!lot.is_multiple_of(3)).then(|| Key(500 + session % 5));
-        let call = Call {
+        let call = RequestInfo {
             id: RequestId(self.next),
             class: lot % 5,
             session: (!lot.is_multiple_of(7)).then_some(Key(session)),
@@ -218,29 +218,29 @@
             hint: None,
             not_after: self.now + SECOND + u64::from(lot >> 12) % (4 * SECOND),
         };
-        self.tell(Event::Call(call));
+        self.tell(Event::RequestArrived(call));
     }
 
-    fn change(&mut self, engine: EngineId, change: impl FnOnce(&mut Entry, Micros)) {
-        let Some(entry) = self.list.get_mut(&engine) else { return };
+    fn change(&mut self, server: ServerId, change: impl FnOnce(&mut ServerEntry, Micros)) {
+        let Some(entry) = self.list.get_mut(&server) else { return };
         change(entry, self.now);
         let entries = vec![entry.clone()];
-        self.tell(Event::Roster { how: ListKind::Patch, entries });
+        self.tell(Event::EndpointsUpdated { how: ListUpdateKind::Patch, entries });
     }
 
-    fn reads(&self, engine: EngineId) -> bool {
-        self.list.get(&engine).is_some_and(|entry| entry.kind == 0)
+    fn reads(&self, server: ServerId) -> bool {
+        self.list.get(&server).is_some_and(|entry| entry.kind == 0)
     }
 
     fn answers(&mut self, lot: u32) {
         let waiting: Vec<RequestId> = self.out.keys().copied().collect();
         let Some(&id) = waiting.get(lot as usize % waiting.len().max(1)) else { return };
         let out = self.out[&id].clone();
-        let reads = self.reads(out.engine);
+        let reads = self.reads(out.server);
         if !reads && !out.begun && !lot.is_multiple_of(5) {
             self.out.get_mut(&id).expect("out").begun = true;
             let taken = self.now - out.sent;
-            return self.tell(Event::Begun { id, attempt: out.number, taken });
+            return self.tell(Event::FirstToken { id, attempt: out.number, taken });
         }
         self.out.remove(&id);
         let outcome = if reads { Outcome::Read } else { Outcome::Served };
@@ -260,7 +260,7 @@
             Outcome::NoState,
             Outcome::Timeout,
             Outcome::Unacknowledged,
-            Outcome::Moot,
+            Outcome::NotSent,
         ][(lot >> 8) as usize % 8];
         self.ends(id, &out, outcome, 0, false);
     }
@@ -275,35 +275,35 @@
             36 => self.pass(u64::from(lot % 3_000) * 1_000),
             37 => {
                 if let Some(&id) = self.out.keys().nth(lot as usize % self.out.len().max(1)) {
-                    self.tell(Event::Hangup(id));
+                    self.tell(Event::ClientDisconnected(id));
                 }
             }
             38 | 39 => {
-                if let Some(engine) = any {
-                    self.change(engine, |entry, now| {
+                if let Some(server) = any {
+                    self.change(server, |entry, now| {
                         (entry.started, entry.health) = (Some(now), Health::Ready);
                     });
                 }
             }
             40 => {
-                if let Some(engine) = any {
+                if let Some(server) = any {
                     let health = [Health::Terminating, Health::Gone, Health::Ready][(lot >> 8) as usize % 3];
-                    self.change(engine, |entry, _| entry.health = health);
+                    self.change(server, |entry, _| entry.health = health);
                 }
             }
             41 => {
-                let engine = EngineId(1_000 + lot % 40);
-                let mut new = entry(engine.0, true);
+                let server = ServerId(1_000 + lot % 40);
+                let mut new = entry(server.0, true);
                 new.started = lot.is_multiple_of(2).then_some(self.now);
-                self.list.insert(engine, new);
-                self.change(engine, |_, _| {});
+                self.list.insert(server, new);
+                self.change(server, |_, _| {});
             }
             42 => {
-                let gone: Vec<EngineId> =
+                let gone: Vec<ServerId> =
                     self.list.keys().copied().filter(|id| (id.0 + lot).is_multiple_of(13)).collect();
                 self.list.retain(|id, _| !gone.contains(id));
                 let entries = self.list.values().cloned().collect();
-                self.tell(Event::Roster { how: ListKind::Whole, entries });
+                self.tell(Event::EndpointsUpdated { how: ListUpdateKind::Full, entries });
             }
             43 => {
                 let zone = ZoneId(lot % 3);
@@ -311,27 +311,27 @@
                     (entry.started, entry.health) = (Some(self.now), Health::Ready);
                 }
                 let entries = self.list.values().cloned().collect();
-                self.tell(Event::Roster { how: ListKind::Whole, entries });
+                self.tell(Event::EndpointsUpdated { how: ListUpdateKind::Full, entries });
             }
             44 => {
                 let mut settings = self.settings.clone();
-                settings.cold_for = SECOND * (1 + u64::from(lot % 9));
+                settings.slow_start_window = SECOND * (1 + u64::from(lot % 9));
                 settings
                     .classes
                     .values_mut()
-                    .for_each(|class| class.aim = SECOND / 3 + u64::from(lot % 800_000));
-                settings.balancers = 1 + lot % 40;
+                    .for_each(|class| class.latency_objective = SECOND / 3 + u64::from(lot % 800_000));
+                settings.dispatcher_count = 1 + lot % 40;
                 self.settings = settings.clone();
-                let heirs = BTreeMap::from([(lot % 5, (lot >> 4) % 5)]);
-                self.tell(Event::Retuned { settings: Box::new(settings), heirs });
+                let class_renumbering = BTreeMap::from([(lot % 5, (lot >> 4) % 5)]);
+                self.tell(Event::SettingsReloaded { settings: Box::new(settings), class_renumbering });
             }
-            45 => self.tell(Event::Part(f64::from(1 + lot % 4) / 4.0)),
+            45 => self.tell(Event::LimitShareChanged(f64::from(1 + lot % 4) / 4.0)),
             _ => {
-                let Some(engine) = any else { return };
+                let Some(server) = any else { return };
                 let amount = u64::from(lot % 900_000);
                 let load = if lot.is_multiple_of(3) { Load::Sent(amount) } else { Load::Waits(amount) };
-                let update = LoadUpdate { server: dewladder_router::tag(engine), load, at: self.now };
-                self.tell(Event::Heard(update.to_bytes().to_vec()));
+                let update = LoadUpdate { server: dewladder_router::tag(server), load, at: self.now };
+                self.tell(Event::GossipReceived(update.to_bytes().to_vec()));
             }
         }
     }
