--- a/crates/router/tests/full_scan/control.rs
+++ b/crates/router/tests/full_scan/control.rs
@@ -16,8 +16,8 @@
 
 use crate::gossip::LoadGossip;
 use crate::interface::{
-    Action, Call, CellId, DedupGroup, Effect, Ended, EngineId, Entry, Event, Health, Key, ListKind, Micros,
-    Outcome, RequestId, Role, Settings, TimerToken, ZoneId,
+    Action, AttemptFinished, CellId, DedupGroup, Effect, Event, Health, Key, ListUpdateKind, Micros, Outcome,
+    RequestId, RequestInfo, Role, ServerEntry, ServerId, Settings, TimerToken, ZoneId,
 };
 use crate::list_backoff::ListBackoff;
 use crate::prefix_table::{PrefixTable, PREFIX_KEYS};
@@ -108,7 +108,7 @@
     settings: Settings,
     rng: Pcg64Mcg,
     pub(crate) now: Micros,
-    pub(crate) engines: BTreeMap<EngineId, Server>,
+    pub(crate) servers: BTreeMap<ServerId, Server>,
     requests: HashMap<RequestId, RequestState>, // looked up, never iterated
     parked: BTreeSet<RequestId>,                // their state waits for a writer
     pub(crate) stages: [StageStatistics; 3],
@@ -128,11 +128,11 @@
     /// A front that has just started.
     #[must_use]
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
-        let guess = settings.shortest_aim() / FIRST_GUESS_TOKENS;
+        let guess = settings.shortest_latency_objective() / FIRST_GUESS_TOKENS;
         Self {
             rng: Pcg64Mcg::seed_from_u64(seed),
             now,
-            engines: BTreeMap::new(),
+            servers: BTreeMap::new(),
             requests: HashMap::new(),
             parked: BTreeSet::new(),
             stages: [(); 3].map(|()| StageStatistics::new(guess, WRITE_OVERHEAD)),
@@ -158,29 +158,31 @@
             self.sweep(out);
         }
         match event {
-            Event::Roster { how, entries } => self.roster(how, entries),
-            Event::Call(call) => self.call(call, out),
-            Event::Begun { id, attempt, taken } => self.begun(id, attempt, taken),
-            Event::Ended(ended) => self.ended(ended, out),
-            Event::Hangup(id) => self.hangup(id, out),
-            Event::Due(SWEEP) => self.sweep(out),
-            Event::Heard(bytes) => self.gossip.receive(&bytes, now),
-            Event::Retuned { settings, heirs } => self.retune(*settings, &heirs),
-            Event::TakenOver(_) => unreachable!("a hand-over is not played here"),
-            Event::Part(part) => self.part = part,
-            Event::Due(_) | Event::Ignored => {}
+            Event::EndpointsUpdated { how, entries } => self.roster(how, entries),
+            Event::RequestArrived(call) => self.call(call, out),
+            Event::FirstToken { id, attempt, taken } => self.begun(id, attempt, taken),
+            Event::AttemptFinished(ended) => self.ended(ended, out),
+            Event::ClientDisconnected(id) => self.hangup(id, out),
+            Event::TimerFired(SWEEP) => self.sweep(out),
+            Event::GossipReceived(bytes) => self.gossip.receive(&bytes, now),
+            Event::SettingsReloaded { settings, class_renumbering } => {
+                self.retune(*settings, &class_renumbering)
+            }
+            Event::StateImported(_) => unreachable!("a hand-over is not played here"),
+            Event::LimitShareChanged(part) => self.part = part,
+            Event::TimerFired(_) | Event::Ignored => {}
         }
         self.gossip.publish(now, out);
     }
 
     /// New settings: what is known of servers for a class goes on under its new number.
-    fn retune(&mut self, settings: Settings, heirs: &BTreeMap<u32, u32>) {
-        for engine in self.engines.values_mut() {
-            for (&new, old) in heirs {
-                let known = engine.statistics.outlier_states.get(old).cloned();
-                engine.statistics.outlier_states.extend(known.map(|known| (new, known)));
+    fn retune(&mut self, settings: Settings, class_renumbering: &BTreeMap<u32, u32>) {
+        for server in self.servers.values_mut() {
+            for (&new, old) in class_renumbering {
+                let known = server.statistics.outlier_states.get(old).cloned();
+                server.statistics.outlier_states.extend(known.map(|known| (new, known)));
             }
-            engine.statistics.outlier_states.retain(|class, _| settings.classes.contains_key(class));
+            server.statistics.outlier_states.retain(|class, _| settings.classes.contains_key(class));
         }
         self.gossip.reload(&settings);
         self.settings = settings;
@@ -188,7 +190,7 @@
 
     // ---- A request's life ----
 
-    fn call(&mut self, call: Call, out: &mut Vec<Action>) {
+    fn call(&mut self, call: RequestInfo, out: &mut Vec<Action>) {
         let id = call.id;
         if self.requests.contains_key(&id) {
             return;
@@ -213,14 +215,14 @@
         let Some(request) = self.requests.get(&id) else { return };
         if request.call.not_after <= self.now
             || self.spent(request)
-            || !self.engines.values().any(|engine| self.effect_allows(request, engine))
+            || !self.servers.values().any(|server| self.effect_allows(request, server))
         {
             return self.answer(id, out);
         }
-        let &Call { not_after, class, session, .. } = &request.call;
+        let &RequestInfo { not_after, class, session, .. } = &request.call;
         if let Some(HeldState { reader, since }) = request.held_state {
             match self.pick_writer(id, reader) {
-                Some(writer) if self.now < since + self.settings.release_within => {
+                Some(writer) if self.now < since + self.settings.max_hold_time => {
                     return self.send(id, writer, Stage::Write, out);
                 }
                 None if self.may_hold(since, not_after) => {
@@ -245,10 +247,10 @@
             return self.send(id, reader, Stage::Read, out);
         }
         let in_need =
-            [Role::Mixed, Role::Writer].into_iter().take(1 + usize::from(self.settings.writers_read));
+            [Role::Mixed, Role::Writer].into_iter().take(1 + usize::from(self.settings.writers_can_read));
         for role in in_need {
-            if let Some(engine) = self.pick_by_match(id, role, false) {
-                return self.send(id, engine, Stage::ReadAndWrite, out);
+            if let Some(server) = self.pick_by_match(id, role, false) {
+                return self.send(id, server, Stage::ReadAndWrite, out);
             }
         }
         self.answer(id, out);
@@ -261,14 +263,14 @@
         let harmless = request.may_have_executed.is_none()
             || class.is_none_or(|class| match class.effect {
                 Effect::Idempotent => true,
-                Effect::Deduplicated => class.group == DedupGroup::All,
+                Effect::Deduplicated => class.dedup_group == DedupGroup::All,
                 Effect::AtMostOnce => false,
             });
         if harmless && request.call.not_after > self.now {
             let spread = self.rng.next_u64() % (self.settings.max_retry_after / 2).max(1);
-            out.push(Action::Refuse { id, retry_in: self.settings.max_retry_after / 2 + spread });
+            out.push(Action::Reject { id, retry_in: self.settings.max_retry_after / 2 + spread });
         } else {
-            out.push(Action::GiveUp(id));
+            out.push(Action::Fail(id));
         }
         request.is_completed = true;
         self.close(id, out);
@@ -280,7 +282,7 @@
         if self.requests.get(&id).is_some_and(|request| request.is_completed && request.in_flight.is_none()) {
             let request = self.requests.remove(&id);
             if request.is_some_and(|request| request.held_state.is_some()) {
-                out.push(Action::LetGo(id));
+                out.push(Action::ReleaseHeldState(id));
             }
         }
     }
@@ -299,10 +301,10 @@
         self.did_well(&attempt, taken);
     }
 
-    fn ended(&mut self, ended: Ended, out: &mut Vec<Action>) {
-        let Ended { id, outcome, .. } = ended;
-        if let (Some(engine), Some(report)) = (self.engines.get_mut(&ended.engine), ended.report) {
-            engine.statistics.report = Some((report, self.now));
+    fn ended(&mut self, ended: AttemptFinished, out: &mut Vec<Action>) {
+        let AttemptFinished { id, outcome, .. } = ended;
+        if let (Some(server), Some(report)) = (self.servers.get_mut(&ended.server), ended.report) {
+            server.statistics.report = Some((report, self.now));
         }
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(mut attempt) = request.in_flight.take_if(|out| out.number == ended.attempt) else { return };
@@ -312,9 +314,9 @@
         match outcome {
             Outcome::Read => request.held_state = Some(HeldState { reader: attempt.server, since: self.now }),
             // Also told where the reader is only cut off from that writer: the state may still be pinned.
-            Outcome::NoState if request.held_state.take().is_some() => out.push(Action::LetGo(id)),
+            Outcome::NoState if request.held_state.take().is_some() => out.push(Action::ReleaseHeldState(id)),
             // The time that a state may wait goes on running while connections fail to come up.
-            Outcome::ConnectFailed | Outcome::Moot | Outcome::Unacknowledged => {}
+            Outcome::ConnectFailed | Outcome::NotSent | Outcome::Unacknowledged => {}
             _ => request.held_state = request.held_state.map(|held| HeldState { since: self.now, ..held }),
         }
         if !worked {
@@ -323,18 +325,18 @@
         if outcome.may_have_run() && attempt.stage != Stage::Read && request.may_have_executed.is_none() {
             request.may_have_executed = Some(Execution { server: attempt.server, sent_at: attempt.sent_at });
         }
-        if let Some(engine) = self.engines.get_mut(&attempt.server) {
-            engine.memory_tokens_in_flight =
-                engine.memory_tokens_in_flight.saturating_sub(attempt.memory_tokens);
+        if let Some(server) = self.servers.get_mut(&attempt.server) {
+            server.memory_tokens_in_flight =
+                server.memory_tokens_in_flight.saturating_sub(attempt.memory_tokens);
             if let Some(expected) = attempt.expected_prefix.filter(|_| worked) {
-                let kept = ended.kept_tokens as f64 >= KEPT_SHARE * expected.tokens as f64;
-                engine.prefixes.record_lookup(kept, expected, attempt.sent_at);
+                let kept = ended.cached_tokens as f64 >= KEPT_SHARE * expected.tokens as f64;
+                server.prefixes.record_lookup(kept, expected, attempt.sent_at);
             }
         }
         if !attempt.is_streaming {
             self.off_waiting(id, &attempt);
             if outcome == Outcome::Read {
-                attempt.work_tokens = prompt.saturating_sub(ended.kept_tokens) as f64 + READ_OVERHEAD;
+                attempt.work_tokens = prompt.saturating_sub(ended.cached_tokens) as f64 + READ_OVERHEAD;
             }
             if worked {
                 self.did_well(&attempt, ended.taken);
@@ -355,7 +357,7 @@
         request.is_completed = true;
         if let Some(attempt) = request.in_flight.as_ref().filter(|out| !out.is_streaming) {
             if self.settings.may_cancel {
-                out.push(Action::Revoke { id, attempt: attempt.number });
+                out.push(Action::CancelAttempt { id, attempt: attempt.number });
             }
         }
         self.close(id, out);
@@ -365,14 +367,14 @@
 
     /// Whether the rules allow this send now: (1) the request is not over; (2) nothing else is out and no
     /// effect can happen twice; (3) the list has the server as ready; (4) a cold server's budget allows it.
-    fn allowed(&self, request: &RequestState, engine: &Server) -> bool {
-        let window = self.settings.fall_window;
+    fn allowed(&self, request: &RequestState, server: &Server) -> bool {
+        let window = self.settings.overload_window;
         let open = !request.is_completed && request.in_flight.is_none() && request.call.not_after > self.now;
-        open && engine.entry.health == Health::Ready
-            && self.effect_allows(request, engine)
+        open && server.entry.health == Health::Ready
+            && self.effect_allows(request, server)
             && self
-                .cold_permit(engine)
-                .is_none_or(|permit| engine.slow_start_budget.allows(self.now, permit, window))
+                .cold_permit(server)
+                .is_none_or(|permit| server.slow_start_budget.allows(self.now, permit, window))
     }
 
     fn spent(&self, request: &RequestState) -> bool {
@@ -380,15 +382,15 @@
         class.is_some_and(|class| request.attempts >= class.max_attempts)
     }
 
-    fn effect_allows(&self, request: &RequestState, engine: &Server) -> bool {
+    fn effect_allows(&self, request: &RequestState, server: &Server) -> bool {
         let Some(Execution { server: first, sent_at: sent }) = request.may_have_executed else { return true };
         let Some(class) = self.settings.classes.get(&request.call.class) else { return false };
         let same_group = || {
-            let first = self.engines.get(&first).map(|first| &first.entry);
-            first.is_some_and(|first| match class.group {
+            let first = self.servers.get(&first).map(|first| &first.entry);
+            first.is_some_and(|first| match class.dedup_group {
                 DedupGroup::All => true,
-                DedupGroup::Zone => first.zone == engine.entry.zone,
-                DedupGroup::Cell => first.cell == engine.entry.cell,
+                DedupGroup::Zone => first.zone == server.entry.zone,
+                DedupGroup::Cell => first.cell == server.entry.cell,
             })
         };
         match class.effect {
@@ -400,13 +402,13 @@
         }
     }
 
-    fn send(&mut self, id: RequestId, to: EngineId, stage: Stage, out: &mut Vec<Action>) {
-        let (Some(request), Some(engine)) = (self.requests.get(&id), self.engines.get(&to)) else { return };
-        if !self.allowed(request, engine) || self.spent(request) {
+    fn send(&mut self, id: RequestId, to: ServerId, stage: Stage, out: &mut Vec<Action>) {
+        let (Some(request), Some(server)) = (self.requests.get(&id), self.servers.get(&to)) else { return };
+        if !self.allowed(request, server) || self.spent(request) {
             return self.answer(id, out);
         }
         let call = &request.call;
-        let held = engine.prefixes.longest_match(call, self.now);
+        let held = server.prefixes.longest_match(call, self.now);
         let unread = call.prompt_tokens - held.map_or(0, |prefix| prefix.tokens);
         let answer = self.answer_tokens(call);
         let (tokens, effort) = match stage {
@@ -414,28 +416,33 @@
             Stage::Write => (call.prompt_tokens + answer, call.prompt_tokens as f64 + WRITE_OVERHEAD),
             Stage::ReadAndWrite => (call.prompt_tokens + answer, unread as f64 + READ_OVERHEAD),
         };
-        let reader = request.held_state.and_then(|held| self.engines.get(&held.reader));
-        let far = reader.is_some_and(|reader| reader.entry.cell != engine.entry.cell);
-        let aim =
-            self.settings.classes.get(&call.class).map_or(0.0, |class| class.aim_for(call.prompt_tokens));
-        let patience = self.patience(engine, stage, effort, request.failed_at.len(), aim);
-        let patience = (patience * if far { FAR_PATIENCE } else { 1 }).min(call.not_after - self.now).max(1);
-        let permit = self.cold_permit(engine);
+        let reader = request.held_state.and_then(|held| self.servers.get(&held.reader));
+        let far = reader.is_some_and(|reader| reader.entry.cell != server.entry.cell);
+        let latency_objective = self
+            .settings
+            .classes
+            .get(&call.class)
+            .map_or(0.0, |class| class.latency_objective_for(call.prompt_tokens));
+        let attempt_timeout =
+            self.attempt_timeout(server, stage, effort, request.failed_at.len(), latency_objective);
+        let attempt_timeout =
+            (attempt_timeout * if far { FAR_PATIENCE } else { 1 }).min(call.not_after - self.now).max(1);
+        let permit = self.cold_permit(server);
         let expected = self.gossip.believed_us(to, self.now);
         if stage != Stage::Write {
             self.gossip.record_sent(to, effort * self.stages[stage as usize].unloaded_us_per_token);
         }
-        let (Some(request), Some(engine)) = (self.requests.get_mut(&id), self.engines.get_mut(&to)) else {
+        let (Some(request), Some(server)) = (self.requests.get_mut(&id), self.servers.get_mut(&to)) else {
             return;
         };
         if let Some(permit) = permit {
-            engine.slow_start_budget.spend(self.now, permit, self.settings.fall_window);
+            server.slow_start_budget.spend(self.now, permit, self.settings.overload_window);
         }
-        engine.unanswered.insert((self.now, id));
-        engine.unanswered_tokens[stage as usize] += effort;
-        engine.memory_tokens_in_flight += tokens;
+        server.unanswered.insert((self.now, id));
+        server.unanswered_tokens[stage as usize] += effort;
+        server.memory_tokens_in_flight += tokens;
         if stage != Stage::Write {
-            let _ = engine.prefixes.record(&request.call, self.now);
+            let _ = server.prefixes.record(&request.call, self.now);
         }
         let class = request.call.class;
         let attempt = Attempt {
@@ -454,23 +461,30 @@
         request.attempts += 1;
         request.in_flight = Some(attempt);
         self.parked.remove(&id);
-        out.push(Action::Assign { id, engine: to, patience });
+        out.push(Action::Assign { id, server: to, attempt_timeout });
     }
 
     /// How long an attempt may take: a multiple of what its like usually takes behind what waits there, more
     /// with each failure, so that a jam of the whole pool ends in waiting and not in ever more repeats.
-    fn patience(&self, engine: &Server, stage: Stage, effort: f64, failures: usize, aim: f64) -> Micros {
+    fn attempt_timeout(
+        &self,
+        server: &Server,
+        stage: Stage,
+        effort: f64,
+        failures: usize,
+        latency_objective: f64,
+    ) -> Micros {
         let usual = self.stages[stage as usize].median_us_per_token;
-        let told = self.gossip.believed_us(engine.entry.engine, self.now);
-        let waits = told.max(usual * engine.unanswered_tokens[stage as usize]);
-        let least = PATIENCE_SHARE_OF_AIM * aim.max(self.settings.shortest_aim());
-        let patience = (PATIENCE_MULTIPLE * (usual * effort + waits)).max(least);
-        (patience * f64::from(1u32 << failures.min(6))) as Micros
+        let told = self.gossip.believed_us(server.entry.server, self.now);
+        let waits = told.max(usual * server.unanswered_tokens[stage as usize]);
+        let least = PATIENCE_SHARE_OF_AIM * latency_objective.max(self.settings.shortest_latency_objective());
+        let attempt_timeout = (PATIENCE_MULTIPLE * (usual * effort + waits)).max(least);
+        (attempt_timeout * f64::from(1u32 << failures.min(6))) as Micros
     }
 
     fn may_hold(&self, since: Micros, not_after: Micros) -> bool {
         let next = self.now + SWEEP_EVERY + 4 * self.settings.resolution + 10_000;
-        next < not_after.min(since + self.settings.release_within)
+        next < not_after.min(since + self.settings.max_hold_time)
     }
 
     // ---- Choice of a server ----
@@ -478,7 +492,7 @@
     /// The server of a role with the longest match, then fewest own in flight, then the home, then by lot;
     /// with no match anywhere the ranking starts at the home. The valve passes servers at their cap; all
     /// capped: none where `only_free`, else fewest in flight.
-    fn pick_by_match(&mut self, id: RequestId, role: Role, only_free: bool) -> Option<EngineId> {
+    fn pick_by_match(&mut self, id: RequestId, role: Role, only_free: bool) -> Option<ServerId> {
         let salt = self.rng.next_u64();
         let request = self.requests.get(&id)?;
         let pool = self.usable(role, request);
@@ -486,10 +500,10 @@
         let class = call.class;
         let mut ranking: Vec<_> = Vec::with_capacity(pool.len());
         for (at, id) in self.homes(role, call).into_iter().enumerate().filter(|(_, id)| pool.contains(id)) {
-            let engine = &self.engines[&id];
-            let held = engine.prefixes.longest_match(call, self.now).map_or(0, |prefix| prefix.tokens);
+            let server = &self.servers[&id];
+            let held = server.prefixes.longest_match(call, self.now).map_or(0, |prefix| prefix.tokens);
             let held = if at == 0 { held.max(call.shared_tokens) } else { held };
-            let in_flight = engine.unanswered.len();
+            let in_flight = server.unanswered.len();
             let (first, then) = if held > 0 { (in_flight, usize::from(at > 0)) } else { (0, at) };
             ranking.push((Reverse(held), first, then, in_flight, mix(salt ^ mix(u64::from(id.0))), id));
         }
@@ -499,16 +513,16 @@
         let best = self.stages[stage as usize].unloaded_us_per_token;
         for &(Reverse(held), .., id) in &ranking {
             let lot = unit_interval(self.rng.next_u64());
-            let engine = &self.engines[&id];
+            let server = &self.servers[&id];
             let rereading = best * held as f64; // a match is worth that wait
             let queued =
-                engine.statistics.queueing_us[stage as usize].value_at(self.now, 0.0, PACE_HALF_LIFE);
+                server.statistics.queueing_us[stage as usize].value_at(self.now, 0.0, PACE_HALF_LIFE);
             let queued = queued.max(self.gossip.believed_us(id, self.now));
-            let free = !self.capped(engine, stage, rereading)
-                && queued <= rereading + CAP_SHARE_OF_AIM * self.settings.shortest_aim()
-                && !self.stranded(engine, class)
-                && lot < self.share_for_pace(engine, stage);
-            if free && (role == Role::Reader || self.has_room(engine, mean_tokens)) {
+            let free = !self.capped(server, stage, rereading)
+                && queued <= rereading + CAP_SHARE_OF_AIM * self.settings.shortest_latency_objective()
+                && !self.stranded(server, class)
+                && lot < self.share_for_pace(server, stage);
+            if free && (role == Role::Reader || self.has_room(server, mean_tokens)) {
                 return Some(id);
             }
         }
@@ -524,21 +538,21 @@
     /// and a change of the list moves only what lay there. A zone's own servers come first, for as many
     /// keys as they can take. Of several homes of a beginning the session picks one, and it counts as kept
     /// there: turns must find it, so nothing here may depend on how long the prompt has grown.
-    fn homes(&self, role: Role, call: &Call) -> Vec<EngineId> {
+    fn homes(&self, role: Role, call: &RequestInfo) -> Vec<ServerId> {
         let key = call.shared.or(call.session).unwrap_or(Key(0));
         let moves = role == Role::Reader && call.shared.is_some();
         let score = |e: &Server| {
-            let lot = unit_interval(mix(key.0 ^ mix(u64::from(e.entry.engine.0))));
+            let lot = unit_interval(mix(key.0 ^ mix(u64::from(e.entry.server.0))));
             // What is kept costs little to read, but all of it has to move: it belongs beside writers.
             let cell = self.cells.get(&e.entry.cell).filter(|_| moves);
             let pull =
                 cell.map_or(1.0, |cell| cell.writer_surplus.sqrt().clamp(READER_PULL[0], READER_PULL[1]));
             lot.ln() / pull
         };
-        let listed = self.engines.values().filter(|e| e.role == role && e.entry.health == Health::Ready);
+        let listed = self.servers.values().filter(|e| e.role == role && e.entry.health == Health::Ready);
         let zones: BTreeSet<ZoneId> = listed.clone().map(|e| e.entry.zone).collect();
         let own = |e: &Server| e.entry.zone == self.settings.zone;
-        let mut order: Vec<_> = listed.map(|e| (own(e), score(e), e.entry.engine)).collect();
+        let mut order: Vec<_> = listed.map(|e| (own(e), score(e), e.entry.server)).collect();
         let part = order.iter().filter(|rank| rank.0).count() as f64 / order.len().max(1) as f64;
         let stays = unit_interval(mix(!key.0)) < ZONE_SHARE * part * zones.len() as f64;
         order.sort_unstable_by(|a, b| (a.0 != stays).cmp(&(b.0 != stays)).then(b.1.total_cmp(&a.1)));
@@ -564,39 +578,39 @@
     /// one with fewer own tokens under way. Mixed servers help where no writer is ready.
     /// Racks are uneven: a cell, or a zone, keeps only the part of its states that its writers can take, and
     /// the rest goes where writers have room to spare. Harm: states that a quiet rack could have kept move.
-    fn pick_writer(&mut self, id: RequestId, reader: EngineId) -> Option<EngineId> {
+    fn pick_writer(&mut self, id: RequestId, reader: ServerId) -> Option<ServerId> {
         let [stays, in_zone, spare] = [(); 3].map(|()| self.rng.next_u64());
         let request = self.requests.get(&id)?;
         // What has been read is not thrown away for an estimate; early enough that a connect may yet fail.
         let last =
-            request.held_state.is_none_or(|held| self.now >= held.since + self.settings.release_within / 2);
+            request.held_state.is_none_or(|held| self.now >= held.since + self.settings.max_hold_time / 2);
         let ready = [Role::Writer, Role::Mixed].into_iter().map(|role| {
             let mean = if last { 0.0 } else { self.mean_tokens(role) };
             let mut ready = self.usable(role, request);
-            ready.retain(|id| self.has_room(&self.engines[id], mean));
+            ready.retain(|id| self.has_room(&self.servers[id], mean));
             ready
         });
         let mut ready = ready.into_iter().find(|ready| !ready.is_empty())?;
         self.pass_crowded(&mut ready, unit_interval(mix(!spare)));
-        let Some(from) = self.engines.get(&reader).map(|engine| &engine.entry) else {
+        let Some(from) = self.servers.get(&reader).map(|server| &server.entry) else {
             return self.better_of_two(&ready);
         };
         let whole = CellBalance::default();
-        let cell = |entry: &Entry| self.cells.get(&entry.cell).unwrap_or(&whole);
+        let cell = |entry: &ServerEntry| self.cells.get(&entry.cell).unwrap_or(&whole);
         let stays = unit_interval(stays) < cell(from).writer_surplus;
         let in_zone = unit_interval(in_zone) < cell(from).zone_retention;
-        let has_spare = |to: &Entry| {
-            unit_interval(mix(spare ^ u64::from(to.engine.0))) < 1.0 - 1.0 / cell(to).writer_surplus
+        let has_spare = |to: &ServerEntry| {
+            unit_interval(mix(spare ^ u64::from(to.server.0))) < 1.0 - 1.0 / cell(to).writer_surplus
         };
-        let tests: [&dyn Fn(&Entry) -> bool; 5] = [
+        let tests: [&dyn Fn(&ServerEntry) -> bool; 5] = [
             &|to| stays && to.cell == from.cell,
             &|to| in_zone && to.zone == from.zone && has_spare(to),
             &|to| to.zone != from.zone && has_spare(to),
             &|to| to.zone == from.zone,
             &|_| true,
         ];
-        let draw = |test: &&dyn Fn(&Entry) -> bool| -> Vec<EngineId> {
-            ready.iter().copied().filter(|id| test(&self.engines[id].entry)).collect()
+        let draw = |test: &&dyn Fn(&ServerEntry) -> bool| -> Vec<ServerId> {
+            ready.iter().copied().filter(|id| test(&self.servers[id].entry)).collect()
         };
         let drawn = tests.iter().map(draw).find(|drawn| !drawn.is_empty());
         self.better_of_two(&drawn.unwrap_or_default())
@@ -605,17 +619,17 @@
     /// Passes writers of a cell that lately queued or timed out over what is permitted and twice the middle
     /// cell, in proportion, unless links are slow: a front meets the cell often, each writer seldom. Also
     /// catches a cell of slow writers. Harm: one slow writer sends its neighbours' states off.
-    fn pass_crowded(&self, ready: &mut Vec<EngineId>, lot: f64) {
+    fn pass_crowded(&self, ready: &mut Vec<ServerId>, lot: f64) {
         if self.slow_links() {
             return;
         }
         let queued = |cell: &CellBalance| cell.queueing_us.value_at(self.now, 0.0, PACE_HALF_LIFE);
         let middle = lower_median(self.cells.values().map(queued).collect()).unwrap_or(0.0);
-        let permitted = WAIT_SHARE_OF_AIM[Stage::Write as usize] * self.settings.shortest_aim();
+        let permitted = WAIT_SHARE_OF_AIM[Stage::Write as usize] * self.settings.shortest_latency_objective();
         let limit = (QUEUED_PART * permitted).max(SLUGGISH * middle);
         let prompt = self.cells.iter().filter(|(_, cell)| lot < limit / queued(cell));
         let prompt: Vec<&CellId> = prompt.map(|(id, _)| id).collect();
-        let stays = |id: &EngineId| prompt.contains(&&self.engines[id].entry.cell);
+        let stays = |id: &ServerId| prompt.contains(&&self.servers[id].entry.cell);
         if ready.iter().any(stays) {
             ready.retain(stays);
         }
@@ -624,7 +638,7 @@
     /// Over slow links a reader without a writer in its cell is passed like one at its cap.
     fn stranded(&self, reader: &Server, class: u32) -> bool {
         let beside = |e: &&Server| e.role != Role::Reader && e.entry.cell == reader.entry.cell;
-        let mut beside = self.engines.values().filter(beside);
+        let mut beside = self.servers.values().filter(beside);
         reader.role == Role::Reader && self.slow_links() && !beside.any(|e| self.well(e, class))
     }
 
@@ -633,17 +647,17 @@
         far > SLOW_LINKS * self.stages[Stage::Write as usize].median_us_per_token
     }
 
-    fn better_of_two(&mut self, from: &[EngineId]) -> Option<EngineId> {
+    fn better_of_two(&mut self, from: &[ServerId]) -> Option<ServerId> {
         if from.len() < 2 {
             return from.first().copied();
         }
         let first = self.rng.next_u64() as usize % from.len();
         let second = (first + 1 + self.rng.next_u64() as usize % (from.len() - 1)) % from.len();
         let load = |at: usize| {
-            let engine = &self.engines[&from[at]];
-            engine.memory_tokens_in_flight as f64
-                / engine.entry.weight.max(0.01)
-                / self.share_for_pace(engine, Stage::Write)
+            let server = &self.servers[&from[at]];
+            server.memory_tokens_in_flight as f64
+                / server.entry.weight.max(0.01)
+                / self.share_for_pace(server, Stage::Write)
         };
         Some(if load(second) < load(first) { from[second] } else { from[first] })
     }
@@ -651,7 +665,7 @@
     /// Mixed servers take their share of sessions: by count of machines, each session always alike.
     fn takes_mixed_share(&mut self, class: u32, session: Option<Key>) -> bool {
         let well = |e: &&Server, role| e.role == role && self.well(e, class);
-        let count = |role| self.engines.values().filter(|e| well(e, role)).count() as f64;
+        let count = |role| self.servers.values().filter(|e| well(e, role)).count() as f64;
         let mixed = count(Role::Mixed);
         let share = mixed / (mixed + count(Role::Reader) + count(Role::Writer)).max(1.0);
         let lot = session.map_or_else(|| self.rng.next_u64(), |Key(key)| mix(key));
@@ -659,75 +673,75 @@
     }
 
     /// Servers of a role that the rules allow and that look well; where too few do, all that are allowed.
-    fn usable(&self, role: Role, request: &RequestState) -> Vec<EngineId> {
+    fn usable(&self, role: Role, request: &RequestState) -> Vec<ServerId> {
         let class = request.call.class;
         let allowed = |e: &&Server| e.role == role && self.allowed(request, e);
-        let pool = most(self.engines.values().filter(allowed).collect(), |e| self.well(e, class));
-        let untried = |e: &&Server| !request.failed_at.contains(&e.entry.engine);
+        let pool = most(self.servers.values().filter(allowed).collect(), |e| self.well(e, class));
+        let untried = |e: &&Server| !request.failed_at.contains(&e.entry.server);
         let any_untried = pool.iter().any(untried);
-        pool.into_iter().filter(|e| !any_untried || untried(e)).map(|e| e.entry.engine).collect()
+        pool.into_iter().filter(|e| !any_untried || untried(e)).map(|e| e.entry.server).collect()
     }
 
-    fn well(&self, engine: &Server, class: u32) -> bool {
-        let idle = engine.unanswered.is_empty();
-        let standing = engine.statistics.outlier_states.get(&class);
-        engine.entry.health == Health::Ready
+    fn well(&self, server: &Server, class: u32) -> bool {
+        let idle = server.unanswered.is_empty();
+        let standing = server.statistics.outlier_states.get(&class);
+        server.entry.health == Health::Ready
             && standing.is_none_or(|standing| standing.accepts_work(self.now, idle))
     }
 
     /// The valve, in time and not in count, so that one giant weighs as much as many short prompts. By the
     /// unhindered pace: the usual one has queueing in it already, and would send on what a busy pool keeps.
-    fn capped(&self, engine: &Server, stage: Stage, rereading: f64) -> bool {
-        let full = engine.statistics.full_until > self.now;
-        if full || engine.unanswered.is_empty() {
+    fn capped(&self, server: &Server, stage: Stage, rereading: f64) -> bool {
+        let full = server.statistics.full_until > self.now;
+        if full || server.unanswered.is_empty() {
             return full;
         }
         let figures = &self.stages[stage as usize];
-        let mean = figures.tokens_in_flight.value_at(self.now, RATE_TIME) / self.count(engine.role).max(1.0);
+        let mean = figures.tokens_in_flight.value_at(self.now, RATE_TIME) / self.count(server.role).max(1.0);
         let load =
-            self.of_all_fronts(engine.unanswered_tokens[stage as usize], mean, figures.tokens_per_attempt);
-        let cap = CAP_SHARE_OF_AIM * self.settings.shortest_aim() + rereading;
-        self.is_late(engine, stage) || load * figures.unloaded_us_per_token > cap
+            self.of_all_fronts(server.unanswered_tokens[stage as usize], mean, figures.tokens_per_attempt);
+        let cap = CAP_SHARE_OF_AIM * self.settings.shortest_latency_objective() + rereading;
+        self.is_late(server, stage) || load * figures.unloaded_us_per_token > cap
     }
 
     /// What all fronts together are likely to have at a server: own work, and for each other front the mean
     /// of the pool, as far above or below it as own work shows. With many own samples this comes near own
     /// work times fronts; with few it stays near the mean: one own request does not look like a full server.
     fn of_all_fronts(&self, own: f64, mean: f64, typical: f64) -> f64 {
-        let others = f64::from(self.settings.balancers - 1) * mean;
+        let others = f64::from(self.settings.dispatcher_count - 1) * mean;
         own + others * shrunk_ratio(own, mean, PRIOR_REQUESTS * typical)
     }
 
     /// Whether the oldest attempt there has been silent for too long, before any time-out says so.
-    fn is_late(&self, engine: &Server, stage: Stage) -> bool {
-        engine.oldest_wait_us(self.now) > self.patience(engine, stage, 0.0, 0, 0.0) / 2
+    fn is_late(&self, server: &Server, stage: Stage) -> bool {
+        server.oldest_wait_us(self.now) > self.attempt_timeout(server, stage, 0.0, 0, 0.0) / 2
     }
 
     /// Own tokens a server, as far as they are no chance: few requests say little of what other fronts hold.
     fn mean_tokens(&self, role: Role) -> f64 {
         let tokens: u64 =
-            self.engines.values().filter(|e| e.role == role).map(|e| e.memory_tokens_in_flight).sum();
+            self.servers.values().filter(|e| e.role == role).map(|e| e.memory_tokens_in_flight).sum();
         let requests = tokens as f64 / self.stages[Stage::Write as usize].tokens_per_attempt;
         lower_bound_share(requests) * tokens as f64 / self.count(role).max(1.0)
     }
 
     /// Room for an answer: tokens of all fronts within the memory (`mean` is its role's own tokens a server),
     /// no recent `Full`, and a report, if there is a recent one, that shows memory left.
-    fn has_room(&self, engine: &Server, mean: f64) -> bool {
+    fn has_room(&self, server: &Server, mean: f64) -> bool {
         let typical = self.stages[Stage::Write as usize].tokens_per_attempt;
-        let load = self.of_all_fronts(engine.memory_tokens_in_flight as f64, mean, typical);
-        let memory = engine.memory_tokens == 0 || load < MEMORY_SHARE * engine.memory_tokens as f64;
-        let report = engine.statistics.report.filter(|&(_, at)| at + REPORT_LIFE > self.now);
+        let load = self.of_all_fronts(server.memory_tokens_in_flight as f64, mean, typical);
+        let memory = server.memory_tokens == 0 || load < MEMORY_SHARE * server.memory_tokens as f64;
+        let report = server.statistics.report.filter(|&(_, at)| at + REPORT_LIFE > self.now);
         let field = self.settings.memory_field;
         let held = report.and_then(|(report, _)| report.values[field?]).unwrap_or(0.0);
-        memory && engine.statistics.full_until <= self.now && held < REPORTED_MEMORY_SHARE
+        memory && server.statistics.full_until <= self.now && held < REPORTED_MEMORY_SHARE
     }
 
     /// Share of new work that a server's pace earns: all of it up to `SLUGGISH` times the usual, then less.
-    fn share_for_pace(&self, engine: &Server, stage: Stage) -> f64 {
+    fn share_for_pace(&self, server: &Server, stage: Stage) -> f64 {
         let usual = self.stages[stage as usize].median_us_per_token;
         (SLUGGISH * usual
-            / engine.statistics.us_per_token[stage as usize].value_at(self.now, usual, PACE_HALF_LIFE))
+            / server.statistics.us_per_token[stage as usize].value_at(self.now, usual, PACE_HALF_LIFE))
         .min(1.0)
     }
 
@@ -742,7 +756,7 @@
         let serves =
             |e: &&Server| e.statistics.us_per_token[at].last.is_some() || e.unanswered_tokens[at] > 0.0;
         let prompt = |e: &Server| self.well(e, class) && !self.is_late(e, stage);
-        let pool = most(self.engines.values().filter(serves).collect(), prompt);
+        let pool = most(self.servers.values().filter(serves).collect(), prompt);
         let middle = |figure: &dyn Fn(&Server) -> f64| {
             lower_median(pool.iter().map(|e| figure(e)).collect()).unwrap_or(0.0)
         };
@@ -751,7 +765,7 @@
         let (part, heads) =
             if queued > QUEUED_PART * limit { (BURST_PART, 0.0) } else { (CERTAIN_PART, 1.0) };
         let behind = |e: &Server| e.unanswered_tokens[at] * (1.0 - heads / e.unanswered.len().max(1) as f64);
-        if middle(&behind) * self.stages[at].unloaded_us_per_token * f64::from(self.settings.balancers)
+        if middle(&behind) * self.stages[at].unloaded_us_per_token * f64::from(self.settings.dispatcher_count)
             > part * limit
         {
             return true;
@@ -764,30 +778,35 @@
     }
 
     /// What attempts lately waited there, or the oldest one out has waited by now, beyond the work itself.
-    fn queue_time(&self, engine: &Server, at: usize) -> f64 {
-        engine.statistics.queueing_us[at].value_at(self.now, 0.0, PACE_HALF_LIFE).max(self.silent(engine, at))
+    fn queue_time(&self, server: &Server, at: usize) -> f64 {
+        server.statistics.queueing_us[at].value_at(self.now, 0.0, PACE_HALF_LIFE).max(self.silent(server, at))
     }
 
     /// How long the oldest attempt out there has waited by now, beyond the work itself.
-    fn silent(&self, engine: &Server, at: usize) -> f64 {
-        engine.oldest_wait_us(self.now) as f64
-            - self.stages[at].unloaded_us_per_token * engine.unanswered_tokens[at]
+    fn silent(&self, server: &Server, at: usize) -> f64 {
+        server.oldest_wait_us(self.now) as f64
+            - self.stages[at].unloaded_us_per_token * server.unanswered_tokens[at]
     }
 
     /// All classes share the queues: a long aim may make them longer than the shortest aim wants only as far
     /// as the class's worth is above the lowest, or it would push the others out.
     fn aim_by_worth(&self, class: u32) -> f64 {
         let Some(class) = self.settings.classes.get(&class) else {
-            return self.settings.shortest_aim();
+            return self.settings.shortest_latency_objective();
         };
-        let lowest = self.settings.current().map(|class| class.worth).fold(class.worth, f64::min);
-        (class.aim as f64).min(self.settings.shortest_aim() * class.worth / lowest.max(f64::MIN_POSITIVE))
+        let lowest =
+            self.settings.current().map(|class| class.priority_weight).fold(class.priority_weight, f64::min);
+        (class.latency_objective as f64).min(
+            self.settings.shortest_latency_objective() * class.priority_weight
+                / lowest.max(f64::MIN_POSITIVE),
+        )
     }
 
-    fn answer_tokens(&self, call: &Call) -> u64 {
-        let token_aim = self.settings.classes.get(&call.class).map_or(0, |class| class.token_aim);
+    fn answer_tokens(&self, call: &RequestInfo) -> u64 {
+        let token_interval_objective =
+            self.settings.classes.get(&call.class).map_or(0, |class| class.token_interval_objective);
         match call.hint {
-            Some(hint) if token_aim > 0 => hint / token_aim,
+            Some(hint) if token_interval_objective > 0 => hint / token_interval_objective,
             _ => call.max_tokens / 2,
         }
     }
@@ -796,9 +815,9 @@
 
     fn off_waiting(&mut self, id: RequestId, attempt: &Attempt) {
         let at = attempt.stage as usize;
-        let Some(engine) = self.engines.get_mut(&attempt.server) else { return };
-        if engine.unanswered.remove(&(attempt.sent_at, id)) {
-            engine.unanswered_tokens[at] = (engine.unanswered_tokens[at] - attempt.work_tokens).max(0.0);
+        let Some(server) = self.servers.get_mut(&attempt.server) else { return };
+        if server.unanswered.remove(&(attempt.sent_at, id)) {
+            server.unanswered_tokens[at] = (server.unanswered_tokens[at] - attempt.work_tokens).max(0.0);
             let taken = (self.now - attempt.sent_at) as f64 / 1e6;
             let stage = &mut self.stages[at];
             stage.tokens_in_flight.add(attempt.work_tokens * taken, self.now, RATE_TIME);
@@ -809,9 +828,9 @@
     fn did_well(&mut self, attempt: &Attempt, taken: Micros) {
         let at = attempt.stage as usize;
         let pace = taken as f64 / attempt.work_tokens;
-        let Some(engine) = self.engines.get_mut(&attempt.server) else { return };
-        engine.statistics.outlier_states.remove(&attempt.class);
-        engine.statistics.served_per_second.add(1.0, self.now, RATE_TIME);
+        let Some(server) = self.servers.get_mut(&attempt.server) else { return };
+        server.statistics.outlier_states.remove(&attempt.class);
+        server.statistics.served_per_second.add(1.0, self.now, RATE_TIME);
         let usual = self.stages[at].median_us_per_token;
         if attempt.crosses_cells {
             return self.far_pace.add(pace, self.now, usual, PACE_HALF_LIFE, PACE_WEIGHT);
@@ -819,13 +838,13 @@
         let best = &mut self.stages[at].unloaded_us_per_token;
         *best += (pace - *best) * if pace < *best { BEST_FALLS } else { BEST_RISES };
         let queued = (taken as f64 - *best * attempt.work_tokens).max(0.0);
-        engine.statistics.us_per_token[at].add(pace, self.now, usual, PACE_HALF_LIFE, PACE_WEIGHT);
-        engine.statistics.queueing_us[at].add_weighted_by_age(queued, self.now, PACE_HALF_LIFE, PACE_WEIGHT);
+        server.statistics.us_per_token[at].add(pace, self.now, usual, PACE_HALF_LIFE, PACE_WEIGHT);
+        server.statistics.queueing_us[at].add_weighted_by_age(queued, self.now, PACE_HALF_LIFE, PACE_WEIGHT);
         if attempt.stage != Stage::Write {
             self.gossip.record_queueing(attempt.server, queued, attempt.expected_queueing_us);
         }
         self.crowds(attempt, queued, false);
-        self.press(at, queued.min(MOST_QUEUED * self.settings.shortest_aim()));
+        self.press(at, queued.min(MOST_QUEUED * self.settings.shortest_latency_objective()));
         self.take_down(at, queued);
     }
 
@@ -859,7 +878,7 @@
     /// counts as twice what came back at most: where others are prompt, its writer is silent, not crowded.
     fn crowds(&mut self, attempt: &Attempt, queued: f64, lost: bool) {
         let near = attempt.stage == Stage::Write && !attempt.crosses_cells;
-        let writer = self.engines.get(&attempt.server).filter(|_| near);
+        let writer = self.servers.get(&attempt.server).filter(|_| near);
         let Some(cell) = writer.and_then(|writer| self.cells.get_mut(&writer.entry.cell)) else { return };
         let most =
             if lost { SLUGGISH * cell.queueing_us.value_at(self.now, 0.0, PACE_HALF_LIFE) } else { queued };
@@ -867,87 +886,91 @@
     }
 
     fn did_badly(&mut self, attempt: &Attempt, outcome: Outcome) {
-        let Some(engine) = self.engines.get_mut(&attempt.server) else { return };
+        let Some(server) = self.servers.get_mut(&attempt.server) else { return };
         match outcome {
             Outcome::Full => {
-                engine.statistics.full_until = self.now + FULL_REST;
-                return self.press(attempt.stage as usize, self.settings.shortest_aim());
+                server.statistics.full_until = self.now + FULL_REST;
+                return self.press(attempt.stage as usize, self.settings.shortest_latency_objective());
             }
-            Outcome::NoState | Outcome::Cancelled | Outcome::Moot => return,
+            Outcome::NoState | Outcome::Cancelled | Outcome::NotSent => return,
             _ => {}
         }
-        let role = engine.role;
+        let role = server.role;
         if outcome == Outcome::Timeout {
             self.crowds(attempt, (self.now - attempt.sent_at) as f64, true);
-            self.take_down(attempt.stage as usize, MOST_QUEUED * self.settings.shortest_aim());
+            self.take_down(attempt.stage as usize, MOST_QUEUED * self.settings.shortest_latency_objective());
         }
         // This front comes to each server of the pool about once in that time: a shorter rest would be none.
         let turn = self.count(role) * 1e6 / self.call_rate.value_at(self.now, RATE_TIME).max(1e-3);
         let lot = self.rng.next_u64();
-        if let Some(engine) = self.engines.get_mut(&attempt.server) {
-            let standing = engine.statistics.outlier_states.entry(attempt.class).or_default();
+        if let Some(server) = self.servers.get_mut(&attempt.server) {
+            let standing = server.statistics.outlier_states.entry(attempt.class).or_default();
             standing.record_failure(self.now, FIRST_REST.max(turn as Micros), lot);
         }
     }
 
     fn count(&self, role: Role) -> f64 {
-        self.engines.values().filter(|e| e.role == role).count() as f64
+        self.servers.values().filter(|e| e.role == role).count() as f64
     }
 
     /// The part of its capacity that a cold server lower_bound_share has by now; `None` if it is warm.
-    fn cold_share(&self, engine: &Server) -> Option<f64> {
-        let (from, set) = (engine.entry.started?, &self.settings);
-        let age = self.now.saturating_sub(from) as f64 / set.cold_for.max(1) as f64;
-        (self.now < from.saturating_add(set.cold_for)).then_some(set.cold_from * (1.0 + COLD_GAIN * age))
+    fn cold_share(&self, server: &Server) -> Option<f64> {
+        let (from, set) = (server.entry.started?, &self.settings);
+        let age = self.now.saturating_sub(from) as f64 / set.slow_start_window.max(1) as f64;
+        (self.now < from.saturating_add(set.slow_start_window))
+            .then_some(set.slow_start_min_share * (1.0 + COLD_GAIN * age))
     }
 
     /// Sends that a window permits to a cold server: the part of its capacity that it lower_bound_share has, by what a
     /// warm server of its role carries for this front; `None` if it is warm.
-    fn cold_permit(&self, engine: &Server) -> Option<f64> {
+    fn cold_permit(&self, server: &Server) -> Option<f64> {
         let set = &self.settings;
-        let share = self.cold_share(engine)?;
-        let peers = self.engines.values().filter(|e| e.role == engine.role && self.cold_share(e).is_none());
+        let share = self.cold_share(server)?;
+        let peers = self.servers.values().filter(|e| e.role == server.role && self.cold_share(e).is_none());
         let ready = peers.filter(|e| e.entry.health == Health::Ready);
         let carried = ready.map(|e| e.statistics.served_per_second.age_corrected_at(self.now, RATE_TIME));
         let (sum, warm) = carried.fold((0.0, 0.0), |(sum, count), rate| (sum + rate, count + 1.0));
-        let even = self.call_rate.age_corrected_at(self.now, RATE_TIME) / self.count(engine.role).max(1.0);
+        let even = self.call_rate.age_corrected_at(self.now, RATE_TIME) / self.count(server.role).max(1.0);
         let rate = if warm > 0.0 { sum / warm } else { COLD_ROLE_SHARE * even };
-        Some(self.part * COLD_MARGIN * set.fall_multiple * share * rate * set.fall_window as f64 / 1e6)
+        Some(
+            self.part * COLD_MARGIN * set.overload_multiple * share * rate * set.overload_window as f64 / 1e6,
+        )
     }
 
     // ---- The list of servers ----
 
-    fn roster(&mut self, how: ListKind, entries: Vec<Entry>) {
-        if how == ListKind::Broken {
+    fn roster(&mut self, how: ListUpdateKind, entries: Vec<ServerEntry>) {
+        if how == ListUpdateKind::Failed {
             let lot = self.rng.next_u64();
-            let wait = self.list_backoff.failed(self.settings.balancers, self.settings.must_ask_in, lot);
+            let wait =
+                self.list_backoff.failed(self.settings.dispatcher_count, self.settings.max_list_age, lot);
             self.ask_at = self.settings.must_subscribe.then_some(self.now + wait);
             return;
         }
         self.list_backoff.answered();
-        if how != ListKind::Patch {
-            let named: BTreeSet<EngineId> = entries.iter().map(|entry| entry.engine).collect();
-            for (id, engine) in &mut self.engines {
+        if how != ListUpdateKind::Patch {
+            let named: BTreeSet<ServerId> = entries.iter().map(|entry| entry.server).collect();
+            for (id, server) in &mut self.servers {
                 if !named.contains(id) {
-                    engine.entry.health = Health::Gone;
+                    server.entry.health = Health::Gone;
                 }
             }
         }
         for entry in entries {
             self.list(entry);
         }
-        self.engines.retain(|_, e| {
+        self.servers.retain(|_, e| {
             e.entry.health != Health::Gone || e.memory_tokens_in_flight > 0 || !e.unanswered.is_empty()
         });
-        self.gossip.set_servers(self.engines.keys().copied());
+        self.gossip.set_servers(self.servers.keys().copied());
         self.weigh_cells();
     }
 
     /// What the list says of racks, worked out when it changes. A zone takes of the states that leave cells
     /// what its other cells have room for: were it more, its one cell of many writers would be buried.
     fn weigh_cells(&mut self) {
-        let ready: Vec<&Server> = self.engines.values().filter(|e| e.entry.health == Health::Ready).collect();
-        let count = |role: Role, test: &dyn Fn(&Entry) -> bool| {
+        let ready: Vec<&Server> = self.servers.values().filter(|e| e.entry.health == Health::Ready).collect();
+        let count = |role: Role, test: &dyn Fn(&ServerEntry) -> bool| {
             ready.iter().filter(|e| e.role == role && test(&e.entry)).count() as f64
         };
         let [readers, writers] = [Role::Reader, Role::Writer].map(|role| count(role, &|_| true).max(1.0));
@@ -975,45 +998,45 @@
     }
 
     /// Takes an entry; a new start time is a new, cold and empty server under an old number.
-    fn list(&mut self, entry: Entry) {
+    fn list(&mut self, entry: ServerEntry) {
         let kind = self.settings.kinds.get(entry.kind as usize);
         let (role, memory) = kind.map_or((Role::Mixed, 0), |kind| (kind.role, kind.memory_tokens));
         let debt = unit_interval(self.rng.next_u64());
         let now = self.now;
         let cold = || SlowStartBudget::with_debt(debt, now);
         let fresh = || Server::new(entry.clone(), PrefixTable::new(), cold());
-        let engine = self.engines.entry(entry.engine).or_insert_with(fresh);
-        if engine.entry.started != entry.started && entry.health == Health::Ready {
-            engine.prefixes = PrefixTable::new();
-            engine.statistics = ServerStatistics::default();
-            engine.slow_start_budget = cold();
+        let server = self.servers.entry(entry.server).or_insert_with(fresh);
+        if server.entry.started != entry.started && entry.health == Health::Ready {
+            server.prefixes = PrefixTable::new();
+            server.statistics = ServerStatistics::default();
+            server.slow_start_budget = cold();
         }
-        engine.entry = entry;
-        (engine.role, engine.memory_tokens) = (role, memory);
+        server.entry = entry;
+        (server.role, server.memory_tokens) = (role, memory);
     }
 
     /// What no event brings up: the list to ask for, the middle of the paces, states that wait for a writer.
     fn sweep(&mut self, out: &mut Vec<Action>) {
-        out.push(Action::Defer { delay: SWEEP_EVERY, token: SWEEP });
+        out.push(Action::StartTimer { delay: SWEEP_EVERY, token: SWEEP });
         if self.ask_at.is_some_and(|at| at <= self.now) {
             self.ask_at = None;
             out.push(Action::Subscribe);
         }
         for (at, stage) in self.stages.iter_mut().enumerate() {
-            let known = self.engines.values().filter_map(|e| e.statistics.us_per_token[at].last);
+            let known = self.servers.values().filter_map(|e| e.statistics.us_per_token[at].last);
             stage.median_us_per_token =
                 lower_median(known.map(|(pace, _)| pace).collect()).unwrap_or(stage.median_us_per_token);
         }
         for id in std::mem::take(&mut self.parked) {
             self.route(id, out);
         }
-        for (&id, engine) in self.engines.iter().filter(|(_, e)| e.role == Role::Reader) {
+        for (&id, server) in self.servers.iter().filter(|(_, e)| e.role == Role::Reader) {
             let oldest =
-                engine.unanswered.first().and_then(|(_, id)| self.requests.get(id)?.in_flight.as_ref());
+                server.unanswered.first().and_then(|(_, id)| self.requests.get(id)?.in_flight.as_ref());
             if let Some(oldest) = oldest {
                 self.gossip.record_queueing(
                     id,
-                    self.silent(engine, Stage::Read as usize),
+                    self.silent(server, Stage::Read as usize),
                     oldest.expected_queueing_us,
                 );
             }
--- a/crates/router/tests/handover.rs
+++ b/crates/router/tests/handover.rs
@@ -22,11 +22,11 @@
 }
 
 /// Where a front sends the next turn of a session.
-fn reader_of(world: &mut World, session: u64, id: u64) -> EngineId {
+fn reader_of(world: &mut World, session: u64, id: u64) -> ServerId {
     let mut call = call(id, world.now);
     call.session = Some(Key(session));
     world.ask(call);
-    let to = world.out(RequestId(id)).expect("it is sent").engine;
+    let to = world.out(RequestId(id)).expect("it is sent").server;
     world.pass(30_000);
     world.end_with(RequestId(id), Outcome::Read, 1_000);
     world.pass(40_000);
@@ -47,7 +47,7 @@
         world
     };
     let (mut with, mut without) = (fresh(old.now), fresh(old.now));
-    with.tell(Event::TakenOver(Box::new(handover)));
+    with.tell(Event::StateImported(Box::new(handover)));
     let mut agrees = [0, 0];
     for session in 1..40 {
         let kept = reader_of(&mut old, session, 100 + session);
@@ -62,14 +62,14 @@
 #[test]
 fn what_can_not_be_is_not_taken() {
     let (old, handover) = learnt();
-    let take = |now: Micros, change: &dyn Fn(&mut serde_json::Value), list: Vec<Entry>| {
+    let take = |now: Micros, change: &dyn Fn(&mut serde_json::Value), list: Vec<ServerEntry>| {
         let mut text = serde_json::to_value(&handover).unwrap();
         change(&mut text);
         let mut world = World::new(settings(), list);
         world.now = now;
         let before = serde_json::to_value(world.router.hands_over()).unwrap();
         if let Ok(handover) = serde_json::from_value(text) {
-            world.tell(Event::TakenOver(Box::new(handover)));
+            world.tell(Event::StateImported(Box::new(handover)));
         }
         let after = serde_json::to_value(world.router.hands_over()).unwrap();
         let prefixes = |of: &serde_json::Value| {
@@ -91,7 +91,7 @@
         assert!(take(other, &on_that_clock, fleet(false)).1 >= 39, "by a clock that is {ahead} us ahead");
     }
     let restarted =
-        fleet(false).into_iter().map(|entry| Entry { started: Some(old.now - 10), ..entry }).collect();
+        fleet(false).into_iter().map(|entry| ServerEntry { started: Some(old.now - 10), ..entry }).collect();
     assert_eq!(take(old.now, &|_| (), restarted).1, 0, "another life");
     assert_eq!(take(old.now, &|text| text["stages"] = serde_json::json!([]), fleet(false)).1, 0);
     for bad in [serde_json::json!(-1.0), serde_json::json!(0.0)] {
--- a/crates/router/tests/list_orders.rs
+++ b/crates/router/tests/list_orders.rs
@@ -16,13 +16,13 @@
     let mut lots = Pcg64Mcg::seed_from_u64(34);
     let mut late = Vec::new();
     for fronts in [1, 4, 40, 100, 300, 100_000] {
-        for must_ask_in in [0, SECOND / 10, SECOND, 2 * SECOND, 10 * SECOND, 1_000 * SECOND] {
+        for max_list_age in [0, SECOND / 10, SECOND, 2 * SECOND, 10 * SECOND, 1_000 * SECOND] {
             // As the watch of the list has it (`LONGEST_WAIT`); the simulator's wire has a rule of its own.
             let mut asking = ListBackoff::within(2_400_000);
-            let waits = (0..200).map(|_| asking.failed(fronts, must_ask_in, lots.next_u64()));
+            let waits = (0..200).map(|_| asking.failed(fronts, max_list_age, lots.next_u64()));
             let longest = waits.max().unwrap_or(0);
             if longest > 2_400_000 {
-                late.push(format!("{fronts} fronts, each to ask in {must_ask_in} us: {longest} us"));
+                late.push(format!("{fronts} fronts, each to ask in {max_list_age} us: {longest} us"));
             }
         }
     }
@@ -41,8 +41,8 @@
     assert_eq!(asking.failed(4, 0, u64::MAX / 2), first);
 }
 
-fn call(id: u64) -> Call {
-    Call {
+fn call(id: u64) -> RequestInfo {
+    RequestInfo {
         id: RequestId(id),
         class: 0,
         session: Some(Key(id.wrapping_mul(0x9e37_79b9_7f4a_7c15))),
@@ -56,11 +56,11 @@
 }
 
 /// To whom a call goes at that time.
-fn goes_to(router: &mut Router, now: Micros, id: u64) -> Option<EngineId> {
+fn goes_to(router: &mut Router, now: Micros, id: u64) -> Option<ServerId> {
     let mut out = Vec::new();
-    router.handle(now, Event::Call(call(id)), &mut out);
+    router.handle(now, Event::RequestArrived(call(id)), &mut out);
     out.into_iter().find_map(|action| match action {
-        Action::Assign { engine, .. } => Some(engine),
+        Action::Assign { server, .. } => Some(server),
         _ => None,
     })
 }
@@ -77,12 +77,12 @@
         for step in 1..60u64 {
             let now = SECOND + step * 50_000;
             let how = match lots.next_u32() % 4 {
-                0 => ListKind::Whole,
-                1 => ListKind::StaleCopy,
-                2 => ListKind::Broken,
-                _ => ListKind::Patch,
+                0 => ListUpdateKind::Full,
+                1 => ListUpdateKind::StaleCopy,
+                2 => ListUpdateKind::Failed,
+                _ => ListUpdateKind::Patch,
             };
-            let mut entries: Vec<Entry> = fleet(false);
+            let mut entries: Vec<ServerEntry> = fleet(false);
             entries.retain(|_| lots.next_u32() % 3 > 0);
             for entry in &mut entries {
                 entry.health = [Health::Ready, Health::Ready, Health::Terminating, Health::Gone]
@@ -90,13 +90,13 @@
                 entry.started = [None, Some(now.saturating_sub(20 * SECOND)), Some(now + SECOND)]
                     [lots.next_u32() as usize % 3];
             }
-            if how != ListKind::Broken {
-                if how != ListKind::Patch {
+            if how != ListUpdateKind::Failed {
+                if how != ListUpdateKind::Patch {
                     last.clear();
                 }
-                last.extend(entries.iter().map(|entry| (entry.engine, entry.health)));
+                last.extend(entries.iter().map(|entry| (entry.server, entry.health)));
             }
-            router.handle(now, Event::Roster { how, entries }, &mut Vec::new());
+            router.handle(now, Event::EndpointsUpdated { how, entries }, &mut Vec::new());
             for _ in 0..3 {
                 id += 1;
                 if let Some(to) = goes_to(&mut router, now, id) {
@@ -114,7 +114,7 @@
     let mut first = entry(0, 0);
     first.started = Some(Micros::MAX);
     let entries = vec![first, entry(1, 0), entry(10, 1)];
-    router.handle(SECOND, Event::Roster { how: ListKind::Whole, entries }, &mut Vec::new());
+    router.handle(SECOND, Event::EndpointsUpdated { how: ListUpdateKind::Full, entries }, &mut Vec::new());
     // None of them is answered, so that later ones are shed: the first must be taken, and none may break anything.
     let taken: Vec<bool> =
         (0..20).map(|id| goes_to(&mut router, SECOND + id * 1_000, id + 1).is_some()).collect();
--- a/crates/router/tests/placement.rs
+++ b/crates/router/tests/placement.rs
@@ -11,26 +11,26 @@
 const FRONTS: u32 = 300;
 
 /// 24 readers (0 to 23) and eight writers (100 to 107) in three zones of two cells.
-fn large() -> Vec<Entry> {
+fn large() -> Vec<ServerEntry> {
     let place =
-        |id: u32, kind| Entry { zone: ZoneId(id % 3), cell: CellId(id % 3), ..common::entry(id, kind) };
+        |id: u32, kind| ServerEntry { zone: ZoneId(id % 3), cell: CellId(id % 3), ..common::entry(id, kind) };
     (0..24).map(|id| place(id, 0)).chain((100..108).map(|id| place(id, 1))).collect()
 }
 
 fn one_of_many(peers: bool) -> World {
     let mut settings = settings();
-    (settings.balancers, settings.peers, settings.peer_price) = (FRONTS, peers, 0.0025);
+    (settings.dispatcher_count, settings.peers, settings.gossip_price) = (FRONTS, peers, 0.0025);
     World::new(settings, large())
 }
 
 /// A call of a session that begins with a shared text of 4,000 tokens.
-fn turn(world: &World, id: u64, session: u64, prompt_tokens: u64) -> Call {
+fn turn(world: &World, id: u64, session: u64, prompt_tokens: u64) -> RequestInfo {
     let (session, shared) = (Some(Key(session)), Some(Key(77)));
-    Call { session, shared, shared_tokens: 4_000, prompt_tokens, ..call(id, world.now) }
+    RequestInfo { session, shared, shared_tokens: 4_000, prompt_tokens, ..call(id, world.now) }
 }
 
-fn reader_of(world: &World, id: u64) -> EngineId {
-    world.out(RequestId(id)).expect("sent").engine
+fn reader_of(world: &World, id: u64) -> ServerId {
+    world.out(RequestId(id)).expect("sent").server
 }
 
 /// Seen: 545 of 4,226 tries were refused 450 ms after their read had ended well. Four own streams, taken times the
@@ -40,14 +40,17 @@
     let mut world = one_of_many(false);
     world.settings.kinds[1].memory_tokens = 600_000;
     let settings = Box::new(world.settings.clone());
-    world.tell(Event::Retuned { settings, heirs: Default::default() });
-    let writers =
-        (100..120).map(|id| Entry { zone: ZoneId(id % 3), cell: CellId(id % 3), ..common::entry(id, 1) });
+    world.tell(Event::SettingsReloaded { settings, class_renumbering: Default::default() });
+    let writers = (100..120).map(|id| ServerEntry {
+        zone: ZoneId(id % 3),
+        cell: CellId(id % 3),
+        ..common::entry(id, 1)
+    });
     let readers = large().into_iter().filter(|entry| entry.kind == 0);
-    world.roster(ListKind::Whole, readers.chain(writers).collect());
+    world.roster(ListUpdateKind::Full, readers.chain(writers).collect());
     for id in 1..=6 {
         let prompt_tokens = 9_000;
-        world.ask(Call { prompt_tokens, ..call(id, world.now) });
+        world.ask(RequestInfo { prompt_tokens, ..call(id, world.now) });
         world.end(RequestId(id), Outcome::Read);
         let out = world.out(RequestId(id)).expect("sent on at once");
         assert!(!out.reads, "{id}: {out:?}");
@@ -63,8 +66,8 @@
         let mut world = one_of_many(false);
         world.settings.kinds[1].memory_tokens = 20_000;
         let settings = Box::new(world.settings.clone());
-        world.tell(Event::Retuned { settings, heirs: Default::default() });
-        world.roster(ListKind::Whole, large());
+        world.tell(Event::SettingsReloaded { settings, class_renumbering: Default::default() });
+        world.roster(ListUpdateKind::Full, large());
         for id in 1..=40 {
             world.simple(id);
             world.end(RequestId(id), Outcome::Read);
@@ -78,10 +81,10 @@
                     world.begin(RequestId(id));
                 }
                 // Half of the time that it may be held, and a sweep: a connect that fails leaves time to let go.
-                assert!(full || out.at <= read + world.settings.release_within / 2 + 45_000, "{id}");
+                assert!(full || out.at <= read + world.settings.max_hold_time / 2 + 45_000, "{id}");
             }
         }
-        world.count(|action| matches!(action, Action::Refuse { .. }))
+        world.count(|action| matches!(action, Action::Reject { .. }))
     };
     assert_eq!(full(false), 0, "nobody said that a writer is full");
     assert!(full(true) > 0, "what servers say counts to the end");
@@ -92,19 +95,19 @@
 #[test]
 fn turns_of_a_session_find_one_reader_whatever_front_they_come_to() {
     for text in 0..30 {
-        let went: BTreeSet<EngineId> = (0..8).map(|front| second_turn(text, front)).collect();
+        let went: BTreeSet<ServerId> = (0..8).map(|front| second_turn(text, front)).collect();
         assert_eq!(went.len(), 1, "text {text}: {went:?}");
     }
 }
 
 /// Where a front, that may have seen another session with the text, sends a later turn of one.
-fn second_turn(text: u64, front: u64) -> EngineId {
+fn second_turn(text: u64, front: u64) -> ServerId {
     let mut world = one_of_many(false);
     // Uneven cells draw beginnings towards writers.
-    let gone = |id: u32| Entry { health: Health::Gone, ..common::entry(id, 1) };
-    world.roster(ListKind::Patch, [101, 103, 104, 105, 107].map(gone).to_vec());
+    let gone = |id: u32| ServerEntry { health: Health::Gone, ..common::entry(id, 1) };
+    world.roster(ListUpdateKind::Patch, [101, 103, 104, 105, 107].map(gone).to_vec());
     world.restart(500 + front);
-    let turn = |world: &World, id, session, prompt_tokens| Call {
+    let turn = |world: &World, id, session, prompt_tokens| RequestInfo {
         shared: Some(Key(1_000 + text)),
         ..turn(world, id, session, prompt_tokens)
     };
@@ -130,7 +133,7 @@
         let mut went = BTreeSet::new();
         for session in 0..200 {
             let mut world = one_of_many(false);
-            world.ask(Call { shared_tokens, ..turn(&world, 1, session, 9_000) });
+            world.ask(RequestInfo { shared_tokens, ..turn(&world, 1, session, 9_000) });
             went.insert(reader_of(&world, 1));
         }
         went.len()
@@ -143,11 +146,11 @@
 fn a_zone_reads_its_own_calls_as_far_as_its_readers_go() {
     let stayed = |readers_here: u32| {
         let mut list = large();
-        list.retain(|e| e.kind == 1 || e.zone != ZoneId(0) || e.engine.0 < 3 * readers_here);
+        list.retain(|e| e.kind == 1 || e.zone != ZoneId(0) || e.server.0 < 3 * readers_here);
         let mut at_home = 0;
         for session in 0..400 {
             let mut world = one_of_many(false);
-            world.roster(ListKind::Whole, list.clone());
+            world.roster(ListUpdateKind::Full, list.clone());
             world.simple(session);
             at_home += u32::from(world.list[&reader_of(&world, session)].zone == ZoneId(0));
         }
@@ -166,7 +169,8 @@
     let first = turn(&world, 1, 7, 5_000);
     world.ask(first);
     let home = reader_of(&world, 1);
-    let told = |load, at| Event::Heard(LoadUpdate { server: tag(home), load, at }.to_bytes().to_vec());
+    let told =
+        |load, at| Event::GossipReceived(LoadUpdate { server: tag(home), load, at }.to_bytes().to_vec());
     let mut world = one_of_many(true);
     // 400 ms are worth less than reading the text anew; three times as much adds up to more.
     world.tell(told(Load::Sent(400_000), world.now));
@@ -192,11 +196,11 @@
 #[test]
 fn work_is_told_from_a_share_of_the_aim_on_and_is_paid_for_by_calls() {
     let mut world = one_of_many(true);
-    let tells = |world: &World| world.count(|action| matches!(action, Action::Tell(_)));
+    let tells = |world: &World| world.count(|action| matches!(action, Action::PublishGossip(_)));
     world.simple(1);
     assert_eq!(tells(&world), 0, "a short prompt is no news");
     for id in 2..=21 {
-        let giant = Call { prompt_tokens: 30_000, ..call(id, world.now) };
+        let giant = RequestInfo { prompt_tokens: 30_000, ..call(id, world.now) };
         world.ask(giant);
     }
     // Five bytes to 299 others at 0.0025 for 256 bytes: 0.0146 of a request each; a call pays 0.01.
@@ -207,15 +211,15 @@
 /// A long prompt has the time that its own aim gives it before it is given up.
 #[test]
 fn the_first_time_out_is_the_aim_of_the_prompt_as_long_as_it_is() {
-    let patience = |prompt_tokens| {
+    let attempt_timeout = |prompt_tokens| {
         let mut world = one_of_many(false);
-        world.settings.classes.get_mut(&0).expect("a class").aim_per_1000_tokens = 400_000;
+        world.settings.classes.get_mut(&0).expect("a class").latency_objective_per_1000_tokens = 400_000;
         let settings = Box::new(world.settings.clone());
-        world.tell(Event::Retuned { settings, heirs: Default::default() });
-        world.ask(Call { prompt_tokens, ..call(1, world.now) });
+        world.tell(Event::SettingsReloaded { settings, class_renumbering: Default::default() });
+        world.ask(RequestInfo { prompt_tokens, ..call(1, world.now) });
         let out = world.out(RequestId(1)).expect("sent");
         out.until - out.at
     };
-    assert_eq!(patience(0), SECOND, "the aim alone");
-    assert_eq!(patience(5_000), 3 * SECOND, "0.4 s more for each thousand");
+    assert_eq!(attempt_timeout(0), SECOND, "the aim alone");
+    assert_eq!(attempt_timeout(5_000), 3 * SECOND, "0.4 s more for each thousand");
 }
--- a/crates/router/tests/properties.rs
+++ b/crates/router/tests/properties.rs
@@ -92,8 +92,8 @@
                 });
             }
             18 if first % 8 == 0 => world.restart(u64::from(second)),
-            18 => world.tell(Event::Due(TimerToken(u64::from(second)))),
-            19 => world.tell(Event::Hangup(RequestId(u64::from(first) << 32))),
+            18 => world.tell(Event::TimerFired(TimerToken(u64::from(second)))),
+            19 => world.tell(Event::ClientDisconnected(RequestId(u64::from(first) << 32))),
             _ => world.pass(u64::from(first % 400) * 1_000),
         }
     }
--- a/crates/router/tests/rules.rs
+++ b/crates/router/tests/rules.rs
@@ -8,7 +8,7 @@
 #[test]
 fn rule_1_a_state_that_finds_no_writer_is_answered_before_its_client_leaves() {
     let mut settings = settings();
-    settings.writers_read = false;
+    settings.writers_can_read = false;
     let mut world = World::new(settings, vec![entry(0, 0)]);
     let mut call = call(1, world.now);
     call.not_after = world.now + 100_000;
@@ -17,7 +17,7 @@
     world.end(RequestId(1), Outcome::Read);
     world.pass(SECOND);
     assert!(world.known[&RequestId(1)].ended);
-    assert_eq!(world.count(|action| *action == Action::LetGo(RequestId(1))), 1);
+    assert_eq!(world.count(|action| *action == Action::ReleaseHeldState(RequestId(1))), 1);
 }
 
 #[test]
@@ -27,7 +27,7 @@
     assert!(world
         .log
         .iter()
-        .any(|a| matches!(a, Action::Refuse { id: it, retry_in } if *it == id && *retry_in > 0)));
+        .any(|a| matches!(a, Action::Reject { id: it, retry_in } if *it == id && *retry_in > 0)));
 }
 
 #[test]
@@ -40,21 +40,21 @@
     assert!(world.out(RequestId(1)).is_some(), "a read has no effect");
     world.end(RequestId(1), Outcome::Read);
     world.end(RequestId(1), Outcome::Reset);
-    assert_eq!(world.count(|action| *action == Action::GiveUp(RequestId(1))), 1);
-    assert_eq!(world.count(|action| *action == Action::LetGo(RequestId(1))), 1);
+    assert_eq!(world.count(|action| *action == Action::Fail(RequestId(1))), 1);
+    assert_eq!(world.count(|action| *action == Action::ReleaseHeldState(RequestId(1))), 1);
 }
 
 #[test]
 fn rule_3_nothing_goes_to_a_draining_server_and_its_state_is_still_fetched() {
     let mut world = World::new(settings(), fleet(false));
     let id = world.simple(1);
-    let reader = world.out(id).unwrap().engine;
+    let reader = world.out(id).unwrap().server;
     world.change(reader.0, |entry| entry.health = Health::Terminating);
     world.end(id, Outcome::Read);
-    assert!(!world.is_reader(world.out(id).unwrap().engine), "the waiting state goes to a writer");
+    assert!(!world.is_reader(world.out(id).unwrap().server), "the waiting state goes to a writer");
     for other in 2..60 {
         let id = world.simple(other);
-        assert_ne!(world.out(id).unwrap().engine, reader);
+        assert_ne!(world.out(id).unwrap().server, reader);
         world.pass(20_000);
         world.end(id, Outcome::Read);
         world.begin(id);
@@ -83,7 +83,7 @@
     // The budget grows with age, so the start is what counts; the restart lies within it.
     let sent = |to: u32| {
         let early = |at: Micros| at < now + 4 * SECOND;
-        world.sends.iter().filter(|&&(at, engine, _)| engine == EngineId(to) && early(at)).count()
+        world.sends.iter().filter(|&&(at, server, _)| server == ServerId(to) && early(at)).count()
     };
     // Its peer is the other reader of its zone; what those of the other zone get is chance, 7 to 14 by the seed.
     let (cold, warm) = (sent(0), sent(2));
@@ -99,7 +99,7 @@
     world.hangup(id);
     world.pass(50_000);
     world.end(id, Outcome::Read);
-    assert_eq!(world.count(|action| *action == Action::LetGo(id)), 1);
+    assert_eq!(world.count(|action| *action == Action::ReleaseHeldState(id)), 1);
     assert_eq!(world.sends.len(), 1);
 }
 
@@ -110,8 +110,8 @@
     let mut world = World::new(settings.clone(), fleet(false));
     assert_eq!(world.subscribes.len(), 1);
     for _ in 0..4 {
-        world.roster(ListKind::Broken, vec![]);
-        world.pass(settings.must_ask_in);
+        world.roster(ListUpdateKind::Failed, vec![]);
+        world.pass(settings.max_list_age);
     }
     assert_eq!(world.subscribes.len(), 5);
 }
@@ -120,8 +120,8 @@
 fn rule_4_many_fronts_together_stay_within_a_cold_servers_budget() {
     const FRONTS: u64 = 60;
     let mut crowd = settings();
-    crowd.balancers = FRONTS as u32;
-    let window = crowd.fall_window;
+    crowd.dispatcher_count = FRONTS as u32;
+    let window = crowd.overload_window;
     let mut worlds: Vec<World> = (0..FRONTS)
         .map(|seed| {
             let mut world = World::new(crowd.clone(), fleet(false));
@@ -156,14 +156,15 @@
             worlds.iter_mut().zip(1_000..1_015).for_each(|(world, seed)| world.restart(seed));
         }
     }
-    let sent = |engine: u32, from: u64, until: u64| {
+    let sent = |server: u32, from: u64, until: u64| {
         let within = |at: u64| (from..until).contains(&at);
         let sends = worlds.iter().flat_map(|world| &world.sends);
-        sends.filter(|&&(at, to, _)| to == EngineId(engine) && within(at)).count() as f64
+        sends.filter(|&&(at, to, _)| to == ServerId(server) && within(at)).count() as f64
     };
     // Capacity is at least what warm peers carried; the cold server has `cold_from` of it, later more.
     let carried = (1..4).map(|peer| sent(peer, start - 10 * SECOND, start) / 30.0).sum::<f64>();
-    let budget = crowd.fall_multiple * crowd.cold_from * carried * window as f64 / SECOND as f64;
+    let budget =
+        crowd.overload_multiple * crowd.slow_start_min_share * carried * window as f64 / SECOND as f64;
     let starts = (0..30u64).map(|at| start + at * SECOND / 10);
     let worst = starts.map(|at| sent(0, at, at + window)).fold(0.0, f64::max);
     assert!(worst <= budget, "{worst} sends in a window, {budget} allowed");
@@ -175,7 +176,7 @@
 #[test]
 fn rule_5_the_time_of_a_state_goes_on_while_connections_fail_to_come_up() {
     let mut settings = settings();
-    (settings.release_within, settings.writers_read) = (500_000, false);
+    (settings.max_hold_time, settings.writers_can_read) = (500_000, false);
     let mut world = World::new(settings, fleet(false));
     let id = world.simple(1);
     world.end(id, Outcome::Read);
@@ -185,7 +186,7 @@
         world.end(id, Outcome::ConnectFailed);
     }
     assert!(world.out(id).is_none(), "its time is up: it is sent nowhere");
-    assert_eq!(world.count(|action| *action == Action::LetGo(id)), 1);
+    assert_eq!(world.count(|action| *action == Action::ReleaseHeldState(id)), 1);
     // And one that waits for a writer waits for what is left of its time.
     let mut world = World::new(world.settings.clone(), vec![entry(0, 0), entry(10, 1)]);
     let id = world.simple(1);
@@ -194,5 +195,5 @@
     world.change(10, |entry| entry.health = Health::Terminating);
     world.end(id, Outcome::ConnectFailed);
     world.pass(250_000);
-    assert_eq!(world.count(|action| *action == Action::LetGo(id)), 1);
+    assert_eq!(world.count(|action| *action == Action::ReleaseHeldState(id)), 1);
 }
--- a/crates/router/tests/written_forms.rs
+++ b/crates/router/tests/written_forms.rs
@@ -17,18 +17,18 @@
 
 /// Settings of a router that takes gossip.
 fn with_gossip() -> Settings {
-    Settings { peers: true, balancers: 3, ..settings() }
+    Settings { peers: true, dispatcher_count: 3, ..settings() }
 }
 
 /// One turn of a session that shares a beginning, read and answered.
-fn turn(world: &mut World, id: u64, kept_tokens: u64) {
+fn turn(world: &mut World, id: u64, cached_tokens: u64) {
     let mut call = call(id, world.now);
     call.session = Some(Key(id % 5));
     call.shared = (!id.is_multiple_of(3)).then_some(Key(70 + id % 2));
     call.shared_tokens = 600;
     world.ask(call);
     world.pass(30_000 + 1_000 * (id % 7));
-    world.end_with(RequestId(id), Outcome::Read, kept_tokens);
+    world.end_with(RequestId(id), Outcome::Read, cached_tokens);
     world.pass(40_000);
     world.begin(RequestId(id));
     world.pass(20_000);
@@ -52,8 +52,8 @@
     world.pass(10_000);
     world.end(failing, Outcome::ConnectFailed);
     let update =
-        LoadUpdate { server: dewladder_router::tag(EngineId(2)), load: Load::Waits(400_000), at: world.now };
-    world.tell(Event::Heard(update.to_bytes().to_vec()));
+        LoadUpdate { server: dewladder_router::tag(ServerId(2)), load: Load::Waits(400_000), at: world.now };
+    world.tell(Event::GossipReceived(update.to_bytes().to_vec()));
     world.pass(25_000);
     world.tell(Event::Ignored);
     world
@@ -76,7 +76,7 @@
     let old = learnt();
     let mut world = World::new(with_gossip(), old.list.values().cloned().collect());
     world.now = old.now;
-    world.tell(Event::TakenOver(Box::new(serde_json::from_str(HANDOVER).unwrap())));
+    world.tell(Event::StateImported(Box::new(serde_json::from_str(HANDOVER).unwrap())));
     let handed_on = serde_json::to_string(&world.router.hands_over()).unwrap();
     assert_eq!(handed_on, REWRITTEN_HANDOVER.trim_end());
 }
@@ -107,7 +107,7 @@
         [219, 7, 0, 91, 127],
     ];
     assert_eq!(sent, recorded);
-    assert_eq!([0, 1, 13, 4_000_000].map(|id| dewladder_router::tag(EngineId(id))), [0, 1509, 33233, 34421]);
+    assert_eq!([0, 1, 13, 4_000_000].map(|id| dewladder_router::tag(ServerId(id))), [0, 1509, 33233, 34421]);
 }
 
 #[test]
--- a/crates/scale/src/hollow/dispatchers.rs
+++ b/crates/scale/src/hollow/dispatchers.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use dewladder_router::interface::EngineId;
+use dewladder_router::interface::ServerId;
 use dewladder_router::{tag, Load, LoadUpdate};
 use rand_core::{RngCore as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
@@ -118,7 +118,7 @@
             owed -= 1.0;
             let server = options.servers[lots.next_u64() as usize % options.servers.len()];
             let load = Load::Sent(50_000 + lots.next_u64() % 350_000);
-            let update = LoadUpdate { server: tag(EngineId(server)), load, at: unix_us() }.to_bytes();
+            let update = LoadUpdate { server: tag(ServerId(server)), load, at: unix_us() }.to_bytes();
             let mut lost = 0;
             for real in &options.real {
                 lost += u64::from(socket.try_send_to(&update, *real).is_err());
--- a/crates/scale/src/shape.rs
+++ b/crates/scale/src/shape.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use dewladder_router::interface::{
-    CellId, Class, DedupGroup, Effect, EngineId, Entry, Health, Kind, Micros, Role, Settings, ZoneId,
+    CellId, Class, DedupGroup, Effect, Health, Kind, Micros, Role, ServerEntry, ServerId, Settings, ZoneId,
 };
 
 /// Servers of a cell, and how many of them read prompts (45%).
@@ -27,9 +27,9 @@
 
 /// A server's entry in the list; `started` is when it last started (us), `None` for long ago.
 #[must_use]
-pub fn entry(server: u32, started: Option<Micros>) -> Entry {
-    Entry {
-        engine: EngineId(server),
+pub fn entry(server: u32, started: Option<Micros>) -> ServerEntry {
+    ServerEntry {
+        server: ServerId(server),
         zone: ZoneId(zone(server)),
         cell: CellId(server / CELL),
         weight: 1.0,
@@ -42,41 +42,41 @@
 fn class(number: u32) -> Class {
     Class {
         name: format!("class {number}"),
-        give_up: 5_000_000,
+        default_timeout: 5_000_000,
         max_attempts: 5,
         retired: false,
-        aim: 610_000,
-        aim_per_1000_tokens: 40_000,
-        token_aim: 32_000,
+        latency_objective: 610_000,
+        latency_objective_per_1000_tokens: 40_000,
+        token_interval_objective: 32_000,
         effect: if number.is_multiple_of(4) { Effect::AtMostOnce } else { Effect::Idempotent },
-        group: DedupGroup::All,
+        dedup_group: DedupGroup::All,
         dedup_window: 5_000_000,
-        worth: 2.0,
+        priority_weight: 2.0,
     }
 }
 
 /// Settings of one of so many dispatchers with so many classes; servers are cold for `cold_for` (us).
 #[must_use]
-pub fn settings(dispatchers: u32, classes: u32, cold_for: Micros) -> Settings {
+pub fn settings(dispatchers: u32, classes: u32, slow_start_window: Micros) -> Settings {
     let kind = |role| Kind { role, memory_tokens: 2_000_000 };
     Settings {
-        balancers: dispatchers,
+        dispatcher_count: dispatchers,
         zone: ZoneId(0),
         classes: (0..classes).map(|number| (number, class(number))).collect::<BTreeMap<_, _>>(),
         kinds: vec![kind(Role::Reader), kind(Role::Writer)],
         must_subscribe: false,
-        must_ask_in: 10_000_000,
+        max_list_age: 10_000_000,
         may_cancel: true,
         peers: true,
-        peer_price: 0.0025,
-        writers_read: false,
+        gossip_price: 0.0025,
+        writers_can_read: false,
         max_retry_after: 1_000_000,
-        release_within: 500_000,
+        max_hold_time: 500_000,
         resolution: 2_000,
-        cold_from: 0.26,
-        cold_for,
+        slow_start_min_share: 0.26,
+        slow_start_window,
         memory_field: Some(0),
-        fall_multiple: 2.5,
-        fall_window: 1_000_000,
+        overload_multiple: 2.5,
+        overload_window: 1_000_000,
     }
 }
--- a/src/edge/clients/chat.rs
+++ b/src/edge/clients/chat.rs
@@ -34,10 +34,10 @@
 use crate::edge::clients::repeats::{Begun, Judged, Repeats};
 use crate::edge::clock::Clock;
 use crate::edge::cluster::quorum::Quorum;
-use crate::edge::driver::{Reply, Sender};
+use crate::edge::driver::{DriverHandle, Reply};
 use crate::edge::servers::{header, Payload};
 use crate::edge::settings::{ChatSettings, Config};
-use crate::interface::{Call, Class, Effect, Key, Micros, RequestId};
+use crate::interface::{Class, Effect, Key, Micros, RequestId, RequestInfo};
 use dewladder_replica::RecordId;
 
 /// What servers are asked, whichever way the client asked.
@@ -73,7 +73,7 @@
 
 struct Front {
     clock: Clock,
-    driver: Sender,
+    driver: DriverHandle,
     /// The models in the order of the file, and the names of their classes.
     models: BTreeMap<String, String>,
     /// By bearer token; empty where none is asked for.
@@ -128,7 +128,7 @@
     chat: &ChatSettings,
     config: &Config,
     clock: Clock,
-    driver: Sender,
+    driver: DriverHandle,
     quorum: Option<Quorum>,
 ) -> Result<Router, String> {
     check(chat, config)?;
@@ -352,11 +352,11 @@
             match reply.await {
                 Reply::Stream(relay) => sources.push(Source::Relay(Box::new(relay), permit)),
                 // The other choices, open or streaming, go with this.
-                Reply::Refused { retry_in } => return Err(Problem::refused(retry_in)),
+                Reply::Rejected { retry_in } => return Err(Problem::refused(retry_in)),
                 Reply::Failed { may_have_run } => {
                     return Err(Problem::failed(asked.model.once && may_have_run))
                 }
-                Reply::Taken => {
+                Reply::DuplicateId => {
                     return Err(Problem::new(StatusCode::CONFLICT, "conflict", "the id is taken"))
                 }
             }
@@ -507,8 +507,8 @@
             Payload { txn, target: TARGET.to_owned(), key: None, body: Bytes::from(body.to_string()) };
         match self.driver.ask(call, Arc::new(payload)).await {
             Reply::Stream(relay) => Ok(Source::Relay(Box::new(relay), permit)),
-            Reply::Refused { retry_in } => Err(Some(retry_in)),
-            Reply::Failed { .. } | Reply::Taken => Err(None),
+            Reply::Rejected { retry_in } => Err(Some(retry_in)),
+            Reply::Failed { .. } | Reply::DuplicateId => Err(None),
         }
     }
 
@@ -527,7 +527,7 @@
     }
 
     /// The call and what is sent on for one part, under an id of its own.
-    fn part(&self, asked: &Asked<'_>, part: usize) -> (Call, Arc<Payload>) {
+    fn part(&self, asked: &Asked<'_>, part: usize) -> (RequestInfo, Arc<Payload>) {
         let id = self.ids.mint();
         let prompt = asked.request.prompt_of(part);
         let call = self.call(id, asked, prompt);
@@ -550,7 +550,7 @@
 
     /// The call that the messages make: lengths at four characters a token, the first message as the opening
     /// that it may share with other conversations, and the conversation by what it began with.
-    fn call(&self, id: RequestId, asked: &Asked<'_>, prompt: &[Message]) -> Call {
+    fn call(&self, id: RequestId, asked: &Asked<'_>, prompt: &[Message]) -> RequestInfo {
         let Asked { request, model, tenant, now } = *asked;
         let class = model.class;
         let tokens = |text: &str| (text.chars().count() as u64).div_ceil(CHARACTERS_A_TOKEN);
@@ -563,8 +563,8 @@
             prompt.iter().find(|message| !opens(&message.role)).map_or("", |message| message.text.as_str());
         let begins = opening.unwrap_or("");
         // The deadline grows twice as fast with the prompt as the aim does.
-        let longer = 2 * model.rules.aim_per_1000_tokens * prompt_tokens / 1_000;
-        Call {
+        let longer = 2 * model.rules.latency_objective_per_1000_tokens * prompt_tokens / 1_000;
+        RequestInfo {
             id,
             class,
             session: Some(key(&[&tenant.name, &request.model, begins, first])),
@@ -573,7 +573,7 @@
             prompt_tokens,
             max_tokens: request.max_tokens.unwrap_or(self.max_tokens).min(self.max_tokens),
             hint: None,
-            not_after: now + model.rules.give_up + longer,
+            not_after: now + model.rules.default_timeout + longer,
         }
     }
 }
--- a/src/edge/clients/platform.rs
+++ b/src/edge/clients/platform.rs
@@ -17,10 +17,10 @@
 
 use crate::edge::clients::listener::{short, Waited, WholeBy};
 use crate::edge::clock::{micros, Clock};
-use crate::edge::driver::{Reply, Sender};
+use crate::edge::driver::{DriverHandle, Reply};
 use crate::edge::servers::{header, Payload, IDEMPOTENCY_KEY};
 use crate::edge::stats::{End, Figures};
-use crate::interface::{Call, Class, Key, Micros, RequestId};
+use crate::interface::{Class, Key, Micros, RequestId, RequestInfo};
 
 /// A body holds this many bytes at most.
 pub const MOST_BODY: usize = 256 << 10;
@@ -35,12 +35,12 @@
 #[derive(Clone)]
 struct Front {
     clock: Clock,
-    driver: Sender,
+    driver: DriverHandle,
     figures: Figures,
 }
 
 /// The front's routes.
-pub fn front(clock: Clock, driver: Sender, figures: Figures) -> Router {
+pub fn front(clock: Clock, driver: DriverHandle, figures: Figures) -> Router {
     let state = Front { clock, driver, figures };
     Router::new().route("/v1/chat/completions", post(complete)).with_state(state)
 }
@@ -76,7 +76,7 @@
             response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
             response
         }
-        Reply::Refused { retry_in } => {
+        Reply::Rejected { retry_in } => {
             let mut response = short(StatusCode::SERVICE_UNAVAILABLE, "refused");
             let seconds = format!("{:.3}", Duration::from_micros(retry_in).as_secs_f64());
             if let Ok(value) = HeaderValue::from_str(&seconds) {
@@ -85,7 +85,7 @@
             response
         }
         Reply::Failed { .. } => short(StatusCode::BAD_GATEWAY, "failed"),
-        Reply::Taken => {
+        Reply::DuplicateId => {
             failed();
             short(StatusCode::CONFLICT, "a request with this X-Txn is open")
         }
@@ -138,7 +138,7 @@
         let lane = header(headers, "x-lane").ok_or("X-Lane is missing")?;
         let (class, rules) = class(lane).ok_or("X-Lane is not known")?;
         let waits = match header(headers, "x-remaining") {
-            None => rules.give_up,
+            None => rules.default_timeout,
             Some(text) => {
                 let seconds = text.parse::<f64>().ok().filter(|at| (0.0..=MOST_REMAINING).contains(at));
                 micros(Duration::from_secs_f64(seconds.ok_or("X-Remaining is no time")?))
@@ -171,8 +171,8 @@
         Ok(asked)
     }
 
-    fn call(&self, body_bytes: usize, now: Micros, waited: Micros) -> Call {
-        Call {
+    fn call(&self, body_bytes: usize, now: Micros, waited: Micros) -> RequestInfo {
+        RequestInfo {
             id: request_id(&self.txn),
             class: self.class,
             session: self.session,
--- a/src/edge/clients/repeats.rs
+++ b/src/edge/clients/repeats.rs
@@ -25,9 +25,9 @@
 
 use crate::edge::clock::Clock;
 use crate::edge::cluster::quorum::{Grant, Quorum};
-use crate::edge::driver::{Reply, Sender};
+use crate::edge::driver::{DriverHandle, Reply};
 use crate::edge::servers::{header, Cut, Payload, Relay};
-use crate::interface::{Call, Micros, RequestId};
+use crate::interface::{Micros, RequestId, RequestInfo};
 
 const KEY: &str = "idempotency-key";
 const MOST_KEY: usize = 255;
@@ -142,8 +142,8 @@
     pub fn run(
         self: &Arc<Self>,
         reader: &Reader,
-        driver: &Sender,
-        (call, payload): (Call, Arc<Payload>),
+        driver: &DriverHandle,
+        (call, payload): (RequestInfo, Arc<Payload>),
         shared: Option<(Quorum, RecordId)>,
         held: impl Send + 'static,
     ) {
@@ -208,9 +208,9 @@
         };
         match reply {
             None => Outcome::Canceled { may_have_executed: over.await.unwrap_or(true) },
-            Some(Reply::Refused { retry_in }) => Outcome::Refused { retry_after_us: retry_in },
+            Some(Reply::Rejected { retry_in }) => Outcome::Refused { retry_after_us: retry_in },
             Some(Reply::Failed { may_have_run }) => Outcome::Failed { may_have_executed: may_have_run },
-            Some(Reply::Taken) => Outcome::Failed { may_have_executed: false },
+            Some(Reply::DuplicateId) => Outcome::Failed { may_have_executed: false },
             Some(Reply::Stream(relay)) => {
                 self.tell(|ledger, now| ledger.stream_started(now, id));
                 tokio::select! {
--- a/src/edge/connections.rs
+++ b/src/edge/connections.rs
@@ -59,7 +59,7 @@
 /// machine answers; and half of the time that a state may be held, as it is sent on until that time is over and the protocol
 /// page adds 300 ms.
 fn acknowledged_in(config: &Config) -> Duration {
-    let release = Duration::from_micros(config.settings.release_within);
+    let release = Duration::from_micros(config.settings.max_hold_time);
     config.connect_timeout.min(release / 2).max(LEAST_ACKNOWLEDGEMENT)
 }
 
@@ -80,7 +80,7 @@
         .retry_canceled_requests(false)
         .pool_timer(TokioTimer::new())
         .timer(TokioTimer::new())
-        .pool_idle_timeout(kept_idle(config.keepalive, config.settings.balancers))
+        .pool_idle_timeout(kept_idle(config.keepalive, config.settings.dispatcher_count))
         .pool_max_idle_per_host(most_idle)
         // Bounds a head that does not end.
         .http1_max_buf_size(MOST_HEAD)
@@ -150,7 +150,7 @@
 struct Shared<B> {
     /// By the servers' addresses; only those that have some.
     idle: Mutex<HashMap<String, Vec<Idle<B>>>>,
-    /// Stream as a connection comes free.
+    /// Notified as a connection comes free.
     freed: Notify,
     next: AtomicU64,
     kept: Duration,
@@ -191,7 +191,7 @@
             idle: Mutex::default(),
             freed: Notify::new(),
             next: AtomicU64::new(0),
-            kept: kept_idle(config.keepalive, config.settings.balancers),
+            kept: kept_idle(config.keepalive, config.settings.dispatcher_count),
             acknowledged_in: acknowledged_in(config),
             most_idle: config.most_idle(),
             written: Arc::new(written),
--- a/src/edge/core.rs
+++ b/src/edge/core.rs
@@ -8,8 +8,8 @@
 use crate::edge::guard::{Guard, Rule, SendCheck};
 use crate::edge::transitions::{AttemptLabel, Transitions};
 use crate::interface::{
-    self as class, Action, Call, Class, Ended, EngineId, Entry, Event, Health, ListKind, Micros, Outcome,
-    Report, RequestId, Role, Settings, TimerToken,
+    self as class, Action, AttemptFinished, Class, Event, Health, ListUpdateKind, Micros, Outcome, Report,
+    RequestId, RequestInfo, Role, ServerEntry, ServerId, Settings, TimerToken,
 };
 use crate::Router;
 use dewladder_router::{Classes, EndReason, GossipCounts, Handover, StartTimes};
@@ -26,32 +26,32 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// News of the list of servers.
-    Listed {
+    EndpointsUpdated {
         /// How to read the entries.
-        how: ListKind,
+        how: ListUpdateKind,
         /// The entries.
-        entries: Vec<Entry>,
+        entries: Vec<ServerEntry>,
     },
     /// A client asks.
-    Arrived(Call),
+    RequestArrived(RequestInfo),
     /// The first event of an attempt's stream is here; it waits to be passed on.
-    Began {
+    StreamStarted {
         /// The request.
         id: RequestId,
         /// Which attempt.
         attempt: u32,
     },
     /// An attempt has ended by itself.
-    Finished {
+    AttemptFinished {
         /// The request.
         id: RequestId,
         /// Which attempt.
         attempt: u32,
         /// How it ended.
-        ending: Ending,
+        ending: AttemptResult,
     },
     /// An attempt has been stopped as asked for.
-    Stopped {
+    AttemptStopped {
         /// The request.
         id: RequestId,
         /// Which attempt.
@@ -60,15 +60,15 @@
         written: bool,
     },
     /// The client has left.
-    ClientGone(RequestId),
+    ClientDisconnected(RequestId),
     /// A message of another dispatcher.
-    Heard(Vec<u8>),
+    GossipReceived(Vec<u8>),
     /// Settings that hold from now on; their classes are numbered by place, as they were read.
-    Retuned(Box<Settings>),
+    SettingsReloaded(Box<Settings>),
     /// What the process whose place this one takes has learnt.
-    TakenOver(Box<Handover>),
+    StateImported(Box<Handover>),
     /// This process is a part of its dispatcher from now on, and holds so many requests at most.
-    Part {
+    LimitShareChanged {
         /// Which part, of 1.
         part: f64,
         /// Requests that are open at once.
@@ -80,18 +80,18 @@
 
 /// How an attempt ended by itself.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ending {
+pub struct AttemptResult {
     /// The outcome.
     pub outcome: Outcome,
     /// Prompt tokens that the server found kept.
-    pub kept_tokens: u64,
+    pub cached_tokens: u64,
     /// The load report, if one came along.
     pub report: Option<Report>,
 }
 
-impl From<Outcome> for Ending {
+impl From<Outcome> for AttemptResult {
     fn from(outcome: Outcome) -> Self {
-        Self { outcome, kept_tokens: 0, report: None }
+        Self { outcome, cached_tokens: 0, report: None }
     }
 }
 
@@ -105,7 +105,7 @@
         /// Which attempt.
         attempt: u32,
         /// The server.
-        engine: EngineId,
+        server: ServerId,
         /// Whether it is to read only.
         reads: bool,
         /// When the attempt is given up.
@@ -117,14 +117,14 @@
         new_connection: bool,
     },
     /// Call an attempt off if nothing of it has been written yet; only then `Stopped` is to follow.
-    Withdraw {
+    CancelUnwritten {
         /// The request.
         id: RequestId,
         /// Which attempt.
         attempt: u32,
     },
     /// Give an attempt up; `Stopped` is to follow.
-    Stop {
+    CancelAttempt {
         /// The request.
         id: RequestId,
         /// Which attempt.
@@ -138,7 +138,7 @@
         attempt: u32,
     },
     /// Final answer: refused.
-    Refuse {
+    Reject {
         /// The request.
         id: RequestId,
         /// When the client may come again.
@@ -152,18 +152,18 @@
         may_have_run: bool,
     },
     /// Let go of all that is held for the request.
-    Release {
+    ReleaseHeldState {
         /// The request.
         id: RequestId,
         /// Servers that hold or may hold something.
-        holders: Vec<EngineId>,
+        holders: Vec<ServerId>,
         /// Once more after [`CLOSE_SEEN`]: a read that has just been given up may end until its close is seen.
         again: bool,
     },
     /// Send a message to all other dispatchers.
-    Tell(Vec<u8>),
+    PublishGossip(Vec<u8>),
     /// The request is over and nothing of it is out: it can be forgotten.
-    Forget {
+    Evict {
         /// The request.
         id: RequestId,
         /// Whether an attempt may have run.
@@ -183,8 +183,8 @@
 }
 
 #[derive(Debug)]
-struct Out {
-    engine: EngineId,
+struct InFlight {
+    server: ServerId,
     reads: bool,
     sent: Micros,
     until: Micros,
@@ -192,9 +192,9 @@
     stopping: Option<Outcome>,
 }
 
-impl Out {
+impl InFlight {
     fn label(&self, id: RequestId, attempt: u32) -> AttemptLabel {
-        AttemptLabel { id, attempt, server: self.engine }
+        AttemptLabel { id, attempt, server: self.server }
     }
 }
 
@@ -204,8 +204,8 @@
     client: Client,
     not_after: Micros,
     attempts: u32,
-    out: BTreeMap<u32, Out>,
-    held: Vec<EngineId>,
+    in_flight: BTreeMap<u32, InFlight>,
+    held: Vec<ServerId>,
     /// Since when nothing that was written is out.
     held_since: Micros,
     /// When a read was last given up or broke off, which may have ended all the same.
@@ -227,7 +227,7 @@
     classes: Classes,
     roles: Vec<Role>,
     /// Servers by the list: role, and whether it takes work.
-    servers: BTreeMap<EngineId, (Role, bool)>,
+    servers: BTreeMap<ServerId, (Role, bool)>,
     start_times: StartTimes,
     guard: Guard,
     transitions: Transitions,
@@ -235,9 +235,9 @@
     timers: BTreeSet<(Micros, Timer)>,
     most_open: usize,
     retry_in: Micros,
-    release_within: Micros,
+    max_hold_time: Micros,
     resolution: Micros,
-    writers_read: bool,
+    writers_can_read: bool,
     /// What the router is still to be told in this step.
     events: VecDeque<Event>,
     effects: Vec<Effect>,
@@ -251,9 +251,9 @@
         Self {
             roles: settings.kinds.iter().map(|kind| kind.role).collect(),
             retry_in: settings.max_retry_after,
-            release_within: settings.release_within,
+            max_hold_time: settings.max_hold_time,
             resolution: settings.resolution,
-            writers_read: settings.writers_read,
+            writers_can_read: settings.writers_can_read,
             classes: Classes::new(settings.classes.clone()),
             router: Router::new(settings, seed, now),
             servers: BTreeMap::new(),
@@ -274,19 +274,19 @@
         // The router subtracts times from one another: its clock must never go back.
         self.now = self.now.max(now);
         match input {
-            Input::Listed { how, entries } => self.listed(how, entries),
-            Input::Arrived(call) => self.arrived(call),
-            Input::Began { id, attempt } => self.began(id, attempt),
-            Input::Finished { id, attempt, ending } => self.finished(id, attempt, ending),
-            Input::Stopped { id, attempt, written } => self.stopped(id, attempt, written),
-            Input::ClientGone(id) => self.client_gone(id),
-            Input::Retuned(settings) => self.retuned(*settings),
-            Input::TakenOver(learnt) => self.events.push_back(Event::TakenOver(learnt)),
-            Input::Part { part, most_open } => {
+            Input::EndpointsUpdated { how, entries } => self.listed(how, entries),
+            Input::RequestArrived(call) => self.arrived(call),
+            Input::StreamStarted { id, attempt } => self.began(id, attempt),
+            Input::AttemptFinished { id, attempt, ending } => self.finished(id, attempt, ending),
+            Input::AttemptStopped { id, attempt, written } => self.stopped(id, attempt, written),
+            Input::ClientDisconnected(id) => self.client_gone(id),
+            Input::SettingsReloaded(settings) => self.retuned(*settings),
+            Input::StateImported(learnt) => self.events.push_back(Event::StateImported(learnt)),
+            Input::LimitShareChanged { part, most_open } => {
                 self.most_open = most_open;
-                self.events.push_back(Event::Part(part));
+                self.events.push_back(Event::LimitShareChanged(part));
             }
-            Input::Heard(bytes) => self.events.push_back(Event::Heard(bytes)),
+            Input::GossipReceived(bytes) => self.events.push_back(Event::GossipReceived(bytes)),
             Input::Tick => {}
         }
         self.consult();
@@ -294,7 +294,7 @@
             self.timers.remove(&(at, timer));
             match timer {
                 Timer::Attempt(id, attempt) => self.stop(id, attempt, Outcome::Timeout),
-                Timer::Router(token) => self.events.push_back(Event::Due(token)),
+                Timer::Router(token) => self.events.push_back(Event::TimerFired(token)),
             }
             self.consult();
         }
@@ -317,7 +317,7 @@
     #[must_use]
     pub fn serves(&self) -> bool {
         let takes_work = |wanted| self.servers.values().any(|&(role, ready)| ready && role == wanted);
-        let reads = takes_work(Role::Reader) || self.writers_read;
+        let reads = takes_work(Role::Reader) || self.writers_can_read;
         takes_work(Role::Mixed) || (reads && takes_work(Role::Writer))
     }
 
@@ -345,28 +345,29 @@
         self.router.avoided()
     }
 
-    fn listed(&mut self, how: ListKind, mut entries: Vec<Entry>) {
+    fn listed(&mut self, how: ListUpdateKind, mut entries: Vec<ServerEntry>) {
         self.start_times.localize(self.now, how, &mut entries);
         // Servers come under new ids all day: those that have gone are forgotten.
-        if matches!(how, ListKind::Whole | ListKind::StaleCopy) {
+        if matches!(how, ListUpdateKind::Full | ListUpdateKind::StaleCopy) {
             self.servers.clear();
         }
         for entry in &entries {
             if entry.health == Health::Gone {
-                self.servers.remove(&entry.engine);
+                self.servers.remove(&entry.server);
                 continue;
             }
             let role = self.roles.get(entry.kind as usize).copied().unwrap_or(Role::Mixed);
-            self.servers.insert(entry.engine, (role, entry.health == Health::Ready));
+            self.servers.insert(entry.server, (role, entry.health == Health::Ready));
         }
         // A drain that comes between the choice of a server and the first byte stops that send.
         let servers = &self.servers;
-        let takes_work = |out: &Out| servers.get(&out.engine).is_some_and(|(_, ready)| *ready);
+        let takes_work =
+            |in_flight: &InFlight| servers.get(&in_flight.server).is_some_and(|(_, ready)| *ready);
         for (&id, request) in &self.requests {
-            let to_withdraw = request.out.iter().filter(|(_, out)| !takes_work(out));
-            self.effects.extend(to_withdraw.map(|(&attempt, _)| Effect::Withdraw { id, attempt }));
+            let to_withdraw = request.in_flight.iter().filter(|(_, in_flight)| !takes_work(in_flight));
+            self.effects.extend(to_withdraw.map(|(&attempt, _)| Effect::CancelUnwritten { id, attempt }));
         }
-        self.events.push_back(Event::Roster { how, entries });
+        self.events.push_back(Event::EndpointsUpdated { how, entries });
     }
 
     /// What is learnt by now, for another process to go on from.
@@ -384,16 +385,17 @@
     fn retuned(&mut self, mut settings: Settings) {
         let requests = &self.requests;
         let in_use = |number| requests.values().any(|request| request.class == number);
-        let heirs = self.classes.retune(std::mem::take(&mut settings.classes).into_values(), in_use);
+        let class_renumbering =
+            self.classes.retune(std::mem::take(&mut settings.classes).into_values(), in_use);
         settings.classes = self.classes.known().clone();
         self.retry_in = settings.max_retry_after;
-        (self.release_within, self.resolution) = (settings.release_within, settings.resolution);
-        self.writers_read = settings.writers_read;
+        (self.max_hold_time, self.resolution) = (settings.max_hold_time, settings.resolution);
+        self.writers_can_read = settings.writers_can_read;
         self.roles = settings.kinds.iter().map(|kind| kind.role).collect();
-        self.events.push_back(Event::Retuned { settings: Box::new(settings), heirs });
+        self.events.push_back(Event::SettingsReloaded { settings: Box::new(settings), class_renumbering });
     }
 
-    fn arrived(&mut self, call: Call) {
+    fn arrived(&mut self, call: RequestInfo) {
         let (id, not_after, class) = (call.id, call.not_after, call.class);
         if self.requests.contains_key(&id) {
             return;
@@ -403,8 +405,8 @@
         if too_many || !self.classes.knows(class) {
             let reason = if too_many { EndReason::TooManyOpen } else { EndReason::ClassGone };
             self.transitions.answered(id, reason);
-            self.effects.push(Effect::Refuse { id, retry_in: self.retry_in });
-            self.effects.push(Effect::Forget { id, may_have_run: false });
+            self.effects.push(Effect::Reject { id, retry_in: self.retry_in });
+            self.effects.push(Effect::Evict { id, may_have_run: false });
             return;
         }
         let request = Request {
@@ -412,55 +414,58 @@
             client: Client::Waiting,
             not_after,
             attempts: 0,
-            out: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             held: Vec::new(),
             held_since: self.now,
             read_unsure: None,
             ran: None,
         };
         self.requests.insert(id, request);
-        self.events.push_back(Event::Call(call));
+        self.events.push_back(Event::RequestArrived(call));
     }
 
     fn began(&mut self, id: RequestId, number: u32) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let Some(out) = request.out.get(&number).filter(|out| out.stopping.is_none()) else { return };
+        let Some(in_flight) = request.in_flight.get(&number).filter(|in_flight| in_flight.stopping.is_none())
+        else {
+            return;
+        };
         if request.client != Client::Waiting {
             return self.stop(id, number, Outcome::Cancelled);
         }
         let runs_once = |class: &Class| class.effect == class::Effect::AtMostOnce;
-        let ran_before = request.ran.is_some_and(|ran| ran != out.sent);
+        let ran_before = request.ran.is_some_and(|ran| ran != in_flight.sent);
         if ran_before && self.classes.known().get(&request.class).is_some_and(runs_once) {
             self.guard.finds_broken(Rule::SecondRun, id, request);
         }
         request.client = Client::Streaming(number);
-        request.ran.get_or_insert(out.sent);
+        request.ran.get_or_insert(in_flight.sent);
         request.held.clear(); // with the first token all that is held goes by itself
-        self.timers.remove(&(out.until, Timer::Attempt(id, number)));
-        Transitions::begins(out.label(id, number), self.now - out.sent);
+        self.timers.remove(&(in_flight.until, Timer::Attempt(id, number)));
+        Transitions::begins(in_flight.label(id, number), self.now - in_flight.sent);
         self.effects.push(Effect::Relay { id, attempt: number });
-        self.events.push_back(Event::Begun { id, attempt: number, taken: self.now - out.sent });
+        self.events.push_back(Event::FirstToken { id, attempt: number, taken: self.now - in_flight.sent });
     }
 
-    fn finished(&mut self, id: RequestId, number: u32, ending: Ending) {
+    fn finished(&mut self, id: RequestId, number: u32, ending: AttemptResult) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let Some(out) = request.out.remove(&number) else { return };
-        self.timers.remove(&(out.until, Timer::Attempt(id, number)));
-        let Ending { outcome, kept_tokens, report } = ending;
-        self.transitions.ended(out.label(id, number), outcome, self.now - out.sent);
+        let Some(in_flight) = request.in_flight.remove(&number) else { return };
+        self.timers.remove(&(in_flight.until, Timer::Attempt(id, number)));
+        let AttemptResult { outcome, cached_tokens, report } = ending;
+        self.transitions.ended(in_flight.label(id, number), outcome, self.now - in_flight.sent);
         // A read that was cut short may have ended well all the same: what it left counts as held.
-        if out.reads && (outcome == Outcome::Read || outcome.may_have_run()) {
-            request.held.push(out.engine);
+        if in_flight.reads && (outcome == Outcome::Read || outcome.may_have_run()) {
+            request.held.push(in_flight.server);
             request.read_unsure = (outcome != Outcome::Read).then_some(self.now).or(request.read_unsure);
         }
-        if !out.reads && outcome.may_have_run() {
-            request.ran.get_or_insert(out.sent);
+        if !in_flight.reads && outcome.may_have_run() {
+            request.ran.get_or_insert(in_flight.sent);
         }
         // While requests don't reach servers, the time that something may be held goes on running.
-        let late = self.now >= request.held_since + self.release_within;
-        if !matches!(outcome, Outcome::ConnectFailed | Outcome::Moot | Outcome::Unacknowledged) {
+        let late = self.now >= request.held_since + self.max_hold_time;
+        if !matches!(outcome, Outcome::ConnectFailed | Outcome::NotSent | Outcome::Unacknowledged) {
             request.held_since = self.now;
-        } else if late && request.out.is_empty() {
+        } else if late && request.in_flight.is_empty() {
             self.let_go(id);
         }
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -468,13 +473,13 @@
             request.client = Client::Done;
         }
         let last = request.client == Client::Done;
-        self.events.push_back(Event::Ended(Ended {
+        self.events.push_back(Event::AttemptFinished(AttemptFinished {
             id,
             attempt: number,
-            engine: out.engine,
-            taken: self.now - out.sent,
+            server: in_flight.server,
+            taken: self.now - in_flight.sent,
             outcome,
-            kept_tokens,
+            cached_tokens,
             last,
             report,
         }));
@@ -482,11 +487,14 @@
 
     /// A stop that came before the last byte was written proves that the attempt never ran.
     fn stopped(&mut self, id: RequestId, number: u32, written: bool) {
-        let Some(out) = self.requests.get(&id).and_then(|request| request.out.get(&number)) else { return };
-        let outcome = match out.stopping {
+        let Some(in_flight) = self.requests.get(&id).and_then(|request| request.in_flight.get(&number))
+        else {
+            return;
+        };
+        let outcome = match in_flight.stopping {
             Some(outcome) if written => outcome,
             Some(Outcome::Timeout) => Outcome::ConnectFailed,
-            _ if !written => Outcome::Moot,
+            _ if !written => Outcome::NotSent,
             _ => return,
         };
         self.finished(id, number, outcome.into());
@@ -496,14 +504,14 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         // Whatever is still on its way to a server must not begin for a client that has gone.
         if request.client == Client::Waiting {
-            let numbers = request.out.keys();
-            self.effects.extend(numbers.map(|&attempt| Effect::Withdraw { id, attempt }));
+            let numbers = request.in_flight.keys();
+            self.effects.extend(numbers.map(|&attempt| Effect::CancelUnwritten { id, attempt }));
         }
         match std::mem::replace(&mut request.client, Client::Done) {
             Client::Done => {}
-            Client::Waiting => self.events.push_back(Event::Hangup(id)),
+            Client::Waiting => self.events.push_back(Event::ClientDisconnected(id)),
             Client::Streaming(number) => {
-                self.events.push_back(Event::Hangup(id));
+                self.events.push_back(Event::ClientDisconnected(id));
                 self.finished(id, number, Outcome::Cancelled.into());
             }
         }
@@ -514,10 +522,14 @@
         if request.client == Client::Streaming(number) {
             return; // the attempt belongs to the client
         }
-        let Some(out) = request.out.get_mut(&number).filter(|out| out.stopping.is_none()) else { return };
-        out.stopping = Some(outcome);
-        Transitions::stops(out.label(id, number), outcome);
-        self.effects.push(Effect::Stop { id, attempt: number });
+        let Some(in_flight) =
+            request.in_flight.get_mut(&number).filter(|in_flight| in_flight.stopping.is_none())
+        else {
+            return;
+        };
+        in_flight.stopping = Some(outcome);
+        Transitions::stops(in_flight.label(id, number), outcome);
+        self.effects.push(Effect::CancelAttempt { id, attempt: number });
     }
 
     /// Tells the router what it has to know, carries out what it wants, and tidies up after it.
@@ -525,7 +537,8 @@
         let mut actions = Vec::new();
         let mut touched = Vec::new();
         while let Some(event) = self.events.pop_front() {
-            if let Event::Ended(Ended { id, .. }) | Event::Hangup(id) = event {
+            if let Event::AttemptFinished(AttemptFinished { id, .. }) | Event::ClientDisconnected(id) = event
+            {
                 touched.push(id);
             }
             self.router.handle(self.now, event, &mut actions);
@@ -533,7 +546,7 @@
                 self.transitions.answered(id, reason);
             }
             for action in actions.drain(..) {
-                if let Action::Refuse { id, .. } | Action::GiveUp(id) = action {
+                if let Action::Reject { id, .. } | Action::Fail(id) = action {
                     touched.push(id);
                 }
                 self.act(action);
@@ -546,26 +559,26 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Assign { id, engine, patience } => self.assign(id, engine, patience),
-            Action::Refuse { id, retry_in } => {
+            Action::Assign { id, server, attempt_timeout } => self.assign(id, server, attempt_timeout),
+            Action::Reject { id, retry_in } => {
                 if self.answered(id) {
-                    self.effects.push(Effect::Refuse { id, retry_in });
+                    self.effects.push(Effect::Reject { id, retry_in });
                 }
             }
-            Action::GiveUp(id) => {
+            Action::Fail(id) => {
                 if self.answered(id) {
                     let may_have_run = self.requests.get(&id).is_some_and(|request| request.ran.is_some());
                     self.effects.push(Effect::Fail { id, may_have_run });
                 }
             }
-            Action::Revoke { id, attempt } => self.stop(id, attempt, Outcome::Cancelled),
-            Action::LetGo(id) => self.let_go(id),
-            Action::Defer { delay, token } => {
+            Action::CancelAttempt { id, attempt } => self.stop(id, attempt, Outcome::Cancelled),
+            Action::ReleaseHeldState(id) => self.let_go(id),
+            Action::StartTimer { delay, token } => {
                 self.timers.insert((self.now + delay.max(1), Timer::Router(token)));
             }
             // The list is watched all the time: there is nothing to ask for.
             Action::Subscribe => {}
-            Action::Tell(bytes) => self.effects.push(Effect::Tell(bytes)),
+            Action::PublishGossip(bytes) => self.effects.push(Effect::PublishGossip(bytes)),
         }
     }
 
@@ -580,13 +593,13 @@
         true
     }
 
-    fn assign(&mut self, id: RequestId, engine: EngineId, patience: Micros) {
+    fn assign(&mut self, id: RequestId, server: ServerId, attempt_timeout: Micros) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let attempt = request.attempts;
         request.attempts += 1;
-        let reads = self.servers.get(&engine).is_some_and(|&(role, _)| role == Role::Reader);
-        let (sent, until) = (self.now, request.not_after.min(self.now + patience));
-        let taken_by = (!request.held.is_empty()).then_some(request.held_since + self.release_within);
+        let reads = self.servers.get(&server).is_some_and(|&(role, _)| role == Role::Reader);
+        let (sent, until) = (self.now, request.not_after.min(self.now + attempt_timeout));
+        let taken_by = (!request.held.is_empty()).then_some(request.held_since + self.max_hold_time);
         let class = self.classes.known().get(&request.class);
         let first = request.ran.filter(|_| !reads);
         let runs_again_by = first.zip(class).map(|(first, class)| match class.effect {
@@ -597,47 +610,48 @@
         let check = SendCheck {
             now: self.now,
             waits: request.client == Client::Waiting,
-            takes_work: self.servers.get(&engine).is_none_or(|&(_, ready)| ready),
+            takes_work: self.servers.get(&server).is_none_or(|&(_, ready)| ready),
             until,
             taken_by,
             runs_again_by,
         };
         let begin_by = [taken_by, runs_again_by].into_iter().flatten().fold(until, Micros::min);
         if !self.guard.lets_send(id, &check) {
-            let (outcome, kept_tokens, report) = (Outcome::Moot, 0, None);
+            let (outcome, cached_tokens, report) = (Outcome::NotSent, 0, None);
             let last = request.client != Client::Waiting;
-            let ended = Ended { id, attempt, engine, taken: 0, outcome, kept_tokens, last, report };
-            return self.events.push_back(Event::Ended(ended));
+            let ended =
+                AttemptFinished { id, attempt, server, taken: 0, outcome, cached_tokens, last, report };
+            return self.events.push_back(Event::AttemptFinished(ended));
         }
-        let out = Out { engine, reads, sent, until, stopping: None };
-        Transitions::sends(out.label(id, attempt), reads, until - sent);
-        request.out.insert(attempt, out);
+        let in_flight = InFlight { server, reads, sent, until, stopping: None };
+        Transitions::sends(in_flight.label(id, attempt), reads, until - sent);
+        request.in_flight.insert(attempt, in_flight);
         self.timers.insert((until, Timer::Attempt(id, attempt)));
         let new_connection = taken_by.is_some();
-        self.effects.push(Effect::Send { id, attempt, engine, reads, until, begin_by, new_connection });
+        self.effects.push(Effect::Send { id, attempt, server, reads, until, begin_by, new_connection });
     }
 
     fn let_go(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let held_by = request.held_since + self.release_within + HELD_MORE;
-        if !request.held.is_empty() && request.out.is_empty() && self.now > held_by {
+        let held_by = request.held_since + self.max_hold_time + HELD_MORE;
+        if !request.held.is_empty() && request.in_flight.is_empty() && self.now > held_by {
             self.guard.finds_broken(Rule::HeldTooLong, id, request);
         }
         let holders = std::mem::take(&mut request.held);
         if !holders.is_empty() {
             Transitions::releases(id, holders.len(), self.now.saturating_sub(request.held_since));
             let again = request.read_unsure.take().is_some_and(|at| self.now < at + CLOSE_SEEN);
-            self.effects.push(Effect::Release { id, holders, again });
+            self.effects.push(Effect::ReleaseHeldState { id, holders, again });
         }
     }
 
     /// Forgets a request that is over once nothing of it is out, and lets go of what may still be held.
     fn tidy(&mut self, id: RequestId) {
-        let over = |request: &&Request| request.client == Client::Done && request.out.is_empty();
+        let over = |request: &&Request| request.client == Client::Done && request.in_flight.is_empty();
         if self.requests.get(&id).filter(over).is_some() {
             self.let_go(id);
             let may_have_run = self.requests.remove(&id).is_some_and(|request| request.ran.is_some());
-            self.effects.push(Effect::Forget { id, may_have_run });
+            self.effects.push(Effect::Evict { id, may_have_run });
         }
     }
 }
@@ -659,20 +673,23 @@
             client: Client::Waiting,
             not_after: 9_000,
             attempts: 0,
-            out: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             held: Vec::new(),
             held_since: 0,
             read_unsure: None,
             ran: None,
         };
         core.requests.insert(id, request);
-        core.act(Action::Refuse { id, retry_in: 5 });
-        core.act(Action::GiveUp(id));
-        core.act(Action::Refuse { id, retry_in: 6 });
-        core.act(Action::Assign { id, engine: EngineId(3), patience: 100 });
-        assert_eq!(core.effects, [Effect::Refuse { id, retry_in: 5 }]);
+        core.act(Action::Reject { id, retry_in: 5 });
+        core.act(Action::Fail(id));
+        core.act(Action::Reject { id, retry_in: 6 });
+        core.act(Action::Assign { id, server: ServerId(3), attempt_timeout: 100 });
+        assert_eq!(core.effects, [Effect::Reject { id, retry_in: 5 }]);
         let told = core.events.pop_front();
-        assert!(matches!(told, Some(Event::Ended(Ended { outcome: Outcome::Moot, last: true, .. }))));
+        assert!(matches!(
+            told,
+            Some(Event::AttemptFinished(AttemptFinished { outcome: Outcome::NotSent, last: true, .. }))
+        ));
     }
 
     /// New servers come under new ids all day.
@@ -680,8 +697,8 @@
     fn servers_that_have_gone_are_forgotten() {
         let pairs = [("lanes.count", "1")].into_iter().collect();
         let mut core = Core::new(from_pairs(pairs).expect("settings"), 1, 1_000, 8);
-        let entry = |engine, health| Entry {
-            engine: EngineId(engine),
+        let entry = |server, health| ServerEntry {
+            server: ServerId(server),
             zone: ZoneId(0),
             cell: CellId(0),
             weight: 1.0,
@@ -691,11 +708,11 @@
         };
         for day in 0..100 {
             let entries = vec![entry(day + 1, Health::Ready), entry(day, Health::Gone)];
-            core.step(2_000, Input::Listed { how: ListKind::Patch, entries });
+            core.step(2_000, Input::EndpointsUpdated { how: ListUpdateKind::Patch, entries });
         }
         assert_eq!(core.servers.len(), 1);
         let entries = vec![entry(7, Health::Ready), entry(8, Health::Terminating)];
-        core.step(3_000, Input::Listed { how: ListKind::Whole, entries });
+        core.step(3_000, Input::EndpointsUpdated { how: ListUpdateKind::Full, entries });
         assert_eq!(core.servers.len(), 2);
     }
 }
--- a/src/edge/dispatcher.rs
+++ b/src/edge/dispatcher.rs
@@ -15,14 +15,14 @@
 use crate::edge::clients::{chat, platform};
 use crate::edge::clock::Clock;
 use crate::edge::cluster::Cluster;
-use crate::edge::driver::{Driver, Message, Sender};
+use crate::edge::driver::{Driver, DriverHandle, Message};
 use crate::edge::kin::{Companion, Seen};
 use crate::edge::peers::Peers;
 use crate::edge::settings::{Config, ConfigError, Fronts, Retuned};
 use crate::edge::stats::Figures;
 use crate::edge::transient::{self, is_transient, outlast};
 use crate::edge::{list, listing};
-use crate::interface::ListKind;
+use crate::interface::ListUpdateKind;
 use dewladder_hot_restart::{replaced, Stage};
 
 /// After SIGTERM new connections go on coming for up to 0.4 s; only then are idle ones closed.
@@ -36,7 +36,7 @@
 /// Takes over new settings while the dispatcher runs.
 pub struct Retuning {
     config: Config,
-    to: Sender,
+    to: DriverHandle,
     figures: Figures,
     discovery: watch::Sender<SocketAddr>,
 }
@@ -75,7 +75,7 @@
                     );
                 }
                 self.config.take(&retuned);
-                self.to.send(Message::Retuned(Box::new(retuned.settings)));
+                self.to.send(Message::SettingsReloaded(Box::new(retuned.settings)));
                 self.discovery.send_replace(discovery);
                 self.figures.record().reloads += 1;
             }
@@ -91,7 +91,7 @@
 pub struct Dispatcher {
     config: Config,
     driver: Driver,
-    to_driver: Sender,
+    to_driver: DriverHandle,
     figures: Figures,
     phase: watch::Sender<Phase>,
     /// Addresses, their listeners, what is served there; listeners come later where another process still serves.
@@ -227,7 +227,7 @@
         if let Some(admin) = &admin {
             info!("second address: {}", admin.address());
         }
-        to_driver.send(Message::Listed { how: ListKind::StaleCopy, entries: known.clone() });
+        to_driver.send(Message::EndpointsUpdated { how: ListUpdateKind::StaleCopy, entries: known.clone() });
         let hearing = peers.map(|peers| tokio::spawn(peers.hear(to_driver.clone())));
         let mut driver = tokio::spawn(driver.run());
         let mut watching = tokio::spawn(list::watch(config.clone(), discovery, to_driver.clone()));
--- a/src/edge/driver.rs
+++ b/src/edge/driver.rs
@@ -12,13 +12,13 @@
 use tokio::time::{sleep, timeout_at};
 
 use crate::edge::clock::Clock;
-use crate::edge::core::{Core, Effect, Ending, Input, CLOSE_SEEN};
+use crate::edge::core::{AttemptResult, Core, Effect, Input, CLOSE_SEEN};
 use crate::edge::peers::Peers;
 use crate::edge::servers::{self, Opened, Payload, Progress, Relay, Servers, StreamEnd};
 use crate::edge::settings::Config;
 use crate::edge::stats::{Counts, End, Figures};
 use crate::interface::{
-    Call, Class, EngineId, Entry, Health, ListKind, Micros, Outcome, RequestId, Settings,
+    Class, Health, ListUpdateKind, Micros, Outcome, RequestId, RequestInfo, ServerEntry, ServerId, Settings,
 };
 use dewladder_router::{mix, GossipCounts, Handover};
 
@@ -33,9 +33,9 @@
 #[derive(Debug)]
 pub enum Message {
     /// A client asks.
-    Asked {
+    RequestArrived {
         /// What it asks.
-        call: Call,
+        call: RequestInfo,
         /// What is sent on for it.
         payload: Arc<Payload>,
         /// Where its answer goes.
@@ -44,14 +44,14 @@
         over: oneshot::Sender<bool>,
     },
     /// News of the list: entries with their addresses.
-    Listed {
+    EndpointsUpdated {
         /// How to read the entries.
-        how: ListKind,
+        how: ListUpdateKind,
         /// The entries.
-        entries: Vec<(Entry, String)>,
+        entries: Vec<(ServerEntry, String)>,
     },
     /// An attempt's stream has begun.
-    Opened {
+    StreamOpened {
         /// The request.
         id: RequestId,
         /// Which attempt.
@@ -60,22 +60,22 @@
         opened: Box<Opened>,
     },
     /// A client has left before its reply.
-    Left(RequestId),
+    ClientDisconnected(RequestId),
     /// Settings that hold from now on.
-    Retuned(Box<Settings>),
+    SettingsReloaded(Box<Settings>),
     /// Asks for what is learnt by now.
-    Learnt(oneshot::Sender<Box<Handover>>),
+    ExportState(oneshot::Sender<Box<Handover>>),
     /// What the process whose place this one takes has learnt.
-    TakenOver(Box<Handover>),
+    StateImported(Box<Handover>),
     /// This process is a part of its dispatcher from now on, and holds so many requests at most.
-    Part {
+    LimitShareChanged {
         /// Which part, of 1.
         part: f64,
         /// Requests that are open at once.
         most_open: usize,
     },
     /// Something that the reducer takes as it is.
-    Told(Input),
+    Input(Input),
 }
 
 /// What a client gets.
@@ -84,7 +84,7 @@
     /// A server's stream.
     Stream(Relay),
     /// Refused: trying again is harmless.
-    Refused {
+    Rejected {
         /// After this.
         retry_in: Micros,
     },
@@ -94,17 +94,17 @@
         may_have_run: bool,
     },
     /// Another request with this id is open: nothing was done, and that one goes on.
-    Taken,
+    DuplicateId,
 }
 
 /// Where the driver is told things.
 #[derive(Clone, Debug)]
-pub struct Sender {
+pub struct DriverHandle {
     to: mpsc::UnboundedSender<Message>,
     settings: watch::Receiver<Arc<Settings>>,
 }
 
-impl Sender {
+impl DriverHandle {
     /// The settings that hold now: their classes are those that new requests may have.
     #[must_use]
     pub fn settings(&self) -> Arc<Settings> {
@@ -125,7 +125,7 @@
     }
 
     /// Hands a request in and waits for its reply. Dropping the future tells that the client has left.
-    pub async fn ask(&self, call: Call, payload: Arc<Payload>) -> Reply {
+    pub async fn ask(&self, call: RequestInfo, payload: Arc<Payload>) -> Reply {
         self.begin(call, payload).0.await
     }
 
@@ -133,13 +133,13 @@
     /// once nothing of it is out any more, also where the client has left before.
     pub fn begin(
         &self,
-        call: Call,
+        call: RequestInfo,
         payload: Arc<Payload>,
     ) -> (impl Future<Output = Reply> + use<>, oneshot::Receiver<bool>) {
         let (reply, answer) = oneshot::channel();
         let (over, told) = oneshot::channel();
         let leaving = Leaving(Some((self.clone(), call.id)));
-        self.send(Message::Asked { call, payload, reply, over });
+        self.send(Message::RequestArrived { call, payload, reply, over });
         let reply = async move {
             let answer = answer.await;
             leaving.stays();
@@ -149,19 +149,19 @@
     }
 }
 
-impl StreamEnd for Sender {
-    fn finished(&self, id: RequestId, attempt: u32, ending: Ending) {
-        self.send(Message::Told(Input::Finished { id, attempt, ending }));
+impl StreamEnd for DriverHandle {
+    fn finished(&self, id: RequestId, attempt: u32, ending: AttemptResult) {
+        self.send(Message::Input(Input::AttemptFinished { id, attempt, ending }));
     }
 
     fn client_gone(&self, id: RequestId) {
-        self.send(Message::Told(Input::ClientGone(id)));
+        self.send(Message::Input(Input::ClientDisconnected(id)));
     }
 }
 
 /// Tells that the client has left when it is dropped before the reply: a front's handler is dropped when
 /// its connection closes, and nothing else would say so.
-struct Leaving(Option<(Sender, RequestId)>);
+struct Leaving(Option<(DriverHandle, RequestId)>);
 
 impl Leaving {
     /// It has its reply: what becomes of it from now on is told otherwise.
@@ -173,7 +173,7 @@
 impl Drop for Leaving {
     fn drop(&mut self) {
         if let Some((to, id)) = self.0.take() {
-            to.send(Message::Left(id));
+            to.send(Message::ClientDisconnected(id));
         }
     }
 }
@@ -204,17 +204,17 @@
 }
 
 /// Who is asked to let go of something for a request that goes on; without a task, it is still to be asked.
-type Releases = Vec<(EngineId, Option<JoinHandle<()>>)>;
+type Releases = Vec<(ServerId, Option<JoinHandle<()>>)>;
 
 /// The loop. See the [module](self).
 pub struct Driver {
     core: Core,
     clock: Clock,
     inbox: mpsc::UnboundedReceiver<Message>,
-    to_self: Sender,
+    to_self: DriverHandle,
     servers: Servers,
     peers: Peers,
-    addresses: BTreeMap<EngineId, (String, bool)>,
+    addresses: BTreeMap<ServerId, (String, bool)>,
     clients: HashMap<RequestId, Waiting>,
     flying: HashMap<(RequestId, u32), Flying>,
     releasing: HashMap<RequestId, Releases>,
@@ -228,10 +228,10 @@
 impl Driver {
     /// A driver for a configuration, with the way to tell it things.
     #[must_use]
-    pub fn new(config: &Config, clock: Clock) -> (Self, Sender) {
+    pub fn new(config: &Config, clock: Clock) -> (Self, DriverHandle) {
         let (to_self, inbox) = mpsc::unbounded_channel();
         let (published, settings) = watch::channel(Arc::new(config.settings.clone()));
-        let to_self = Sender { to: to_self, settings };
+        let to_self = DriverHandle { to: to_self, settings };
         let core = Core::new(config.settings.clone(), config.seed, clock.now(), config.most_open());
         let figures = Figures::default();
         config.settings.current().for_each(|class| figures.record().know(&class.name));
@@ -287,9 +287,9 @@
 
     fn take(&mut self, message: Message) -> Option<Input> {
         Some(match message {
-            Message::Asked { call, payload, reply, over } => {
+            Message::RequestArrived { call, payload, reply, over } => {
                 if self.clients.contains_key(&call.id) {
-                    let _ = reply.send(Reply::Taken);
+                    let _ = reply.send(Reply::DuplicateId);
                     return None;
                 }
                 if let Some(class) = self.core.classes().get(&call.class) {
@@ -297,40 +297,40 @@
                 }
                 let (reply, class, streaming, ended) = (Some(reply), call.class, None, false);
                 self.clients.insert(call.id, Waiting { payload, reply, over, class, streaming, ended });
-                Input::Arrived(call)
+                Input::RequestArrived(call)
             }
-            Message::Listed { how, entries } => {
+            Message::EndpointsUpdated { how, entries } => {
                 let entries = self.list(how, entries);
-                Input::Listed { how, entries }
+                Input::EndpointsUpdated { how, entries }
             }
-            Message::Opened { id, attempt, opened } => {
+            Message::StreamOpened { id, attempt, opened } => {
                 let flying = self.flying.get_mut(&(id, attempt))?;
                 if flying.stop.is_none() {
                     self.give_up(id, attempt, opened); // it began just as it was told to stop
                     return None;
                 }
                 flying.opened = Some(opened);
-                Input::Began { id, attempt }
+                Input::StreamStarted { id, attempt }
             }
             // Guards the request that has this id: another client, turned away for it, may be the one that left.
-            Message::Left(id) => {
+            Message::ClientDisconnected(id) => {
                 let waiting = self.clients.get(&id).and_then(|client| client.reply.as_ref());
                 if !waiting.is_some_and(oneshot::Sender::is_closed) {
                     return None;
                 }
                 self.ended(id, End::Left);
-                Input::ClientGone(id)
+                Input::ClientDisconnected(id)
             }
-            Message::Learnt(to) => {
+            Message::ExportState(to) => {
                 let _ = to.send(Box::new(self.core.learnt())); // who asked may have gone
                 return None;
             }
-            Message::TakenOver(learnt) => Input::TakenOver(learnt),
-            Message::Part { part, most_open } => Input::Part { part, most_open },
+            Message::StateImported(learnt) => Input::StateImported(learnt),
+            Message::LimitShareChanged { part, most_open } => Input::LimitShareChanged { part, most_open },
             // In one step: what is published and what the reducer goes by are never of two files.
-            Message::Retuned(settings) => {
+            Message::SettingsReloaded(settings) => {
                 let mut now = (*settings).clone();
-                self.step(Input::Retuned(settings));
+                self.step(Input::SettingsReloaded(settings));
                 now.classes = self.core.classes().clone();
                 now.classes.retain(|_, class| !class.retired);
                 let mut record = self.figures.record();
@@ -339,9 +339,9 @@
                 self.published.send_replace(Arc::new(now));
                 return None;
             }
-            Message::Told(input) => {
+            Message::Input(input) => {
                 match input {
-                    Input::Finished { id, attempt, ending } => {
+                    Input::AttemptFinished { id, attempt, ending } => {
                         self.flying.remove(&(id, attempt));
                         if ending.outcome == Outcome::Read {
                             self.call_releases_off(id);
@@ -352,10 +352,10 @@
                             self.ended(id, if served { End::Completed } else { End::Failed });
                         }
                     }
-                    Input::Stopped { id, attempt, .. } => {
+                    Input::AttemptStopped { id, attempt, .. } => {
                         self.flying.remove(&(id, attempt));
                     }
-                    Input::ClientGone(id) => self.ended(id, End::Left),
+                    Input::ClientDisconnected(id) => self.ended(id, End::Left),
                     _ => {}
                 }
                 input
@@ -374,14 +374,14 @@
         }
     }
 
-    fn list(&mut self, how: ListKind, entries: Vec<(Entry, String)>) -> Vec<Entry> {
-        if how != ListKind::Patch {
+    fn list(&mut self, how: ListUpdateKind, entries: Vec<(ServerEntry, String)>) -> Vec<ServerEntry> {
+        if how != ListUpdateKind::Patch {
             self.addresses.clear();
         }
         let listed = entries.into_iter().map(|(entry, address)| {
             match entry.health {
-                Health::Gone => self.addresses.remove(&entry.engine),
-                health => self.addresses.insert(entry.engine, (address, health == Health::Ready)),
+                Health::Gone => self.addresses.remove(&entry.server),
+                health => self.addresses.insert(entry.server, (address, health == Health::Ready)),
             };
             entry
         });
@@ -441,10 +441,14 @@
     fn carry_out(&mut self, effect: Effect) -> Option<Input> {
         debug!("{effect:?}");
         match effect {
-            Effect::Send { id, attempt, engine, reads, until, begin_by, new_connection } => {
-                let (Some((address, _)), Some(client)) = (self.addresses.get(&engine), self.clients.get(&id))
+            Effect::Send { id, attempt, server, reads, until, begin_by, new_connection } => {
+                let (Some((address, _)), Some(client)) = (self.addresses.get(&server), self.clients.get(&id))
                 else {
-                    return Some(Input::Finished { id, attempt, ending: Outcome::ConnectFailed.into() });
+                    return Some(Input::AttemptFinished {
+                        id,
+                        attempt,
+                        ending: Outcome::ConnectFailed.into(),
+                    });
                 };
                 let (address, payload) = (address.clone(), client.payload.clone());
                 let (until, begin_by) = (self.clock.instant(until), self.clock.instant(begin_by));
@@ -452,14 +456,14 @@
                 self.send(id, attempt, sent);
                 None
             }
-            Effect::Withdraw { id, attempt } => {
+            Effect::CancelUnwritten { id, attempt } => {
                 let flying = self.flying.get(&(id, attempt))?;
                 if flying.progress.call_off() {
                     return None;
                 }
                 self.stop(id, attempt)
             }
-            Effect::Stop { id, attempt } => self.stop(id, attempt),
+            Effect::CancelAttempt { id, attempt } => self.stop(id, attempt),
             Effect::Relay { id, attempt } => {
                 let opened = self.flying.remove(&(id, attempt)).and_then(|flying| flying.opened);
                 if let Some(opened) = opened {
@@ -474,9 +478,9 @@
                 }
                 None
             }
-            Effect::Refuse { id, retry_in } => {
+            Effect::Reject { id, retry_in } => {
                 self.ended(id, End::Rejected);
-                self.reply(id, Reply::Refused { retry_in });
+                self.reply(id, Reply::Rejected { retry_in });
                 None
             }
             Effect::Fail { id, may_have_run } => {
@@ -485,15 +489,15 @@
                 self.reply(id, Reply::Failed { may_have_run });
                 None
             }
-            Effect::Release { id, holders, again } => {
+            Effect::ReleaseHeldState { id, holders, again } => {
                 self.release(id, &holders, again);
                 None
             }
-            Effect::Tell(bytes) => {
+            Effect::PublishGossip(bytes) => {
                 self.peers.tell(&bytes);
                 None
             }
-            Effect::Forget { id, may_have_run } => {
+            Effect::Evict { id, may_have_run } => {
                 // Guards the figures: a request that is over has ended, whatever way that came about.
                 self.ended(id, End::Failed);
                 self.releasing.remove(&id);
@@ -518,10 +522,12 @@
         let (servers, marks, to) = (self.servers.clone(), progress.clone(), self.to_self.clone());
         tokio::spawn(async move {
             match servers.attempt(attempt, marks, stopped).await {
-                servers::Result::Opened(opened) => to.send(Message::Opened { id, attempt: number, opened }),
+                servers::Result::Opened(opened) => {
+                    to.send(Message::StreamOpened { id, attempt: number, opened })
+                }
                 servers::Result::Ended(ending) => to.finished(id, number, ending),
                 servers::Result::Stopped { written } => {
-                    to.send(Message::Told(Input::Stopped { id, attempt: number, written }))
+                    to.send(Message::Input(Input::AttemptStopped { id, attempt: number, written }))
                 }
                 // Told already: by now the request may be over, and another have its id.
                 servers::Result::CalledOff => {}
@@ -545,7 +551,7 @@
             return None;
         }
         self.flying.remove(&(id, attempt));
-        Some(Input::Stopped { id, attempt, written: false })
+        Some(Input::AttemptStopped { id, attempt, written: false })
     }
 
     /// Gives up a stream that has begun and will not be passed on.
@@ -553,7 +559,7 @@
         let to = self.to_self.clone();
         tokio::spawn(async move {
             opened.close().await;
-            to.send(Message::Told(Input::Stopped { id, attempt, written: true }));
+            to.send(Message::Input(Input::AttemptStopped { id, attempt, written: true }));
         });
     }
 
@@ -567,13 +573,13 @@
     }
 
     /// Asks each holder, and once more where that is said; where it does not answer, any other server takes the call.
-    fn release(&mut self, id: RequestId, holders: &[EngineId], again: bool) {
+    fn release(&mut self, id: RequestId, holders: &[ServerId], again: bool) {
         let Some(client) = self.clients.get(&id) else { return };
         let mut releasing = self.releasing.remove(&id).unwrap_or_default();
         let mut holders = holders.to_vec();
         holders.extend(releasing.iter().filter(|(_, task)| task.is_none()).map(|&(holder, _)| holder));
         releasing.retain(|(_, task)| task.is_some());
-        let others = self.addresses.iter().filter(|(engine, (_, ready))| *ready && !holders.contains(engine));
+        let others = self.addresses.iter().filter(|(server, (_, ready))| *ready && !holders.contains(server));
         let mut others: Vec<&String> = others.map(|(_, (address, _))| address).collect();
         // Not the same few for every request and every dispatcher: those would have no place left.
         let first = (mix(id.0) % others.len().max(1) as u64) as usize;
--- a/src/edge/kin.rs
+++ b/src/edge/kin.rs
@@ -20,7 +20,7 @@
 use crate::edge::clients::listener::Phase;
 use crate::edge::clients::room::Room;
 use crate::edge::clock::Clock;
-use crate::edge::driver::{Message, Sender};
+use crate::edge::driver::{DriverHandle, Message};
 use crate::edge::settings::Config;
 use crate::edge::stats::Figures;
 use crate::interface::Micros;
@@ -252,7 +252,7 @@
         mut self,
         config: Config,
         room: Room,
-        driver: Sender,
+        driver: DriverHandle,
         figures: Figures,
         mut phase: watch::Receiver<Phase>,
         tell: watch::Sender<Option<Seen>>,
@@ -282,7 +282,8 @@
                 applied = part;
                 room.holds(dewladder_hot_restart::of(config.most_connections(), part));
                 let most_open = dewladder_hot_restart::of(config.most_open(), part);
-                driver.send(Message::Part { part: f64::from(part) / f64::from(WHOLE), most_open });
+                driver
+                    .send(Message::LimitShareChanged { part: f64::from(part) / f64::from(WHOLE), most_open });
             }
             room.shrink(Instant::now());
             tell.send_replace(Some(self.seen()));
@@ -292,10 +293,10 @@
     }
 
     /// Writes what is learnt by now; whether it lies there whole.
-    async fn hand_over(&self, driver: &Sender) -> bool {
+    async fn hand_over(&self, driver: &DriverHandle) -> bool {
         let Some(seats) = &self.seats else { return false };
         let (learnt, answer) = oneshot::channel();
-        driver.send(Message::Learnt(learnt));
+        driver.send(Message::ExportState(learnt));
         let Ok(learnt) = answer.await else { return false };
         let handed = Handed { born: self.kin.says().born, clock: self.clock.now(), learnt: *learnt };
         let written = serde_json::to_vec(&handed).map_err(io::Error::other).and_then(|text| {
@@ -312,7 +313,7 @@
 
     /// Takes what the other one has handed over, if it is of the one that lives: what lies there otherwise means
     /// nothing. It is removed, as it counts as memory.
-    fn take_over(&mut self, driver: &Sender) {
+    fn take_over(&mut self, driver: &DriverHandle) {
         let (Some(seats), Some(other)) = (&self.seats, self.kin.other()) else { return };
         if other.born > self.kin.says().born || self.taken_from == other.born {
             return;
@@ -326,7 +327,7 @@
             Ok(handed) if handed.born == other.born => {
                 info!("kin: what the other process has learnt is taken over");
                 self.taken_from = other.born;
-                driver.send(Message::TakenOver(Box::new(handed.on_clock(self.clock.now()))));
+                driver.send(Message::StateImported(Box::new(handed.on_clock(self.clock.now()))));
             }
             Ok(_) => {}
             Err(error) => warn!("kin: what was handed over can't be read: {error}"),
--- a/src/edge/list.rs
+++ b/src/edge/list.rs
@@ -13,10 +13,10 @@
 use tokio::time::{timeout_at, Instant};
 
 use crate::edge::connections::{plain_client, Plain};
-use crate::edge::driver::{Message, Sender};
+use crate::edge::driver::{DriverHandle, Message};
 use crate::edge::listing::{entries, Answer, Listing};
 use crate::edge::settings::Config;
-use crate::interface::{ListKind, Micros};
+use crate::interface::{ListUpdateKind, Micros};
 use dewladder_router::ListBackoff;
 
 /// The agent is asked to answer after this at the latest. What it has to tell counts as told 6 s after the watch fell
@@ -44,7 +44,7 @@
 /// Follows the list for ever, at the address that `discovery` holds. Another address is turned to at once: the
 /// call that is open at the old one is dropped with its connection, and as versions of the list are the old
 /// agent's own, the whole list is asked for.
-pub async fn watch(config: Config, mut discovery: watch::Receiver<SocketAddr>, to: Sender) {
+pub async fn watch(config: Config, mut discovery: watch::Receiver<SocketAddr>, to: DriverHandle) {
     // A shared service is spared the whole list where changes since the one that is known will do.
     let mut since = Some(config.known.revision)
         .filter(|_| config.settings.must_subscribe && !config.known.members.is_empty());
@@ -60,8 +60,8 @@
 
 /// Follows the list at one address: the whole list first, unless a version is known, then a watch that is
 /// called again at once after every answer. While the agent is silent the old list stands and the agent is asked again.
-async fn follow(config: &Config, address: SocketAddr, mut revision: Option<u64>, to: &Sender) {
-    let (dispatchers, must_ask_in) = (config.settings.balancers, config.settings.must_ask_in);
+async fn follow(config: &Config, address: SocketAddr, mut revision: Option<u64>, to: &DriverHandle) {
+    let (dispatchers, max_list_age) = (config.settings.dispatcher_count, config.settings.max_list_age);
     let shared = config.settings.must_subscribe;
     let (hold, still) = if shared { (HOLD_SHARED, SILENT_STILL_SHARED) } else { (HOLD, SILENT_STILL) };
     let mut asking = ListBackoff::within(LONGEST_WAIT);
@@ -92,11 +92,11 @@
                 asking.answered();
                 older = false;
                 revision = Some(listing.revision);
-                let how = if listing.complete { ListKind::Whole } else { ListKind::Patch };
+                let how = if listing.complete { ListUpdateKind::Full } else { ListUpdateKind::Patch };
                 if listing.complete || !listing.members.is_empty() {
                     let entries = entries(&listing, &config.names);
                     info!("list: revision {}, {how:?} of {}", listing.revision, entries.len());
-                    to.send(Message::Listed { how, entries });
+                    to.send(Message::EndpointsUpdated { how, entries });
                 }
             }
             Err(what) => {
@@ -111,7 +111,7 @@
                 // The agent on this machine costs nobody anything; what all share must not be worn down by it. A
                 // watch that has just fallen silent is opened anew at once: its time is nearly over.
                 let wait = match shared && !first {
-                    true => Duration::from_micros(asking.failed(dispatchers, must_ask_in, lots.next_u64())),
+                    true => Duration::from_micros(asking.failed(dispatchers, max_list_age, lots.next_u64())),
                     false => PAUSE,
                 };
                 tokio::time::sleep(wait).await;
--- a/src/edge/listing.rs
+++ b/src/edge/listing.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Deserializer};
 use serde_json::Value;
 
-use crate::interface::{CellId, EngineId, Entry, Health, Key, ZoneId};
+use crate::interface::{CellId, Health, Key, ServerEntry, ServerId, ZoneId};
 
 /// What the list's words stand for.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -130,13 +130,13 @@
     }
 
     /// The entry for the decisions, and the address; `None` if its phase is not known.
-    fn entry(&self, names: &Names) -> Option<(Entry, String)> {
+    fn entry(&self, names: &Names) -> Option<(ServerEntry, String)> {
         let number = |list: &[String], name: &str| {
             let at = list.iter().position(|known| known == name);
             at.map_or_else(|| name.parse().unwrap_or(u32::MAX), |at| at as u32)
         };
-        let entry = Entry {
-            engine: engine(&self.id),
+        let entry = ServerEntry {
+            server: server_id(&self.id),
             zone: ZoneId(number(&names.zones, &self.locality)),
             cell: CellId(self.cell),
             weight: self.size,
@@ -151,10 +151,10 @@
 /// A server's number, from its id's text alone: the same at every dispatcher. Of an id in the protocol's form, a letter, a
 /// dash and eight hex digits, the digits are the number; any other text is hashed as a whole.
 #[must_use]
-pub fn engine(id: &str) -> EngineId {
+pub fn server_id(id: &str) -> ServerId {
     let digits = id.split_once('-').filter(|(kind, digits)| kind.len() == 1 && digits.len() == 8);
     let number = digits.and_then(|(_, digits)| u32::from_str_radix(digits, 16).ok());
-    EngineId(number.unwrap_or_else(|| {
+    ServerId(number.unwrap_or_else(|| {
         let hash = Key::from_text(id).0;
         (hash ^ (hash >> 32)) as u32
     }))
@@ -162,6 +162,6 @@
 
 /// The entries of a listing with their addresses; one in an unknown phase is left out.
 #[must_use]
-pub fn entries(listing: &Listing, names: &Names) -> Vec<(Entry, String)> {
+pub fn entries(listing: &Listing, names: &Names) -> Vec<(ServerEntry, String)> {
     listing.members.iter().filter_map(|member| member.entry(names)).collect()
 }
--- a/src/edge/peers.rs
+++ b/src/edge/peers.rs
@@ -10,7 +10,7 @@
 use tokio::net::UdpSocket;
 
 use crate::edge::core::Input;
-use crate::edge::driver::{Message, Sender};
+use crate::edge::driver::{DriverHandle, Message};
 
 /// A longer datagram is none of ours; one byte more is read, so that it is seen to be longer.
 const MOST_BYTES: usize = 256;
@@ -53,12 +53,12 @@
     }
 
     /// Takes in messages for ever.
-    pub async fn hear(self, to: Sender) {
+    pub async fn hear(self, to: DriverHandle) {
         let Some((socket, _)) = self.0 else { return };
         let mut bytes = [0; MOST_BYTES + 1];
         loop {
             match socket.recv_from(&mut bytes).await {
-                Ok((length, _)) => to.send(Message::Told(Input::Heard(bytes[..length].to_vec()))),
+                Ok((length, _)) => to.send(Message::Input(Input::GossipReceived(bytes[..length].to_vec()))),
                 // An earlier datagram that could not be delivered may be told of here.
                 Err(error) => {
                     warn!("peers: {error}");
--- a/src/edge/servers.rs
+++ b/src/edge/servers.rs
@@ -21,7 +21,7 @@
 use tokio::time::{sleep_until, timeout_at, Instant, Sleep};
 
 use crate::edge::connections::{Handle, Pool, Which};
-use crate::edge::core::Ending;
+use crate::edge::core::AttemptResult;
 use crate::edge::event_shape::EventShape;
 use crate::edge::settings::Config;
 use crate::edge::stats::Figures;
@@ -240,7 +240,7 @@
     /// A stream has begun.
     Opened(Box<Opened>),
     /// It has ended.
-    Ended(Ending),
+    Ended(AttemptResult),
     /// It was stopped, and its connection has been closed.
     Stopped {
         /// Whether its last byte may have been written.
@@ -302,7 +302,7 @@
             // Not the server's doing: nothing is held against it.
             Err(error) if is_transient(&error) => {
                 debug!("server {address}: {error} on this machine; never ran");
-                return Result::Ended(Outcome::Moot.into());
+                return Result::Ended(Outcome::NotSent.into());
             }
             Err(error) => return never(&error),
         };
@@ -475,7 +475,7 @@
     let report = head.headers.get(LOAD).and_then(|text| text.to_str().ok()).and_then(load_report);
     let turned_away = head.headers.get(TURNED_AWAY).is_some_and(|value| value == "1");
     let framed = head.headers.contains_key(TRANSFER_ENCODING) || head.headers.contains_key(CONTENT_LENGTH);
-    let mut kept_tokens = 0;
+    let mut cached_tokens = 0;
     let mut outcome = match head.status {
         // Where the connection's end is the answer's, a break looks just like it: such a head is spoilt.
         StatusCode::OK | StatusCode::ACCEPTED if !framed => Outcome::Reset,
@@ -496,7 +496,7 @@
     };
     match rest {
         Some(Ok(rest)) if outcome == Outcome::Read => {
-            kept_tokens = number_after(&rest.to_bytes(), b"\"cached_tokens\"");
+            cached_tokens = number_after(&rest.to_bytes(), b"\"cached_tokens\"");
         }
         Some(Ok(_)) => {}
         _ => {
@@ -504,7 +504,7 @@
             outcome = if outcome == Outcome::Read { Outcome::Reset } else { outcome };
         }
     }
-    Result::Ended(Ending { outcome, kept_tokens, report })
+    Result::Ended(AttemptResult { outcome, cached_tokens, report })
 }
 
 /// What a stream opens with, to the end of its first event; no bytes for one that ended in good order without
@@ -525,7 +525,7 @@
 /// Is told how a relay ends; exactly one of the two, once.
 pub trait StreamEnd: std::fmt::Debug + Send {
     /// The attempt has ended.
-    fn finished(&self, id: RequestId, attempt: u32, ending: Ending);
+    fn finished(&self, id: RequestId, attempt: u32, ending: AttemptResult);
     /// The client has left before the end.
     fn client_gone(&self, id: RequestId);
 }
@@ -585,10 +585,10 @@
 
     fn ended(&mut self, outcome: Outcome) {
         let Some(end) = self.end.take() else { return };
-        let kept_tokens = number_after(&self.tail, b"\"cached_tokens\"");
+        let cached_tokens = number_after(&self.tail, b"\"cached_tokens\"");
         let text = String::from_utf8_lossy(&self.tail);
         let report = text.lines().find_map(|line| line.strip_prefix(": X-Pressure:")).and_then(load_report);
-        end.finished(self.id, self.attempt, Ending { outcome, kept_tokens, report });
+        end.finished(self.id, self.attempt, AttemptResult { outcome, cached_tokens, report });
     }
 }
 
--- a/src/edge/settings.rs
+++ b/src/edge/settings.rs
@@ -170,7 +170,7 @@
         fixed(new.settings.kinds != self.settings.kinds, "domain.role_by_kind or kind_memory_tokens");
         fixed(new.settings.zone != self.settings.zone, "locality");
         fixed(new.settings.must_subscribe != self.settings.must_subscribe, "discovery, the way of");
-        fixed(new.settings.must_ask_in != self.settings.must_ask_in, "rules.must_ask_in_s");
+        fixed(new.settings.max_list_age != self.settings.max_list_age, "rules.must_ask_in_s");
         fixed(new.keepalive != self.keepalive, "limits.keepalive_s");
         fixed(new.connect_timeout != self.connect_timeout, "limits.connect_timeout_s");
         fixed(new.resume != self.resume, "domain.resume");
@@ -179,7 +179,7 @@
             zone: self.settings.zone,
             kinds: self.settings.kinds.clone(),
             must_subscribe: self.settings.must_subscribe,
-            must_ask_in: self.settings.must_ask_in,
+            max_list_age: self.settings.max_list_age,
             peers: self.settings.peers,
             ..new.settings
         };
--- a/src/edge/transitions.rs
+++ b/src/edge/transitions.rs
@@ -2,7 +2,7 @@
 
 use log::debug;
 
-use crate::interface::{EngineId, Micros, Outcome, RequestId};
+use crate::interface::{Micros, Outcome, RequestId, ServerId};
 use dewladder_router::EndReason;
 
 /// Outcomes of attempts, in the order of their counts, with their names in the figures.
@@ -17,7 +17,7 @@
     (Outcome::Reset, "reset"),
     (Outcome::Unacknowledged, "unacknowledged"),
     (Outcome::Cancelled, "cancelled"),
-    (Outcome::Moot, "moot"),
+    (Outcome::NotSent, "moot"),
     (Outcome::Unknown, "unknown"),
 ];
 
@@ -29,7 +29,7 @@
     /// Which attempt.
     pub attempt: u32,
     /// Where it goes.
-    pub server: EngineId,
+    pub server: ServerId,
 }
 
 impl std::fmt::Display for AttemptLabel {
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -8,8 +8,8 @@
 use thiserror::Error;
 
 use dewladder_router::interface::{
-    Action, Call, CellId, Ended, EngineId, Entry, Event, Health, Key, ListKind, Micros, Outcome, Report,
-    RequestId, Settings, TimerToken, ZoneId,
+    Action, AttemptFinished, CellId, Event, Health, Key, ListUpdateKind, Micros, Outcome, Report, RequestId,
+    RequestInfo, ServerEntry, ServerId, Settings, TimerToken, ZoneId,
 };
 use dewladder_router::pairs::{from_pairs, micros, SettingsError};
 
@@ -134,10 +134,10 @@
         parts.word("front")?;
         parts.number::<u64>("revision")?;
         let how = match parts.word("how")? {
-            "patch" => ListKind::Patch,
-            "whole" => ListKind::Whole,
-            "stale_copy" => ListKind::StaleCopy,
-            "broken" => ListKind::Broken,
+            "patch" => ListUpdateKind::Patch,
+            "whole" => ListUpdateKind::Full,
+            "stale_copy" => ListUpdateKind::StaleCopy,
+            "broken" => ListUpdateKind::Failed,
             other => return Err(parts.bad("how", &format!("unknown kind of list '{other}'"))),
         };
         let count: usize = parts.maybe("items")?.unwrap_or(0);
@@ -152,13 +152,13 @@
             }
             entries.push(entry(&mut parts)?);
         }
-        Ok(Event::Roster { how, entries })
+        Ok(Event::EndpointsUpdated { how, entries })
     }
 }
 
-fn entry(parts: &mut Parts) -> Result<Entry, WireError> {
-    Ok(Entry {
-        engine: EngineId(parts.number("engine")?),
+fn entry(parts: &mut Parts) -> Result<ServerEntry, WireError> {
+    Ok(ServerEntry {
+        server: ServerId(parts.number("engine")?),
         zone: ZoneId(parts.number("region_part")?),
         cell: CellId(parts.maybe("pack")?.unwrap_or(0)),
         weight: parts.maybe("rating")?.unwrap_or(1.0),
@@ -180,16 +180,16 @@
             return Ok(Message::Born { seed, settings: Box::new(settings(parts)?) });
         }
         "down" => return Ok(Message::Down),
-        "call" => Event::Call(call(parts)?),
+        "call" => Event::RequestArrived(call(parts)?),
         "report_back" => ended(parts)?,
         "ack_first" => {
             let id = parts.request("rid")?;
             let attempt = parts.number("hop")?;
             parts.word("engine")?;
-            Event::Begun { id, attempt, taken: parts.time("time_taken_s")? }
+            Event::FirstToken { id, attempt, taken: parts.time("time_taken_s")? }
         }
-        "hangup" => Event::Hangup(parts.request("rid")?),
-        "due" => Event::Due(timer(parts.word("key_back")?)),
+        "hangup" => Event::ClientDisconnected(parts.request("rid")?),
+        "due" => Event::TimerFired(timer(parts.word("key_back")?)),
         "checked" => {
             parts.number::<u32>("verdict")?;
             parts.time("time_taken_s")?;
@@ -202,7 +202,9 @@
             let text = parts.maybe::<String>("bytes")?.unwrap_or_default();
             let text = text.trim_start_matches('-');
             let decoded = base64::engine::general_purpose::STANDARD.decode(text);
-            Event::Heard(decoded.map_err(|error| parts.bad("bytes", &format!("not base64: {error}")))?)
+            Event::GossipReceived(
+                decoded.map_err(|error| parts.bad("bytes", &format!("not base64: {error}")))?,
+            )
         }
         "seat_news" => {
             parts.request("rid")?;
@@ -216,7 +218,7 @@
     Ok(Message::Event(event))
 }
 
-fn call(parts: &mut Parts) -> Result<Call, WireError> {
+fn call(parts: &mut Parts) -> Result<RequestInfo, WireError> {
     let id = parts.request("rid")?;
     let class = parts.number("tier_class")?;
     parts.maybe::<u32>("user_group")?;
@@ -228,7 +230,7 @@
     let shared_tokens = parts.maybe("prefix_tokens")?.unwrap_or(0);
     let max_tokens = parts.maybe("max_tokens")?.unwrap_or(0);
     let flags: u32 = parts.maybe("flags")?.unwrap_or(0);
-    Ok(Call {
+    Ok(RequestInfo {
         id,
         class,
         session,
@@ -248,9 +250,18 @@
     let detail: u64 = parts.maybe("detail")?.unwrap_or(0);
     let outcome = outcome(parts.number("verdict")?, detail == 1);
     let last = parts.maybe::<u8>("last")?.unwrap_or(0) != 0;
-    let engine = EngineId(parts.number("engine")?);
-    let kept_tokens = if matches!(outcome, Outcome::Served | Outcome::Read) { detail } else { 0 };
-    Ok(Event::Ended(Ended { id, attempt, engine, taken, outcome, kept_tokens, last, report: report(parts)? }))
+    let server = ServerId(parts.number("engine")?);
+    let cached_tokens = if matches!(outcome, Outcome::Served | Outcome::Read) { detail } else { 0 };
+    Ok(Event::AttemptFinished(AttemptFinished {
+        id,
+        attempt,
+        server,
+        taken,
+        outcome,
+        cached_tokens,
+        last,
+        report: report(parts)?,
+    }))
 }
 
 fn outcome(code: u32, no_state: bool) -> Outcome {
@@ -263,7 +274,7 @@
         5 => Outcome::ConnectFailed,
         6 => Outcome::Reset,
         7 => Outcome::Cancelled,
-        8 => Outcome::Moot,
+        8 => Outcome::NotSent,
         77 => Outcome::Read,
         _ => Outcome::Unknown,
     }
@@ -383,19 +394,19 @@
 
 fn write_action<W: Write>(out: &mut W, front: u32, action: &Action) -> std::io::Result<()> {
     match action {
-        Action::Assign { id, engine, patience } => {
-            writeln!(out, "assign\t{front}\t{:016x}\t{}\t{}", id.0, engine.0, seconds(*patience))
+        Action::Assign { id, server, attempt_timeout } => {
+            writeln!(out, "assign\t{front}\t{:016x}\t{}\t{}", id.0, server.0, seconds(*attempt_timeout))
         }
-        Action::Refuse { id, retry_in } => {
+        Action::Reject { id, retry_in } => {
             writeln!(out, "not_now\t{front}\t{:016x}\t{}", id.0, seconds(*retry_in))
         }
-        Action::GiveUp(id) => writeln!(out, "give_up\t{front}\t{:016x}", id.0),
-        Action::Revoke { id, attempt } => writeln!(out, "revoke\t{front}\t{:016x}\t{attempt}", id.0),
-        Action::LetGo(id) => writeln!(out, "let_go\t{front}\t{:016x}", id.0),
-        Action::Defer { delay, token } => {
+        Action::Fail(id) => writeln!(out, "give_up\t{front}\t{:016x}", id.0),
+        Action::CancelAttempt { id, attempt } => writeln!(out, "revoke\t{front}\t{:016x}\t{attempt}", id.0),
+        Action::ReleaseHeldState(id) => writeln!(out, "let_go\t{front}\t{:016x}", id.0),
+        Action::StartTimer { delay, token } => {
             writeln!(out, "defer\t{front}\t{}\t{:x}", seconds(*delay), token.0)
         }
-        Action::Tell(bytes) => {
+        Action::PublishGossip(bytes) => {
             let text = base64::engine::general_purpose::STANDARD.encode(bytes);
             writeln!(out, "announce\t{front}\t*\t{text}")
         }
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -5,8 +5,8 @@
 use std::io::{BufRead as _, BufReader};
 use std::process::{Command, Output, Stdio};
 
-use dewladder::edge::listing::{engine, entries, Listing, Names};
-use dewladder::interface::EngineId;
+use dewladder::edge::listing::{entries, server_id, Listing, Names};
+use dewladder::interface::ServerId;
 use serde_json::json;
 use stand_in::eventually;
 use tokio::io::AsyncBufReadExt as _;
@@ -75,9 +75,9 @@
 
 #[test]
 fn a_server_has_the_same_number_everywhere_whatever_its_id_looks_like() {
-    assert_eq!(engine("s-5be2a07c"), EngineId(0x5be2_a07c));
-    assert_eq!(engine("kiln-box-7"), engine("kiln-box-7"));
-    assert_ne!(engine("kiln-box-7"), engine("kiln-box-8"));
+    assert_eq!(server_id("s-5be2a07c"), ServerId(0x5be2_a07c));
+    assert_eq!(server_id("kiln-box-7"), server_id("kiln-box-7"));
+    assert_ne!(server_id("kiln-box-7"), server_id("kiln-box-8"));
     let listing = json!({"revision": 7, "complete": true, "a_field_of_tomorrow": 1, "members": [
         {"id": "s-00000001", "host_port": "127.0.0.1:1", "locality": "b", "flavor": "w", "cell": 3, "phase": "up",
             "size": 1.5, "up_since_ms": 12},
--- a/tests/connection_model.rs
+++ b/tests/connection_model.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use dewladder::edge::core::{Core, Effect, Ending, Input};
+use dewladder::edge::core::{AttemptResult, Core, Effect, Input};
 use dewladder::interface::*;
 use proptest::prelude::*;
 
@@ -13,20 +13,20 @@
 fn settings() -> Settings {
     let class = |effect| Class {
         name: format!("{effect:?}"),
-        give_up: 5 * SECOND,
+        default_timeout: 5 * SECOND,
         max_attempts: 5,
         retired: false,
-        aim: SECOND,
-        aim_per_1000_tokens: 0,
-        token_aim: 0,
+        latency_objective: SECOND,
+        latency_objective_per_1000_tokens: 0,
+        token_interval_objective: 0,
         effect,
-        group: DedupGroup::All,
+        dedup_group: DedupGroup::All,
         dedup_window: 0,
-        worth: 1.0,
+        priority_weight: 1.0,
     };
     let kind = |role| Kind { role, memory_tokens: 100_000 };
     Settings {
-        balancers: 2,
+        dispatcher_count: 2,
         zone: ZoneId(0),
         classes: (0..)
             .zip([
@@ -36,31 +36,31 @@
             .collect(),
         kinds: vec![kind(Role::Reader), kind(Role::Writer)],
         must_subscribe: false,
-        must_ask_in: 0,
+        max_list_age: 0,
         may_cancel: true,
         peers: false,
-        peer_price: 0.0,
-        writers_read: false,
+        gossip_price: 0.0,
+        writers_can_read: false,
         max_retry_after: SECOND,
-        release_within: SECOND / 2,
+        max_hold_time: SECOND / 2,
         resolution: 2_000,
-        cold_from: 0.3,
-        cold_for: 10 * SECOND,
+        slow_start_min_share: 0.3,
+        slow_start_window: 10 * SECOND,
         memory_field: Some(0),
-        fall_multiple: 2.5,
-        fall_window: SECOND,
+        overload_multiple: 2.5,
+        overload_window: SECOND,
     }
 }
 
-fn entry(engine: u32, health: Health) -> Entry {
-    Entry {
-        engine: EngineId(engine),
+fn entry(server: u32, health: Health) -> ServerEntry {
+    ServerEntry {
+        server: ServerId(server),
         zone: ZoneId(0),
         cell: CellId(0),
         weight: 1.0,
         started: None,
         health,
-        kind: engine % 2,
+        kind: server % 2,
     }
 }
 
@@ -79,11 +79,11 @@
     once: bool,
     not_after: Micros,
     /// Attempts out: server, and whether the stream has begun.
-    out: BTreeMap<u32, (EngineId, bool)>,
+    out: BTreeMap<u32, (ServerId, bool)>,
     /// A writer's attempt that may have run.
     ran: bool,
     /// Readers that may hold a state.
-    held: Vec<EngineId>,
+    held: Vec<ServerId>,
     forgotten: bool,
 }
 
@@ -91,11 +91,11 @@
     core: Core,
     now: Micros,
     connections: BTreeMap<RequestId, Connection>,
-    gone: BTreeMap<EngineId, bool>,
+    gone: BTreeMap<ServerId, bool>,
 }
 
-fn reads(engine: EngineId) -> bool {
-    engine.0.is_multiple_of(2)
+fn reads(server: ServerId) -> bool {
+    server.0.is_multiple_of(2)
 }
 
 impl World {
@@ -111,36 +111,36 @@
     /// Holds an effect against the model; a stop is carried out at once.
     fn check(&mut self, effect: Effect) -> Option<Input> {
         match effect {
-            Effect::Send { id, attempt, engine, reads: reading, until, begin_by, .. } => {
+            Effect::Send { id, attempt, server, reads: reading, until, begin_by, .. } => {
                 let connection = self.connections.get_mut(&id).expect("a known request");
                 assert_eq!(connection.state, State::Waiting, "sent after the answer");
                 assert!(connection.out.is_empty(), "a second copy");
                 assert!(!(connection.once && connection.ran), "a second effect");
                 assert!(until <= connection.not_after && self.now < begin_by && begin_by <= until);
-                assert_eq!(reading, reads(engine));
-                assert!(!self.gone[&engine], "sent to a server that the list has not as ready");
-                connection.out.insert(attempt, (engine, false));
+                assert_eq!(reading, reads(server));
+                assert!(!self.gone[&server], "sent to a server that the list has not as ready");
+                connection.out.insert(attempt, (server, false));
             }
-            Effect::Stop { id, attempt } => {
+            Effect::CancelAttempt { id, attempt } => {
                 let written = !self.now.is_multiple_of(3);
                 let connection = self.connections.get_mut(&id).expect("a known request");
                 // One that has just been withdrawn.
-                let &(engine, begun) = connection.out.get(&attempt)?;
+                let &(server, begun) = connection.out.get(&attempt)?;
                 assert!(!begun || connection.state != State::Streaming, "a client's stream was stopped");
-                self.ended(id, attempt, engine, if written { Outcome::Timeout } else { Outcome::Moot });
-                return Some(Input::Stopped { id, attempt, written });
+                self.ended(id, attempt, server, if written { Outcome::Timeout } else { Outcome::NotSent });
+                return Some(Input::AttemptStopped { id, attempt, written });
             }
             // By chance nothing has been written yet.
-            Effect::Withdraw { id, attempt } => {
+            Effect::CancelUnwritten { id, attempt } => {
                 let connection = &self.connections[&id];
-                let Some(&(engine, false)) = connection.out.get(&attempt) else { return None };
-                let wanted = connection.state == State::Left || self.gone[&engine];
+                let Some(&(server, false)) = connection.out.get(&attempt) else { return None };
+                let wanted = connection.state == State::Left || self.gone[&server];
                 assert!(wanted, "withdrawn though its client waits and its server takes work");
                 if self.now.is_multiple_of(2) {
                     return None;
                 }
-                self.ended(id, attempt, engine, Outcome::Moot);
-                return Some(Input::Stopped { id, attempt, written: false });
+                self.ended(id, attempt, server, Outcome::NotSent);
+                return Some(Input::AttemptStopped { id, attempt, written: false });
             }
             Effect::Relay { id, .. } => {
                 self.answer(id, State::Streaming);
@@ -148,19 +148,19 @@
                 connection.held.clear();
                 connection.ran = true;
             }
-            Effect::Refuse { id, .. } => {
+            Effect::Reject { id, .. } => {
                 let connection = &self.connections[&id];
                 assert!(!(connection.once && connection.ran), "refused though it may have run");
                 self.answer(id, State::Answered);
             }
             Effect::Fail { id, .. } => self.answer(id, State::Answered),
-            Effect::Release { id, holders, .. } => {
+            Effect::ReleaseHeldState { id, holders, .. } => {
                 let held = &mut self.connections.get_mut(&id).expect("known").held;
                 assert_eq!(&holders, held, "every holder is asked, and no other");
                 held.clear();
             }
-            Effect::Tell(_) => panic!("the settings bar it"),
-            Effect::Forget { id, may_have_run } => {
+            Effect::PublishGossip(_) => panic!("the settings bar it"),
+            Effect::Evict { id, may_have_run } => {
                 let connection = self.connections.get_mut(&id).expect("known");
                 assert_eq!(may_have_run, connection.ran, "what is told of it to who asked");
                 assert!(!connection.forgotten && connection.out.is_empty() && connection.held.is_empty());
@@ -178,14 +178,14 @@
         connection.state = state;
     }
 
-    fn ended(&mut self, id: RequestId, attempt: u32, engine: EngineId, outcome: Outcome) {
+    fn ended(&mut self, id: RequestId, attempt: u32, server: ServerId, outcome: Outcome) {
         let connection = self.connections.get_mut(&id).expect("a known request");
         connection.out.remove(&attempt);
         let uncertain = outcome.may_have_run();
-        if reads(engine) && (uncertain || outcome == Outcome::Read) {
-            connection.held.push(engine);
+        if reads(server) && (uncertain || outcome == Outcome::Read) {
+            connection.held.push(server);
         }
-        connection.ran |= !reads(engine) && uncertain;
+        connection.ran |= !reads(server) && uncertain;
         if connection.state == State::Streaming {
             connection.state = State::Answered;
         }
@@ -209,25 +209,25 @@
         let any = busy.get(first as usize % busy.len().max(1)).copied();
         match (what, any) {
             (0..=3, _) => self.arrive(first, second),
-            (4..=7, Some((id, attempt, (engine, begun)))) => {
+            (4..=7, Some((id, attempt, (server, begun)))) => {
                 let ending = [Outcome::Error, Outcome::Full, Outcome::Reset, Outcome::ConnectFailed];
-                let outcome = match (reads(engine), second % 8) {
+                let outcome = match (reads(server), second % 8) {
                     (true, 0..=4) => Outcome::Read,
                     (false, 0..=1) if begun => Outcome::Served,
                     (false, 5) if !begun => Outcome::NoState,
                     _ => ending[second as usize % if begun { 1 } else { 4 }],
                 };
-                self.ended(id, attempt, engine, outcome);
-                self.tell(Input::Finished {
+                self.ended(id, attempt, server, outcome);
+                self.tell(Input::AttemptFinished {
                     id,
                     attempt,
-                    ending: Ending { kept_tokens: 9, ..outcome.into() },
+                    ending: AttemptResult { cached_tokens: 9, ..outcome.into() },
                 });
             }
-            (8..=10, Some((id, attempt, (engine, false)))) if !reads(engine) => {
+            (8..=10, Some((id, attempt, (server, false)))) if !reads(server) => {
                 let connection = self.connections.get_mut(&id).expect("known");
-                connection.out.insert(attempt, (engine, true));
-                self.tell(Input::Began { id, attempt });
+                connection.out.insert(attempt, (server, true));
+                self.tell(Input::StreamStarted { id, attempt });
             }
             (11, _) => {
                 let Some(&id) = self.connections.keys().nth(first as usize % self.connections.len().max(1))
@@ -239,22 +239,25 @@
                     connection.out.clear(); // dropped with the client's connection
                 }
                 connection.state = State::Left;
-                self.tell(Input::ClientGone(id));
+                self.tell(Input::ClientDisconnected(id));
             }
             (12, _) => {
                 let health =
                     [Health::Ready, Health::Ready, Health::Terminating, Health::Gone][second as usize % 4];
-                let engine = EngineId(first % 6);
-                self.gone.insert(engine, health != Health::Ready);
-                self.tell(Input::Listed { how: ListKind::Patch, entries: vec![entry(engine.0, health)] });
+                let server = ServerId(first % 6);
+                self.gone.insert(server, health != Health::Ready);
+                self.tell(Input::EndpointsUpdated {
+                    how: ListUpdateKind::Patch,
+                    entries: vec![entry(server.0, health)],
+                });
             }
             // What comes twice, or for what is no more, changes nothing.
             (13, _) => {
                 let id = RequestId(u64::from(first % 40));
                 let attempt = 7 + second % 3;
-                self.tell(Input::Began { id, attempt });
-                self.tell(Input::Finished { id, attempt, ending: Outcome::Served.into() });
-                self.tell(Input::Stopped { id, attempt, written: true });
+                self.tell(Input::StreamStarted { id, attempt });
+                self.tell(Input::AttemptFinished { id, attempt, ending: Outcome::Served.into() });
+                self.tell(Input::AttemptStopped { id, attempt, written: true });
             }
             _ => self.pass(u64::from(first % 300) * 1_000),
         }
@@ -273,7 +276,7 @@
             forgotten: false,
         };
         self.connections.insert(id, connection);
-        self.tell(Input::Arrived(Call {
+        self.tell(Input::RequestArrived(RequestInfo {
             id,
             class: second % 2,
             session: Some(Key(u64::from(first % 5))),
@@ -301,9 +304,9 @@
     ) {
         let core = Core::new(settings(), 7, SECOND, 24);
         let mut world = World { core, now: SECOND, connections: BTreeMap::new(), gone: BTreeMap::new() };
-        world.gone.extend((0..6).map(|id| (EngineId(id), false)));
+        world.gone.extend((0..6).map(|id| (ServerId(id), false)));
         let entries = (0..6).map(|id| entry(id, Health::Ready)).collect();
-        world.tell(Input::Listed { how: ListKind::StaleCopy, entries });
+        world.tell(Input::EndpointsUpdated { how: ListUpdateKind::StaleCopy, entries });
         for step in steps {
             world.step(step);
         }
@@ -312,7 +315,7 @@
             let connection = world.connections.get_mut(&id).expect("known");
             if connection.state == State::Streaming {
                 (connection.state, connection.out) = (State::Left, BTreeMap::new());
-                world.tell(Input::ClientGone(id));
+                world.tell(Input::ClientDisconnected(id));
             }
         }
         world.pass(10 * SECOND);
@@ -326,9 +329,9 @@
 fn nothing_overtakes_an_attempt_that_is_being_stopped() {
     let mut core = Core::new(settings(), 7, SECOND, 24);
     let entries = (0..6).map(|id| entry(id, Health::Ready)).collect();
-    core.step(SECOND, Input::Listed { how: ListKind::StaleCopy, entries });
+    core.step(SECOND, Input::EndpointsUpdated { how: ListUpdateKind::StaleCopy, entries });
     let id = RequestId(1);
-    let call = Call {
+    let call = RequestInfo {
         id,
         class: 1,
         session: None,
@@ -339,11 +342,11 @@
         hint: None,
         not_after: 4 * SECOND,
     };
-    let sent = core.step(SECOND, Input::Arrived(call));
+    let sent = core.step(SECOND, Input::RequestArrived(call));
     assert!(matches!(sent[..], [Effect::Send { attempt: 0, .. }]));
     let stopped = core.step(3 * SECOND, Input::Tick);
-    assert_eq!(stopped, [Effect::Stop { id, attempt: 0 }]);
+    assert_eq!(stopped, [Effect::CancelAttempt { id, attempt: 0 }]);
     assert_eq!(core.step(3 * SECOND + 1, Input::Tick), []);
-    let next = core.step(3 * SECOND + 2, Input::Stopped { id, attempt: 0, written: true });
+    let next = core.step(3 * SECOND + 2, Input::AttemptStopped { id, attempt: 0, written: true });
     assert!(matches!(next[..], [Effect::Send { attempt: 1, .. }]), "{next:?}");
 }
--- a/tests/crossings_handover.rs
+++ b/tests/crossings_handover.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use dewladder::edge::core::{Core, Effect as Asks, Ending, Input};
+use dewladder::edge::core::{AttemptResult, Core, Effect as Asks, Input};
 use dewladder::interface::*;
 use dewladder_test_peers::{body, chunk, event, plain, platform};
 use proptest::prelude::*;
@@ -288,10 +288,10 @@
 #[test]
 fn the_time_of_what_is_held_goes_on_while_nothing_is_acknowledged() {
     let mut core = Core::new(settings([Effect::Idempotent; 3]), 3, SECOND, 24);
-    let entries = (0..SERVERS).map(|engine| entry(engine, Health::Ready)).collect();
+    let entries = (0..SERVERS).map(|server| entry(server, Health::Ready)).collect();
     let mut now = SECOND;
-    core.step(now, Input::Listed { how: ListKind::Whole, entries });
-    let call = Call {
+    core.step(now, Input::EndpointsUpdated { how: ListUpdateKind::Full, entries });
+    let call = RequestInfo {
         id: ID,
         class: 0,
         session: Some(Key(1)),
@@ -302,7 +302,7 @@
         hint: None,
         not_after: now + 4 * SECOND,
     };
-    let mut effects = core.step(now, Input::Arrived(call));
+    let mut effects = core.step(now, Input::RequestArrived(call));
     let (mut read_at, mut unacknowledged) = (None, 0);
     while now < 4 * SECOND {
         let mut next = Vec::new();
@@ -312,7 +312,7 @@
                     now += 10_000;
                     read_at = Some(now);
                     next.extend(
-                        core.step(now, Input::Finished { id, attempt, ending: Outcome::Read.into() }),
+                        core.step(now, Input::AttemptFinished { id, attempt, ending: Outcome::Read.into() }),
                     );
                 }
                 Asks::Send { id, attempt, begin_by, .. } => {
@@ -320,9 +320,9 @@
                     now += 120_000;
                     unacknowledged += 1;
                     let ending = Outcome::Unacknowledged.into();
-                    next.extend(core.step(now, Input::Finished { id, attempt, ending }));
+                    next.extend(core.step(now, Input::AttemptFinished { id, attempt, ending }));
                 }
-                Asks::Release { .. } => {
+                Asks::ReleaseHeldState { .. } => {
                     let held = now - read_at.expect("a read");
                     assert!(unacknowledged > 1, "one writer was tried");
                     assert!(held <= RELEASE + 130_000, "held for {held} us");
@@ -563,55 +563,55 @@
     let class = |(at, effect): (u32, Effect)| {
         let class = Class {
             name: format!("{at}"),
-            give_up: 3 * SECOND,
+            default_timeout: 3 * SECOND,
             max_attempts: 5,
             retired: false,
-            aim: SECOND / 2,
-            aim_per_1000_tokens: 0,
-            token_aim: 0,
+            latency_objective: SECOND / 2,
+            latency_objective_per_1000_tokens: 0,
+            token_interval_objective: 0,
             effect,
-            group: DedupGroup::All,
+            dedup_group: DedupGroup::All,
             dedup_window: SECOND,
-            worth: 1.0,
+            priority_weight: 1.0,
         };
         (at, class)
     };
     let kind = |role| Kind { role, memory_tokens: 100_000 };
     Settings {
-        balancers: 2,
+        dispatcher_count: 2,
         zone: ZoneId(0),
         classes: (0..).zip(effects).map(class).collect(),
         kinds: vec![kind(Role::Reader), kind(Role::Writer), kind(Role::Mixed)],
         must_subscribe: false,
-        must_ask_in: 0,
+        max_list_age: 0,
         may_cancel: true,
         peers: false,
-        peer_price: 0.0,
-        writers_read: false,
+        gossip_price: 0.0,
+        writers_can_read: false,
         max_retry_after: SECOND,
-        release_within: RELEASE,
+        max_hold_time: RELEASE,
         resolution: 2_000,
-        cold_from: 0.3,
-        cold_for: 10 * SECOND,
+        slow_start_min_share: 0.3,
+        slow_start_window: 10 * SECOND,
         memory_field: Some(0),
-        fall_multiple: 2.5,
-        fall_window: SECOND,
+        overload_multiple: 2.5,
+        overload_window: SECOND,
     }
 }
 
 const EFFECTS: [Effect; 3] = [Effect::Idempotent, Effect::AtMostOnce, Effect::Deduplicated];
 const SERVERS: u32 = 7;
 
-fn entry(engine: u32, health: Health) -> Entry {
+fn entry(server: u32, health: Health) -> ServerEntry {
     let (zone, cell) = (ZoneId(0), CellId(0));
-    Entry { engine: EngineId(engine), zone, cell, weight: 1.0, started: None, health, kind: engine % 3 }
+    ServerEntry { server: ServerId(server), zone, cell, weight: 1.0, started: None, health, kind: server % 3 }
 }
 
 /// An attempt that is out.
 #[derive(Debug)]
 struct Out {
     number: u32,
-    engine: EngineId,
+    server: ServerId,
     sent: Micros,
     /// When it was told to stop.
     stopping: Option<Micros>,
@@ -624,11 +624,11 @@
     now: Micros,
     effect: Effect,
     not_after: Micros,
-    ready: BTreeMap<EngineId, bool>,
+    ready: BTreeMap<ServerId, bool>,
     out: Option<Out>,
     /// The first attempt that may have run.
     ran: Option<Micros>,
-    held: BTreeSet<EngineId>,
+    held: BTreeSet<ServerId>,
     /// Since when something is held with no attempt out.
     held_since: Option<Micros>,
     answers: u32,
@@ -640,8 +640,8 @@
 const ID: RequestId = RequestId(1);
 
 impl Orders {
-    fn reads(engine: EngineId) -> bool {
-        engine.0.is_multiple_of(3)
+    fn reads(server: ServerId) -> bool {
+        server.0.is_multiple_of(3)
     }
 
     fn tell(&mut self, input: Input) {
@@ -652,10 +652,10 @@
 
     fn check(&mut self, effect: Asks) {
         match effect {
-            Asks::Send { attempt, engine, until, .. } => {
+            Asks::Send { attempt, server, until, .. } => {
                 assert!(!self.gone && self.answers == 0, "sent after the end");
                 assert!(self.out.is_none(), "a second copy beside one that is out");
-                assert!(self.ready[&engine], "sent to a server that is not up");
+                assert!(self.ready[&server], "sent to a server that is not up");
                 assert!(self.now < until && until <= self.not_after);
                 match (self.effect, self.ran) {
                     (Effect::AtMostOnce, Some(_)) => panic!("a second effect"),
@@ -664,9 +664,9 @@
                 }
                 self.held_since = None;
                 self.out =
-                    Some(Out { number: attempt, engine, sent: self.now, stopping: None, begun: false });
+                    Some(Out { number: attempt, server, sent: self.now, stopping: None, begun: false });
             }
-            Asks::Stop { attempt, .. } => {
+            Asks::CancelAttempt { attempt, .. } => {
                 let out = self.out.as_mut().filter(|out| out.number == attempt).expect("it is out");
                 assert!(
                     out.stopping.is_none() && !(out.begun && self.streaming),
@@ -681,7 +681,7 @@
                 (self.held, self.held_since) = (BTreeSet::new(), None);
                 self.ran = self.ran.or(self.out.as_ref().map(|out| out.sent));
             }
-            Asks::Refuse { .. } => {
+            Asks::Reject { .. } => {
                 assert!(
                     self.ran.is_none() || self.effect != Effect::AtMostOnce,
                     "refused though it may have run"
@@ -689,11 +689,11 @@
                 self.answered();
             }
             Asks::Fail { .. } => self.answered(),
-            Asks::Release { holders, .. } => {
+            Asks::ReleaseHeldState { holders, .. } => {
                 assert_eq!(holders.iter().copied().collect::<BTreeSet<_>>(), self.held);
                 (self.held, self.held_since) = (BTreeSet::new(), None);
             }
-            Asks::Forget { .. } => {
+            Asks::Evict { .. } => {
                 assert!(self.out.is_none() && self.held.is_empty() && (self.answers == 1 || self.gone));
                 self.forgotten = true;
             }
@@ -711,10 +711,10 @@
     /// Takes down how an attempt has ended, before the reducer is told.
     fn ends(&mut self, outcome: Outcome) -> Out {
         let out = self.out.take().expect("out");
-        if Self::reads(out.engine) && (outcome == Outcome::Read || outcome.may_have_run()) {
-            self.held.insert(out.engine);
+        if Self::reads(out.server) && (outcome == Outcome::Read || outcome.may_have_run()) {
+            self.held.insert(out.server);
         }
-        if !Self::reads(out.engine) && outcome.may_have_run() {
+        if !Self::reads(out.server) && outcome.may_have_run() {
             self.ran = self.ran.or(Some(out.sent));
         }
         self.streaming &= !out.begun;
@@ -729,15 +729,15 @@
 
     fn finishes(&mut self, outcome: Outcome) {
         let out = self.ends(outcome);
-        let ending = Ending { kept_tokens: 9, ..outcome.into() };
+        let ending = AttemptResult { cached_tokens: 9, ..outcome.into() };
         self.hold();
-        self.tell(Input::Finished { id: ID, attempt: out.number, ending });
+        self.tell(Input::AttemptFinished { id: ID, attempt: out.number, ending });
     }
 
     fn has_stopped(&mut self, written: bool) {
-        let out = self.ends(if written { Outcome::Timeout } else { Outcome::Moot });
+        let out = self.ends(if written { Outcome::Timeout } else { Outcome::NotSent });
         self.hold();
-        self.tell(Input::Stopped { id: ID, attempt: out.number, written });
+        self.tell(Input::AttemptStopped { id: ID, attempt: out.number, written });
     }
 
     /// Time goes on; a stop is answered in time.
@@ -759,18 +759,18 @@
     }
 
     fn step(&mut self, what: u8, lot: u32) {
-        let out = self.out.as_ref().map(|out| (out.engine, out.stopping.is_some(), out.begun));
+        let out = self.out.as_ref().map(|out| (out.server, out.stopping.is_some(), out.begun));
         match (what, out) {
             // It begins; where it is being stopped, the driver drops the stream and says that it has stopped.
-            (0 | 1, Some((engine, false, false))) if !Self::reads(engine) => {
+            (0 | 1, Some((server, false, false))) if !Self::reads(server) => {
                 let number = self.out.as_mut().map(|out| {
                     out.begun = true;
                     out.number
                 });
-                self.tell(Input::Began { id: ID, attempt: number.unwrap_or(0) });
+                self.tell(Input::StreamStarted { id: ID, attempt: number.unwrap_or(0) });
             }
-            (2..=5, Some((engine, _, begun))) => {
-                let ends = match (Self::reads(engine), begun) {
+            (2..=5, Some((server, _, begun))) => {
+                let ends = match (Self::reads(server), begun) {
                     (_, true) => &[Outcome::Served, Outcome::Reset, Outcome::Timeout][..],
                     (true, _) => &[
                         Outcome::Read,
@@ -799,19 +799,22 @@
                     self.streaming = false;
                 }
                 self.hold();
-                self.tell(Input::ClientGone(ID));
+                self.tell(Input::ClientDisconnected(ID));
             }
             (9..=11, _) => {
-                let engine = lot % SERVERS;
+                let server = lot % SERVERS;
                 let health = [Health::Ready, Health::Terminating, Health::Gone][what as usize - 9];
-                self.ready.insert(EngineId(engine), health == Health::Ready);
-                self.tell(Input::Listed { how: ListKind::Patch, entries: vec![entry(engine, health)] });
+                self.ready.insert(ServerId(server), health == Health::Ready);
+                self.tell(Input::EndpointsUpdated {
+                    how: ListUpdateKind::Patch,
+                    entries: vec![entry(server, health)],
+                });
             }
             // The class that the request came with goes on for it, whatever is said of its name from now on.
             (12, _) => {
                 let mut effects = EFFECTS;
                 effects.rotate_left(lot as usize % 3);
-                self.tell(Input::Retuned(Box::new(settings(effects))));
+                self.tell(Input::SettingsReloaded(Box::new(settings(effects))));
             }
             (13, _) => {
                 let left = self.not_after.saturating_sub(self.now);
@@ -845,7 +848,7 @@
             now: SECOND,
             effect: EFFECTS[class as usize],
             not_after,
-            ready: (0..SERVERS).map(|engine| (EngineId(engine), true)).collect(),
+            ready: (0..SERVERS).map(|server| (ServerId(server), true)).collect(),
             out: None,
             ran: None,
             held: BTreeSet::new(),
@@ -855,9 +858,9 @@
             streaming: false,
             forgotten: false,
         };
-        let entries = (0..SERVERS).map(|engine| entry(engine, Health::Ready)).collect();
-        orders.tell(Input::Listed { how: ListKind::Whole, entries });
-        orders.tell(Input::Arrived(Call {
+        let entries = (0..SERVERS).map(|server| entry(server, Health::Ready)).collect();
+        orders.tell(Input::EndpointsUpdated { how: ListUpdateKind::Full, entries });
+        orders.tell(Input::RequestArrived(RequestInfo {
             id: ID,
             class,
             session: Some(Key(u64::from(class))),
