--- a/tests/held_in_bounds.rs
+++ b/tests/held_in_bounds.rs
@@ -18,9 +18,9 @@
         config("127.0.0.1:1".parse().unwrap(), &json!({"revision": 1, "complete": true, "members": []}));
     let settings = Config::parse("config", &known, |_| None).unwrap().settings;
     let (mut core, mut now) = (Core::new(settings, 5, 1_000_000_000, 64), 1_000_000_000);
-    let entry = |engine: u32, kind, health| {
-        let (zone, cell) = (ZoneId(0), CellId(engine % 5));
-        Entry { engine: EngineId(engine), zone, cell, weight: 1.0, started: None, health, kind }
+    let entry = |server: u32, kind, health| {
+        let (zone, cell) = (ZoneId(0), CellId(server % 5));
+        ServerEntry { server: ServerId(server), zone, cell, weight: 1.0, started: None, health, kind }
     };
     let mut forgotten = 0;
     for id in 1..=20_000u64 {
@@ -28,9 +28,9 @@
         if id % 10 == 1 {
             let day = (id / 10) as u32 * 2;
             let entries = (0..8).map(|at| entry(day + at, at % 2, Health::Ready)).collect();
-            effects.extend(core.step(now, Input::Listed { how: ListKind::Whole, entries }));
+            effects.extend(core.step(now, Input::EndpointsUpdated { how: ListUpdateKind::Full, entries }));
         }
-        let call = Call {
+        let call = RequestInfo {
             id: RequestId(id),
             class: (id % 2) as u32,
             session: Some(Key(id)),
@@ -41,35 +41,37 @@
             hint: None,
             not_after: now + 1_000_000,
         };
-        effects.extend(core.step(now, Input::Arrived(call)));
+        effects.extend(core.step(now, Input::RequestArrived(call)));
         for turn in 0.. {
             now += 700;
             let mut then = Vec::new();
             for effect in std::mem::take(&mut effects) {
                 match effect {
-                    Effect::Send { id, attempt, engine, .. } => {
-                        let reads = engine.0.is_multiple_of(2);
-                        let ends = |outcome: Outcome| Input::Finished { id, attempt, ending: outcome.into() };
+                    Effect::Send { id, attempt, server, .. } => {
+                        let reads = server.0.is_multiple_of(2);
+                        let ends =
+                            |outcome: Outcome| Input::AttemptFinished { id, attempt, ending: outcome.into() };
                         let input = match (id.0 + turn) % 9 {
                             0 => ends(Outcome::ConnectFailed),
                             1 => ends(Outcome::Reset),
                             2 => ends(Outcome::Full),
-                            3 => Input::ClientGone(id),
+                            3 => Input::ClientDisconnected(id),
                             4 => continue, // silence: its time runs out
                             _ if reads => ends(Outcome::Read),
                             _ => {
-                                then.extend(core.step(now, Input::Began { id, attempt }));
+                                then.extend(core.step(now, Input::StreamStarted { id, attempt }));
                                 ends(Outcome::Served)
                             }
                         };
                         then.extend(core.step(now, input));
                     }
-                    Effect::Stop { id, attempt } => {
-                        then.extend(
-                            core.step(now, Input::Stopped { id, attempt, written: id.0.is_multiple_of(2) }),
-                        );
+                    Effect::CancelAttempt { id, attempt } => {
+                        then.extend(core.step(
+                            now,
+                            Input::AttemptStopped { id, attempt, written: id.0.is_multiple_of(2) },
+                        ));
                     }
-                    Effect::Forget { .. } => forgotten += 1,
+                    Effect::Evict { .. } => forgotten += 1,
                     _ => {}
                 }
             }
@@ -89,15 +91,15 @@
         let mut effects = core.step(now, Input::Tick);
         while let Some(effect) = effects.pop() {
             match effect {
-                Effect::Stop { id, attempt } => {
-                    effects.extend(core.step(now, Input::Stopped { id, attempt, written: true }))
+                Effect::CancelAttempt { id, attempt } => {
+                    effects.extend(core.step(now, Input::AttemptStopped { id, attempt, written: true }))
                 }
                 Effect::Send { id, attempt, .. } => {
                     effects.extend(
-                        core.step(now, Input::Finished { id, attempt, ending: Outcome::Full.into() }),
+                        core.step(now, Input::AttemptFinished { id, attempt, ending: Outcome::Full.into() }),
                     );
                 }
-                Effect::Forget { .. } => forgotten += 1,
+                Effect::Evict { .. } => forgotten += 1,
                 _ => {}
             }
         }
--- a/tests/hot_restart_files.rs
+++ b/tests/hot_restart_files.rs
@@ -12,7 +12,7 @@
 use dewladder::edge::clients::listener::Phase;
 use dewladder::edge::clients::room::Room;
 use dewladder::edge::clock::Clock;
-use dewladder::edge::driver::{Driver, Message, Sender};
+use dewladder::edge::driver::{Driver, DriverHandle, Message};
 use dewladder::edge::kin::Companion;
 use dewladder::edge::settings::Config;
 use golden_file::assert_golden;
@@ -53,7 +53,7 @@
 }
 
 /// The process under test, running over such a folder.
-fn start(folder: &Path) -> Sender {
+fn start(folder: &Path) -> DriverHandle {
     let mut config: Value =
         serde_json::from_str(&stand_in::config("127.0.0.1:9".parse().unwrap(), &json!({}))).unwrap();
     config["listen"] = json!("127.0.0.1:9");
@@ -84,9 +84,9 @@
 }
 
 /// What the process has learnt by now, as it would be handed over.
-async fn learned(sender: &Sender) -> Value {
+async fn learned(sender: &DriverHandle) -> Value {
     let (ask, answer) = oneshot::channel();
-    sender.send(Message::Learnt(ask));
+    sender.send(Message::ExportState(ask));
     serde_json::to_value(*answer.await.unwrap()).unwrap()
 }
 
--- a/tests/local_connect_failures.rs
+++ b/tests/local_connect_failures.rs
@@ -83,7 +83,7 @@
     sleep(CONNECT_TIMEOUT * 3 / 4).await;
     drop(no_descriptors);
     // The rest of the time is too short to say anything of the server.
-    assert_eq!(sent.await.unwrap(), Outcome::Moot);
+    assert_eq!(sent.await.unwrap(), Outcome::NotSent);
 
     // With all of its time, it is the server's.
     assert_eq!(attempt(servers, address, false).await, Outcome::ConnectFailed);
@@ -110,7 +110,7 @@
     sleep(CONNECT_TIMEOUT).await; // its connection is used again once it has been quiet
 
     let _no_descriptors = NoDescriptors::hold();
-    assert_eq!(attempt(servers, address, true).await, Outcome::Moot);
+    assert_eq!(attempt(servers, address, true).await, Outcome::NotSent);
     let second = timeout(CONNECT_TIMEOUT, serving).await;
     assert!(second.is_err(), "nothing came over the connection that was open: {second:?}");
 }
--- a/tests/own_sites.rs
+++ b/tests/own_sites.rs
@@ -116,7 +116,7 @@
         let talks = |name: &str, by: f64| -> Vec<f64> {
             list(&fam["class"]).iter().map(|class| class[name].as_f64().unwrap() * by).collect()
         };
-        let memory = list(&fam["engine"]).iter().map(|engine| (at(&engine["memory_k"]) * 1e3).round() as u64);
+        let memory = list(&fam["engine"]).iter().map(|server| (at(&server["memory_k"]) * 1e3).round() as u64);
         let stated = |name: &str, pick: fn(f64, f64) -> f64, high: bool| {
             kinds.iter().map(|kind| figure(&kind[name], high)).reduce(pick).unwrap()
         };
@@ -234,12 +234,12 @@
                     _ => DedupGroup::All,
                 };
                 assert_eq!(
-                    (class.name.as_str(), class.effect, class.group),
+                    (class.name.as_str(), class.effect, class.dedup_group),
                     (text(&told["name"]), effect, group),
                     "{at}"
                 );
                 assert_eq!(
-                    (class.aim, class.give_up),
+                    (class.latency_objective, class.default_timeout),
                     (micros(&told["aim_ms"]), micros(&told["deadline_ms"])),
                     "{at}"
                 );
@@ -251,9 +251,9 @@
                     file["allow"]["max_attempts"].as_u64().unwrap(),
                     "{at}"
                 );
-                assert_eq!(class.worth, told["worth"].as_f64().unwrap(), "{at}");
-                assert_eq!(class.token_aim, micros(&talk["token_ms"]), "{at}");
-                assert_eq!(class.aim_per_1000_tokens, micros(&talk["aim_ms_per_k"]), "{at}");
+                assert_eq!(class.priority_weight, told["worth"].as_f64().unwrap(), "{at}");
+                assert_eq!(class.token_interval_objective, micros(&talk["token_ms"]), "{at}");
+                assert_eq!(class.latency_objective_per_1000_tokens, micros(&talk["aim_ms_per_k"]), "{at}");
             }
             let roles: Vec<&str> = list(&file["fam"]["role"]).iter().map(text).collect();
             for (at_kind, kind) in settings.kinds.iter().enumerate() {
@@ -270,7 +270,7 @@
             assert_eq!(settings.zone.0 as usize, draw.zone, "{at}");
             assert_eq!(config.names.zones[draw.zone], site.zone(draw.zone), "{at}");
             assert_eq!(
-                f64::from(settings.balancers),
+                f64::from(settings.dispatcher_count),
                 figure(&file["scale"]["balancers"], draw.high).floor(),
                 "{at}"
             );
@@ -279,22 +279,22 @@
                 json!([allow["cancel"], allow["peers"]]),
                 "{at}"
             );
-            assert_eq!(settings.peer_price, file["prices"]["peer"].as_f64().unwrap(), "{at}");
+            assert_eq!(settings.gossip_price, file["prices"]["peer"].as_f64().unwrap(), "{at}");
             assert_eq!(settings.must_subscribe, file["discovery"]["mode"] == "ask", "{at}");
             assert_eq!(
-                json!([settings.writers_read, config.resume]),
+                json!([settings.writers_can_read, config.resume]),
                 json!([file["fam"]["writers_read"], file["fam"]["resume"]])
             );
-            assert_eq!(settings.release_within, micros(&file["fam"]["release_ms"]), "{at}");
+            assert_eq!(settings.max_hold_time, micros(&file["fam"]["release_ms"]), "{at}");
             assert_eq!(settings.max_retry_after, micros(&file["clients"]["max_retry_after_ms"]), "{at}");
             assert_eq!(settings.resolution, micros(&file["day"]["tick_ms"]), "{at}");
-            assert_eq!(settings.fall_multiple, rules["fall_multiple"].as_f64().unwrap(), "{at}");
-            assert_eq!(settings.fall_window, micros(&rules["fall_ms"]), "{at}");
+            assert_eq!(settings.overload_multiple, rules["fall_multiple"].as_f64().unwrap(), "{at}");
+            assert_eq!(settings.overload_window, micros(&rules["fall_ms"]), "{at}");
             for kind in list(&tier["kind"]) {
-                assert!(settings.cold_from <= figure(&kind["cold_from"], false), "{at}");
-                assert!(settings.cold_for as f64 >= figure(&kind["cold_s"], true) * 1e6, "{at}");
+                assert!(settings.slow_start_min_share <= figure(&kind["cold_from"], false), "{at}");
+                assert!(settings.slow_start_window as f64 >= figure(&kind["cold_s"], true) * 1e6, "{at}");
             }
-            assert!(settings.cold_from > 0.0, "{at}");
+            assert!(settings.slow_start_min_share > 0.0, "{at}");
             assert_eq!(
                 config.keepalive.as_micros() as u64,
                 figure(&tier["conn"]["idle_s"], false) as u64 * 1_000_000,
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -15,7 +15,7 @@
 use dewladder::edge::servers::{self, Payload, Servers};
 use dewladder::edge::settings::Config;
 use dewladder::edge::stats::Figures;
-use dewladder::interface::{Call, ListKind, Outcome, RequestId};
+use dewladder::interface::{ListUpdateKind, Outcome, RequestId, RequestInfo};
 use serde_json::{json, Value};
 use stand_in::*;
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
@@ -495,8 +495,8 @@
     let (driver, sender) = Driver::new(&config, clock);
     tokio::spawn(driver.run());
     let entries = entries(&config.known, &config.names);
-    sender.send(Message::Listed { how: ListKind::Whole, entries });
-    let call = Call {
+    sender.send(Message::EndpointsUpdated { how: ListUpdateKind::Full, entries });
+    let call = RequestInfo {
         id: RequestId(1),
         class: 0,
         session: None,
--- a/tests/transitions.rs
+++ b/tests/transitions.rs
@@ -1,6 +1,6 @@
 //! What becomes of attempts and requests is counted by its reason, and rules that are found broken are counted.
 
-use dewladder::edge::core::{Core, Effect, Ending, Input};
+use dewladder::edge::core::{AttemptResult, Core, Effect, Input};
 use dewladder::edge::guard::Rule;
 use dewladder::edge::stats::Record;
 use dewladder::edge::transitions::OUTCOMES;
@@ -17,7 +17,7 @@
 }
 
 fn call(class: u32, not_after: Micros) -> Input {
-    Input::Arrived(Call {
+    Input::RequestArrived(RequestInfo {
         id: ID,
         class,
         session: None,
@@ -31,8 +31,8 @@
 }
 
 fn list() -> Input {
-    let entry = Entry {
-        engine: EngineId(1),
+    let entry = ServerEntry {
+        server: ServerId(1),
         zone: ZoneId(0),
         cell: CellId(0),
         weight: 1.0,
@@ -40,7 +40,7 @@
         health: Health::Ready,
         kind: 0,
     };
-    Input::Listed { how: ListKind::Whole, entries: vec![entry] }
+    Input::EndpointsUpdated { how: ListUpdateKind::Full, entries: vec![entry] }
 }
 
 /// The figures' lines that are not 0, of those that count by reason.
@@ -74,7 +74,7 @@
     ];
     for (mut core, asks, reason) in cases {
         let effects = core.step(SECOND, asks);
-        assert!(effects.iter().any(|effect| matches!(effect, Effect::Refuse { .. } | Effect::Fail { .. })));
+        assert!(effects.iter().any(|effect| matches!(effect, Effect::Reject { .. } | Effect::Fail { .. })));
         assert_eq!(counted(&core), [format!("edge_router.answered.{reason}:1|c")]);
     }
 }
@@ -87,8 +87,8 @@
     let [Effect::Send { attempt, .. }] = sent[..] else { panic!("{sent:?}") };
     assert_eq!(core.guard().broken().iter().sum::<u64>(), 0);
     // The driver was held up for long: the attempt's end comes with no tick before it.
-    let ending = Ending::from(Outcome::ConnectFailed);
-    core.step(3 * SECOND, Input::Finished { id: ID, attempt, ending });
+    let ending = AttemptResult::from(Outcome::ConnectFailed);
+    core.step(3 * SECOND, Input::AttemptFinished { id: ID, attempt, ending });
     let lines = counted(&core);
     assert_eq!(lines, ["edge_router.attempts.connect_failed:1|c", "edge_router.answered.deadline:1|c"]);
     assert_eq!(core.guard().broken()[Rule::LateAnswer as usize], 1);
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -33,26 +33,26 @@
     from_pairs(pairs.into_iter().collect()).unwrap()
 }
 
-fn server(engine: u32, started: Option<Micros>) -> Entry {
+fn entry(server: u32, started: Option<Micros>) -> ServerEntry {
     let (zone, cell) = (ZoneId(0), CellId(0));
-    let kind = u32::from(engine >= 10);
-    Entry { engine: EngineId(engine), zone, cell, weight: 1.0, started, health: Health::Ready, kind }
+    let kind = u32::from(server >= 10);
+    ServerEntry { server: ServerId(server), zone, cell, weight: 1.0, started, health: Health::Ready, kind }
 }
 
 /// Two readers and two writers that have run for long.
-fn old_servers() -> Vec<Entry> {
-    [1, 2, 10, 11].map(|engine| server(engine, None)).into()
+fn old_servers() -> Vec<ServerEntry> {
+    [1, 2, 10, 11].map(|server| entry(server, None)).into()
 }
 
 /// Plays calls from `from` on the process's own clock, each served at once; attempts at each server, and refusals.
-fn serves(core: &mut Core, from: Micros, length: Micros) -> (Vec<EngineId>, usize) {
+fn serves(core: &mut Core, from: Micros, length: Micros) -> (Vec<ServerId>, usize) {
     let (mut sent, mut refused, mut now) = (Vec::new(), 0, from);
     // Alike whatever the clock says: where a call goes depends on its conversation.
     let mut number = length;
     while now < from + length {
         now += EVERY;
         number += 1;
-        let call = Call {
+        let call = RequestInfo {
             id: RequestId(number),
             class: 0,
             session: Some(Key(number)),
@@ -63,23 +63,24 @@
             hint: None,
             not_after: now + 4 * SECOND,
         };
-        let mut effects = core.step(now, Input::Arrived(call));
+        let mut effects = core.step(now, Input::RequestArrived(call));
         effects.extend(core.step(now, Input::Tick));
         while !effects.is_empty() {
             let mut next = Vec::new();
             for effect in effects {
                 match effect {
-                    Asks::Send { id, attempt, engine, reads, .. } => {
-                        sent.push(engine);
+                    Asks::Send { id, attempt, server, reads, .. } => {
+                        sent.push(server);
                         let outcome = if reads { Outcome::Read } else { Outcome::Served };
                         if !reads {
-                            next.extend(core.step(now, Input::Began { id, attempt }));
+                            next.extend(core.step(now, Input::StreamStarted { id, attempt }));
                         }
-                        next.extend(
-                            core.step(now + 1_000, Input::Finished { id, attempt, ending: outcome.into() }),
-                        );
+                        next.extend(core.step(
+                            now + 1_000,
+                            Input::AttemptFinished { id, attempt, ending: outcome.into() },
+                        ));
                     }
-                    Asks::Refuse { .. } => refused += 1,
+                    Asks::Reject { .. } => refused += 1,
                     _ => {}
                 }
             }
@@ -94,15 +95,15 @@
 fn sent_to_a_cold_reader(off: i64) -> usize {
     let now = NOW.checked_add_signed(off).unwrap();
     let mut core = Core::new(settings(), 1, now, 500);
-    core.step(now, Input::Listed { how: ListKind::Whole, entries: old_servers() });
+    core.step(now, Input::EndpointsUpdated { how: ListUpdateKind::Full, entries: old_servers() });
     serves(&mut core, now, FOR);
     let told = now + FOR + SECOND;
     let started = NOW + FOR; // by discovery's clock, a second before
-    let drains = |engine| Entry { health: Health::Terminating, ..server(engine, None) };
-    let entries = vec![server(3, Some(started)), drains(1), drains(2)];
-    core.step(told, Input::Listed { how: ListKind::Patch, entries });
+    let drains = |server| ServerEntry { health: Health::Terminating, ..entry(server, None) };
+    let entries = vec![entry(3, Some(started)), drains(1), drains(2)];
+    core.step(told, Input::EndpointsUpdated { how: ListUpdateKind::Patch, entries });
     let (sent, _) = serves(&mut core, told, 2 * SECOND);
-    sent.into_iter().filter(|engine| *engine == EngineId(3)).count()
+    sent.into_iter().filter(|server| *server == ServerId(3)).count()
 }
 
 #[test]
@@ -120,12 +121,12 @@
     let serves_with = |off: Micros| {
         let now = NOW - off;
         let mut core = Core::new(settings(), 1, now, 500);
-        let minutes_ago = |engine| server(engine, Some(NOW - 1_800 * SECOND));
+        let minutes_ago = |server| entry(server, Some(NOW - 1_800 * SECOND));
         let mut entries = [1, 2, 10, 11].map(minutes_ago).to_vec();
-        entries.push(server(3, Some(NOW - SECOND)));
-        core.step(now, Input::Listed { how: ListKind::Whole, entries });
+        entries.push(entry(3, Some(NOW - SECOND)));
+        core.step(now, Input::EndpointsUpdated { how: ListUpdateKind::Full, entries });
         let (sent, refused) = serves(&mut core, now, FOR);
-        (sent.iter().filter(|engine| engine.0 == 10 || engine.0 == 11).count(), refused)
+        (sent.iter().filter(|server| server.0 == 10 || server.0 == 11).count(), refused)
     };
     let (right, behind) = (serves_with(0), serves_with(HOUR));
     assert!(
@@ -140,15 +141,18 @@
 fn a_cold_server_becomes_warm_in_its_time_though_the_own_clock_is_behind() {
     let now = NOW - HOUR;
     let mut core = Core::new(settings(), 1, now, 500);
-    core.step(now, Input::Listed { how: ListKind::Whole, entries: old_servers() });
+    core.step(now, Input::EndpointsUpdated { how: ListUpdateKind::Full, entries: old_servers() });
     serves(&mut core, now, FOR);
     let told = now + FOR + SECOND;
-    let entries = [server(3, Some(NOW + FOR)), server(1, None)];
-    let gone = Entry { health: Health::Gone, ..server(1, None) };
-    core.step(told, Input::Listed { how: ListKind::Patch, entries: vec![entries[0].clone(), gone] });
+    let entries = [entry(3, Some(NOW + FOR)), entry(1, None)];
+    let gone = ServerEntry { health: Health::Gone, ..entry(1, None) };
+    core.step(
+        told,
+        Input::EndpointsUpdated { how: ListUpdateKind::Patch, entries: vec![entries[0].clone(), gone] },
+    );
     let (sent, _) = serves(&mut core, told + 15 * SECOND, 5 * SECOND);
     let (third, second) = (3, 2);
-    let count = |engine: u32| sent.iter().filter(|one| one.0 == engine).count();
+    let count = |server: u32| sent.iter().filter(|one| one.0 == server).count();
     assert!(
         count(third) * 3 > count(second),
         "{} to the warmed one, {} to the other",
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -20,7 +20,7 @@
 #[test]
 fn a_call_is_read_in_full() {
     let line = "call\t3\t2a0235775d3a91c4\t1\t2\tchat/kd6b\t8.65225\t0.012\tc:c0dw\t1800\t1200\t256\t3";
-    let expected = Call {
+    let expected = RequestInfo {
         id: RequestId(0x2a02_3577_5d3a_91c4),
         class: 1,
         session: Some(Key::from_text("chat/kd6b")),
@@ -31,13 +31,13 @@
         hint: Some(12_000),
         not_after: 8_652_250,
     };
-    assert_eq!(read_one(line), Ok(Message::Event(Event::Call(expected))));
+    assert_eq!(read_one(line), Ok(Message::Event(Event::RequestArrived(expected))));
 }
 
 #[test]
 fn absent_values_and_a_hint_that_is_not_valid_are_none() {
     let line = "call\t3\t2a0235775d3a91c4\t0\t-\t-\t8.65225\t0.5\t-\t1800\t-\t256\t0";
-    let Ok(Message::Event(Event::Call(call))) = read_one(line) else { panic!("a call") };
+    let Ok(Message::Event(Event::RequestArrived(call))) = read_one(line) else { panic!("a call") };
     assert_eq!((call.session, call.shared, call.hint, call.shared_tokens), (None, None, None, 0));
 }
 
@@ -46,26 +46,29 @@
     let text = "round\t1\t1\nroster_change\t3\t41\tstale_copy\t2\nm\t51530247\t0\t0\t1\t-\tReady\t0\n\
                 m\t747639282\t1\t0\t1.5\t6.1\tTerminating\t1\nyour_turn\n";
     let messages = read(text).unwrap();
-    let Message::Event(Event::Roster { how, entries }) = &messages[0].1 else { panic!("a list") };
-    assert_eq!((*how, entries.len(), entries[0].started), (ListKind::StaleCopy, 2, None));
+    let Message::Event(Event::EndpointsUpdated { how, entries }) = &messages[0].1 else { panic!("a list") };
+    assert_eq!((*how, entries.len(), entries[0].started), (ListUpdateKind::StaleCopy, 2, None));
     assert_eq!((entries[1].started, entries[1].health), (Some(6_100_000), Health::Terminating));
 }
 
 #[test]
 fn outcomes_and_reports_are_read_and_unknown_ones_passed_over() {
     let line = "report_back\t3\t2a0235775d3a91c4\t0.0185\t2\t1\t3\t0\t51\tqueue:3,x0:0.4,new:9,x1:-";
-    let Ok(Message::Event(Event::Ended(ended))) = read_one(line) else { panic!("an end") };
+    let Ok(Message::Event(Event::AttemptFinished(ended))) = read_one(line) else { panic!("an end") };
     let report = Report { values: [Some(0.4), None, None, None] };
     assert_eq!((ended.outcome, ended.attempt, ended.report), (Outcome::NoState, 2, Some(report)));
     let line = "report_back\t3\t2a0235775d3a91c4\t0.0185\t0\t-\t99\t1\t51\t-";
-    let Ok(Message::Event(Event::Ended(ended))) = read_one(line) else { panic!("an end") };
+    let Ok(Message::Event(Event::AttemptFinished(ended))) = read_one(line) else { panic!("an end") };
     assert_eq!((ended.outcome, ended.last, ended.report), (Outcome::Unknown, true, None));
-    assert_eq!(read_one("inbox\t3\t1\taGkgNw=="), Ok(Message::Event(Event::Heard(b"hi 7".to_vec()))));
-    assert_eq!(read_one("inbox\t3\t1\t-"), Ok(Message::Event(Event::Heard(Vec::new()))));
+    assert_eq!(
+        read_one("inbox\t3\t1\taGkgNw=="),
+        Ok(Message::Event(Event::GossipReceived(b"hi 7".to_vec())))
+    );
+    assert_eq!(read_one("inbox\t3\t1\t-"), Ok(Message::Event(Event::GossipReceived(Vec::new()))));
     assert!(read_one("inbox\t3\t1\ta.b").is_err());
     assert_eq!(
         read_one("due\t3\tsweep"),
-        Ok(Message::Event(Event::Due(TimerToken(u64::MAX)))),
+        Ok(Message::Event(Event::TimerFired(TimerToken(u64::MAX)))),
         "a token that is not ours"
     );
 }
@@ -85,7 +88,7 @@
     assert_eq!(born(&format!("\tdomain.report_x0={queued}\tdomain.report_x2={held}")), Some(2));
     assert_eq!(born(&format!("\tdomain.report_x0={queued}")), None);
     let line = "report_back\t3\t2a0235775d3a91c4\t0.0185\t2\t1\t3\t0\t51\tx2:0.9,x7:1,y:2";
-    let Ok(Message::Event(Event::Ended(ended))) = read_one(line) else { panic!("an end") };
+    let Ok(Message::Event(Event::AttemptFinished(ended))) = read_one(line) else { panic!("an end") };
     assert_eq!(ended.report, Some(Report { values: [None, None, Some(0.9), None] }));
 }
 
@@ -97,14 +100,14 @@
                 orgs.count=1\torgs.0.quota_rps=4.5\tdiscovery=subscribe\trules.cold_from=0.26";
     let Ok(Message::Born { seed, settings }) = read_one(line) else { panic!("a start") };
     assert_eq!(
-        (seed, settings.balancers, settings.writers_read, settings.must_subscribe),
+        (seed, settings.dispatcher_count, settings.writers_can_read, settings.must_subscribe),
         (51, 3, true, true)
     );
     assert_eq!(settings.kinds[1], Kind { role: Role::Mixed, memory_tokens: 2_000 });
     let class = &settings.classes[&0];
-    assert_eq!((class.aim, class.token_aim), (1_200_000, 60_000));
-    assert_eq!((class.effect, class.group), (Effect::Deduplicated, DedupGroup::Cell));
-    assert!((settings.cold_from - 0.26).abs() < 1e-9);
+    assert_eq!((class.latency_objective, class.token_interval_objective), (1_200_000, 60_000));
+    assert_eq!((class.effect, class.dedup_group), (Effect::Deduplicated, DedupGroup::Cell));
+    assert!((settings.slow_start_min_share - 0.26).abs() < 1e-9);
 }
 
 #[test]
@@ -143,12 +146,12 @@
 fn actions_are_written_one_a_line() {
     let id = RequestId(0x2a);
     let actions = [
-        Action::Assign { id, engine: EngineId(7), patience: 80_000 },
-        Action::Refuse { id, retry_in: 1_500_000 },
-        Action::GiveUp(id),
-        Action::Revoke { id, attempt: 1 },
-        Action::LetGo(id),
-        Action::Defer { delay: 40_000, token: TimerToken(26) },
+        Action::Assign { id, server: ServerId(7), attempt_timeout: 80_000 },
+        Action::Reject { id, retry_in: 1_500_000 },
+        Action::Fail(id),
+        Action::CancelAttempt { id, attempt: 1 },
+        Action::ReleaseHeldState(id),
+        Action::StartTimer { delay: 40_000, token: TimerToken(26) },
         Action::Subscribe,
     ];
     let mut out = Vec::new();
