--- a/benches/scale/configuration.rs
+++ b/benches/scale/configuration.rs
@@ -25,7 +25,7 @@
     let text = configuration_text(servers, 510, classes);
     let config = Config::parse("configuration", &text, |_| None)?;
     let read = mean_us(|| drop(Config::parse("configuration", &text, |_| None)));
-    let mut core = Core::new(config.settings.clone(), 7, NOW, config.most_open());
+    let mut core = Core::new(config.settings.clone(), 7, NOW, config.max_open_requests());
     let (mut now, mut turn) = (NOW, 0);
     let taken_over = mean_us(|| {
         (now, turn) = (now + 1_000_000, turn + 1);
--- a/crates/scale/src/page/needs.rs
+++ b/crates/scale/src/page/needs.rs
@@ -375,7 +375,7 @@
             unit: Unit::Descriptors,
             known: Known::Reckoned,
             arithmetic: format!(
-                "{start:.0} + {slope:.1} a stream x {:.0}, three for each open request as `Config::most_open` reserves; 1,024 is the least that limits have given so far",
+                "{start:.0} + {slope:.1} a stream x {:.0}, three for each open request as `Config::max_open_requests` reserves; 1,024 is the least that limits have given so far",
                 target::STREAMS
             ),
             mechanism: "a third of the descriptors for open requests: `src/edge/settings.rs`",
--- a/src/edge/balancers.rs
+++ b/src/edge/balancers.rs
@@ -26,14 +26,14 @@
 pub struct Health {
     figures: Figures,
     phase: watch::Receiver<Phase>,
-    most_open: usize,
+    max_open_requests: usize,
 }
 
 impl Health {
-    /// Told from these; `most_open` requests are a full load.
+    /// Told from these; `max_open_requests` requests are a full load.
     #[must_use]
-    pub fn new(figures: Figures, phase: watch::Receiver<Phase>, most_open: usize) -> Self {
-        Self { figures, phase, most_open }
+    pub fn new(figures: Figures, phase: watch::Receiver<Phase>, max_open_requests: usize) -> Self {
+        Self { figures, phase, max_open_requests }
     }
 
     fn leaving(&self) -> bool {
@@ -69,8 +69,8 @@
         if self.ready().is_err() {
             return "down #no servers\n".to_owned();
         }
-        let open = self.figures.open().min(self.most_open);
-        let room = 100 * (self.most_open - open) / self.most_open.max(1);
+        let open = self.figures.open().min(self.max_open_requests);
+        let room = 100 * (self.max_open_requests - open) / self.max_open_requests.max(1);
         format!("ready up {}%\n", room.max(1))
     }
 }
--- a/src/edge/connections.rs
+++ b/src/edge/connections.rs
@@ -193,7 +193,7 @@
             next: AtomicU64::new(0),
             kept: kept_idle(config.keepalive, config.settings.dispatcher_count),
             acknowledged_in: acknowledged_in(config),
-            most_idle: config.most_idle(),
+            most_idle: config.max_idle_per_server(),
             written: Arc::new(written),
         }))
     }
--- a/src/edge/dispatcher.rs
+++ b/src/edge/dispatcher.rs
@@ -129,7 +129,7 @@
         let companion = folder.map(|folder| Companion::start(&config, &folder, clock));
         let joins = companion.as_ref().is_some_and(|companion| companion.seen().0.stage == Stage::Joining);
         let (phase, phases) = watch::channel(if joins { Phase::Joining } else { Phase::Serving });
-        let health = Health::new(figures.clone(), phases, config.most_open());
+        let health = Health::new(figures.clone(), phases, config.max_open_requests());
         let listen = |address: SocketAddr| if joins { Ok(None) } else { listen(address, shared).map(Some) };
         let platform = platform::front(clock, to_driver.clone(), figures.clone());
         let platform = platform.merge(balancers::routes(health.clone()));
@@ -231,7 +231,7 @@
         let hearing = peers.map(|peers| tokio::spawn(peers.hear(to_driver.clone())));
         let mut driver = tokio::spawn(driver.run());
         let mut watching = tokio::spawn(list::watch(config.clone(), discovery, to_driver.clone()));
-        let room = Room::new(config.most_connections());
+        let room = Room::new(config.max_client_connections());
         let agent = agent.map(|listener| tokio::spawn(balancers::agent_check(listener, health)));
         let (leave, left) = oneshot::channel();
         let cluster = cluster.map(|cluster| tokio::spawn(cluster.run(left)));
--- a/src/edge/driver.rs
+++ b/src/edge/driver.rs
@@ -72,7 +72,7 @@
         /// Which part, of 1.
         part: f64,
         /// Requests that are open at once.
-        most_open: usize,
+        max_open_requests: usize,
     },
     /// Something that the reducer takes as it is.
     Input(Input),
@@ -151,7 +151,7 @@
 
 impl StreamEnd for DriverHandle {
     fn finished(&self, id: RequestId, attempt: u32, ending: AttemptResult) {
-        self.send(Message::Input(Input::AttemptFinished { id, attempt, ending }));
+        self.send(Message::Input(Input::AttemptFinished { id, attempt, result: ending }));
     }
 
     fn client_gone(&self, id: RequestId) {
@@ -232,7 +232,7 @@
         let (to_self, inbox) = mpsc::unbounded_channel();
         let (published, settings) = watch::channel(Arc::new(config.settings.clone()));
         let to_self = DriverHandle { to: to_self, settings };
-        let core = Core::new(config.settings.clone(), config.seed, clock.now(), config.most_open());
+        let core = Core::new(config.settings.clone(), config.seed, clock.now(), config.max_open_requests());
         let figures = Figures::default();
         config.settings.current().for_each(|class| figures.record().know(&class.name));
         let driver = Self {
@@ -322,11 +322,13 @@
                 Input::ClientDisconnected(id)
             }
             Message::ExportState(to) => {
-                let _ = to.send(Box::new(self.core.learnt())); // who asked may have gone
+                let _ = to.send(Box::new(self.core.export_state())); // who asked may have gone
                 return None;
             }
             Message::StateImported(learnt) => Input::StateImported(learnt),
-            Message::LimitShareChanged { part, most_open } => Input::LimitShareChanged { part, most_open },
+            Message::LimitShareChanged { part, max_open_requests } => {
+                Input::LimitShareChanged { part, max_open_requests }
+            }
             // In one step: what is published and what the reducer goes by are never of two files.
             Message::SettingsReloaded(settings) => {
                 let mut now = (*settings).clone();
@@ -341,7 +343,7 @@
             }
             Message::Input(input) => {
                 match input {
-                    Input::AttemptFinished { id, attempt, ending } => {
+                    Input::AttemptFinished { id, attempt, result: ending } => {
                         self.flying.remove(&(id, attempt));
                         if ending.outcome == Outcome::Read {
                             self.call_releases_off(id);
@@ -447,7 +449,7 @@
                     return Some(Input::AttemptFinished {
                         id,
                         attempt,
-                        ending: Outcome::ConnectFailed.into(),
+                        result: Outcome::ConnectFailed.into(),
                     });
                 };
                 let (address, payload) = (address.clone(), client.payload.clone());
--- a/src/edge/kin.rs
+++ b/src/edge/kin.rs
@@ -280,10 +280,12 @@
             let part = self.kin.says().part;
             if part != applied {
                 applied = part;
-                room.holds(dewladder_hot_restart::of(config.most_connections(), part));
-                let most_open = dewladder_hot_restart::of(config.most_open(), part);
-                driver
-                    .send(Message::LimitShareChanged { part: f64::from(part) / f64::from(WHOLE), most_open });
+                room.holds(dewladder_hot_restart::of(config.max_client_connections(), part));
+                let max_open_requests = dewladder_hot_restart::of(config.max_open_requests(), part);
+                driver.send(Message::LimitShareChanged {
+                    part: f64::from(part) / f64::from(WHOLE),
+                    max_open_requests,
+                });
             }
             room.shrink(Instant::now());
             tell.send_replace(Some(self.seen()));
--- a/src/edge/settings.rs
+++ b/src/edge/settings.rs
@@ -267,7 +267,7 @@
 
     /// Requests that are open at once: each may need a socket on either side.
     #[must_use]
-    pub fn most_open(&self) -> usize {
+    pub fn max_open_requests(&self) -> usize {
         (self.limits.sockets / 3).max(4)
     }
 
@@ -275,14 +275,14 @@
     /// request, a sixth for idle connections to servers, and some for releases, the list and clients that are
     /// told that there is no room, these are all descriptors.
     #[must_use]
-    pub fn most_connections(&self) -> usize {
+    pub fn max_client_connections(&self) -> usize {
         let second = self.admin.map_or(0, |_| DESCRIPTORS);
         (self.limits.sockets / 2).saturating_sub(16 + second).max(4)
     }
 
     /// Idle connections that are kept to each server.
     #[must_use]
-    pub fn most_idle(&self) -> usize {
+    pub fn max_idle_per_server(&self) -> usize {
         let servers = self.known.members.len().max(10);
         ((self.limits.sockets / 6).saturating_sub(16) / servers).max(1)
     }
--- a/tests/connection_model.rs
+++ b/tests/connection_model.rs
@@ -221,7 +221,7 @@
                 self.tell(Input::AttemptFinished {
                     id,
                     attempt,
-                    ending: AttemptResult { cached_tokens: 9, ..outcome.into() },
+                    result: AttemptResult { cached_tokens: 9, ..outcome.into() },
                 });
             }
             (8..=10, Some((id, attempt, (server, false)))) if !reads(server) => {
@@ -256,7 +256,7 @@
                 let id = RequestId(u64::from(first % 40));
                 let attempt = 7 + second % 3;
                 self.tell(Input::StreamStarted { id, attempt });
-                self.tell(Input::AttemptFinished { id, attempt, ending: Outcome::Served.into() });
+                self.tell(Input::AttemptFinished { id, attempt, result: Outcome::Served.into() });
                 self.tell(Input::AttemptStopped { id, attempt, written: true });
             }
             _ => self.pass(u64::from(first % 300) * 1_000),
--- a/tests/crossings_handover.rs
+++ b/tests/crossings_handover.rs
@@ -312,7 +312,7 @@
                     now += 10_000;
                     read_at = Some(now);
                     next.extend(
-                        core.step(now, Input::AttemptFinished { id, attempt, ending: Outcome::Read.into() }),
+                        core.step(now, Input::AttemptFinished { id, attempt, result: Outcome::Read.into() }),
                     );
                 }
                 Asks::Send { id, attempt, begin_by, .. } => {
@@ -320,7 +320,7 @@
                     now += 120_000;
                     unacknowledged += 1;
                     let ending = Outcome::Unacknowledged.into();
-                    next.extend(core.step(now, Input::AttemptFinished { id, attempt, ending }));
+                    next.extend(core.step(now, Input::AttemptFinished { id, attempt, result: ending }));
                 }
                 Asks::ReleaseHeldState { .. } => {
                     let held = now - read_at.expect("a read");
@@ -731,7 +731,7 @@
         let out = self.ends(outcome);
         let ending = AttemptResult { cached_tokens: 9, ..outcome.into() };
         self.hold();
-        self.tell(Input::AttemptFinished { id: ID, attempt: out.number, ending });
+        self.tell(Input::AttemptFinished { id: ID, attempt: out.number, result: ending });
     }
 
     fn has_stopped(&mut self, written: bool) {
--- a/tests/held_in_bounds.rs
+++ b/tests/held_in_bounds.rs
@@ -50,7 +50,7 @@
                     Effect::Send { id, attempt, server, .. } => {
                         let reads = server.0.is_multiple_of(2);
                         let ends =
-                            |outcome: Outcome| Input::AttemptFinished { id, attempt, ending: outcome.into() };
+                            |outcome: Outcome| Input::AttemptFinished { id, attempt, result: outcome.into() };
                         let input = match (id.0 + turn) % 9 {
                             0 => ends(Outcome::ConnectFailed),
                             1 => ends(Outcome::Reset),
@@ -96,7 +96,7 @@
                 }
                 Effect::Send { id, attempt, .. } => {
                     effects.extend(
-                        core.step(now, Input::AttemptFinished { id, attempt, ending: Outcome::Full.into() }),
+                        core.step(now, Input::AttemptFinished { id, attempt, result: Outcome::Full.into() }),
                     );
                 }
                 Effect::Evict { .. } => forgotten += 1,
--- a/tests/hot_restart_files.rs
+++ b/tests/hot_restart_files.rs
@@ -62,7 +62,7 @@
     let companion = Companion::start(&config, folder.to_str().unwrap(), clock);
     let (driver, sender) = Driver::new(&config, clock);
     let figures = driver.figures();
-    let room = Room::new(config.most_connections());
+    let room = Room::new(config.max_client_connections());
     let (phase, phases) = watch::channel(Phase::Serving);
     let (seen, _) = watch::channel(None);
     let to_driver = sender.clone();
--- a/tests/own_sites.rs
+++ b/tests/own_sites.rs
@@ -308,7 +308,8 @@
             assert_eq!((config.limits.memory_mb, config.limits.sockets), (96, 512), "{at}");
             // Two sockets for each open request, idle ones to servers, and some to spare: all within the limit.
             assert!(
-                2 * config.most_open() < 512 && config.most_connections() + config.most_open() < 512,
+                2 * config.max_open_requests() < 512
+                    && config.max_client_connections() + config.max_open_requests() < 512,
                 "{at}"
             );
         }
--- a/tests/transitions.rs
+++ b/tests/transitions.rs
@@ -88,7 +88,7 @@
     assert_eq!(core.guard().broken().iter().sum::<u64>(), 0);
     // The driver was held up for long: the attempt's end comes with no tick before it.
     let ending = AttemptResult::from(Outcome::ConnectFailed);
-    core.step(3 * SECOND, Input::AttemptFinished { id: ID, attempt, ending });
+    core.step(3 * SECOND, Input::AttemptFinished { id: ID, attempt, result: ending });
     let lines = counted(&core);
     assert_eq!(lines, ["edge_router.attempts.connect_failed:1|c", "edge_router.answered.deadline:1|c"]);
     assert_eq!(core.guard().broken()[Rule::LateAnswer as usize], 1);
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -77,7 +77,7 @@
                         }
                         next.extend(core.step(
                             now + 1_000,
-                            Input::AttemptFinished { id, attempt, ending: outcome.into() },
+                            Input::AttemptFinished { id, attempt, result: outcome.into() },
                         ));
                     }
                     Asks::Reject { .. } => refused += 1,
