--- a/src/edge/dispatcher.rs
+++ b/src/edge/dispatcher.rs
@@ -122,7 +122,7 @@
                 None
             }
         });
-        driver.reaches(peers.clone().unwrap_or_default());
+        driver.set_peers(peers.clone().unwrap_or_default());
         let figures = driver.figures();
         // Only where there is a second address can another process be told to take over.
         let folder = std::env::var("TMPDIR").ok().filter(|_| shared);
--- a/src/edge/driver.rs
+++ b/src/edge/driver.rs
@@ -1,210 +1,41 @@
-//! The loop round the reducer: it takes what fronts, attempts and the list tell, steps the reducer, and
-//! carries out the effects that it asks for. Nothing is decided here.
-
-use std::collections::{BTreeMap, HashMap, VecDeque};
-use std::future::Future;
+//! The loop round the reducer: it takes what clients, attempts and the list tell, steps the reducer, and carries out the
+//! effects that it asks for. Nothing is decided here.
+//!
+//! The driver owns what the reducer has no words for: the clients that wait ([`clients`]), the tasks of attempts
+//! ([`attempts`]) and of releases ([`releases`]), and the addresses of servers ([`addresses`]).
+
+mod addresses;
+mod attempts;
+mod clients;
+mod handle;
+mod messages;
+mod releases;
+mod summary;
+
+use std::collections::VecDeque;
 use std::sync::Arc;
-use std::time::Duration;
 
 use log::{debug, info};
-use tokio::sync::{mpsc, oneshot, watch};
-use tokio::task::JoinHandle;
-use tokio::time::{sleep, timeout_at};
+use tokio::sync::{mpsc, watch};
+use tokio::time::timeout_at;
 
 use crate::edge::clock::Clock;
-use crate::edge::core::{AttemptResult, Core, Effect, Input, CLOSE_SEEN};
+use crate::edge::core::{Core, Effect, Input};
+use crate::edge::driver::addresses::Addresses;
+use crate::edge::driver::attempts::Attempts;
+use crate::edge::driver::clients::{Client, Clients};
+pub use crate::edge::driver::handle::DriverHandle;
+pub use crate::edge::driver::messages::{Message, Reply};
+use crate::edge::driver::releases::Releases;
+use crate::edge::driver::summary::Summary;
 use crate::edge::peers::Peers;
-use crate::edge::servers::{self, Opened, Payload, Progress, Relay, Servers, StreamEnd};
+use crate::edge::servers::{self, Servers};
 use crate::edge::settings::Config;
-use crate::edge::stats::{Counts, End, Figures};
-use crate::interface::{
-    Class, Health, ListUpdateKind, Micros, Outcome, RequestId, RequestInfo, ServerEntry, ServerId, Settings,
-};
-use dewladder_router::{mix, GossipCounts, Handover};
-
-/// Time between two lines of what clients got.
-const TALLY: Micros = 10_000_000;
-/// Servers that are avoided are counted so often: it goes through all of them, and a step is taken for each event.
-const AVOIDED: Micros = 100_000;
-/// Servers that a release turns to where the holders don't answer.
-const STAND_INS: usize = 8;
-
-/// What the driver is told.
-#[derive(Debug)]
-pub enum Message {
-    /// A client asks.
-    RequestArrived {
-        /// What it asks.
-        call: RequestInfo,
-        /// What is sent on for it.
-        payload: Arc<Payload>,
-        /// Where its answer goes.
-        reply: oneshot::Sender<Reply>,
-        /// Is told whether it may have run, once nothing of it is out any more.
-        over: oneshot::Sender<bool>,
-    },
-    /// News of the list: entries with their addresses.
-    EndpointsUpdated {
-        /// How to read the entries.
-        how: ListUpdateKind,
-        /// The entries.
-        entries: Vec<(ServerEntry, String)>,
-    },
-    /// An attempt's stream has begun.
-    StreamOpened {
-        /// The request.
-        id: RequestId,
-        /// Which attempt.
-        attempt: u32,
-        /// The stream.
-        opened: Box<Opened>,
-    },
-    /// A client has left before its reply.
-    ClientDisconnected(RequestId),
-    /// Settings that hold from now on.
-    SettingsReloaded(Box<Settings>),
-    /// Asks for what is learnt by now.
-    ExportState(oneshot::Sender<Box<Handover>>),
-    /// What the process whose place this one takes has learnt.
-    StateImported(Box<Handover>),
-    /// This process is a part of its dispatcher from now on, and holds so many requests at most.
-    LimitShareChanged {
-        /// Which part, of 1.
-        part: f64,
-        /// Requests that are open at once.
-        max_open_requests: usize,
-    },
-    /// Something that the reducer takes as it is.
-    Input(Input),
-}
-
-/// What a client gets.
-#[derive(Debug)]
-pub enum Reply {
-    /// A server's stream.
-    Stream(Relay),
-    /// Refused: trying again is harmless.
-    Rejected {
-        /// After this.
-        retry_in: Micros,
-    },
-    /// Failed.
-    Failed {
-        /// Whether it may have run.
-        may_have_run: bool,
-    },
-    /// Another request with this id is open: nothing was done, and that one goes on.
-    DuplicateId,
-}
-
-/// Where the driver is told things.
-#[derive(Clone, Debug)]
-pub struct DriverHandle {
-    to: mpsc::UnboundedSender<Message>,
-    settings: watch::Receiver<Arc<Settings>>,
-}
-
-impl DriverHandle {
-    /// The settings that hold now: their classes are those that new requests may have.
-    #[must_use]
-    pub fn settings(&self) -> Arc<Settings> {
-        self.settings.borrow().clone()
-    }
-
-    /// A class by its name, with its number, if new requests may have it.
-    #[must_use]
-    pub fn class(&self, name: &str) -> Option<(u32, Class)> {
-        let settings = self.settings();
-        let mut named = settings.classes.iter().filter(|(_, class)| class.name == name);
-        named.next().map(|(&number, class)| (number, class.clone()))
-    }
-
-    /// Tells the driver; a driver that has ended wants to know nothing.
-    pub fn send(&self, message: Message) {
-        let _ = self.to.send(message);
-    }
-
-    /// Hands a request in and waits for its reply. Dropping the future tells that the client has left.
-    pub async fn ask(&self, call: RequestInfo, payload: Arc<Payload>) -> Reply {
-        self.begin(call, payload).0.await
-    }
-
-    /// Hands a request in. Besides its reply, as of [`ask`](Self::ask), there is told whether it may have run:
-    /// once nothing of it is out any more, also where the client has left before.
-    pub fn begin(
-        &self,
-        call: RequestInfo,
-        payload: Arc<Payload>,
-    ) -> (impl Future<Output = Reply> + use<>, oneshot::Receiver<bool>) {
-        let (reply, answer) = oneshot::channel();
-        let (over, told) = oneshot::channel();
-        let leaving = Leaving(Some((self.clone(), call.id)));
-        self.send(Message::RequestArrived { call, payload, reply, over });
-        let reply = async move {
-            let answer = answer.await;
-            leaving.stays();
-            answer.unwrap_or(Reply::Failed { may_have_run: true })
-        };
-        (reply, told)
-    }
-}
-
-impl StreamEnd for DriverHandle {
-    fn finished(&self, id: RequestId, attempt: u32, ending: AttemptResult) {
-        self.send(Message::Input(Input::AttemptFinished { id, attempt, result: ending }));
-    }
-
-    fn client_gone(&self, id: RequestId) {
-        self.send(Message::Input(Input::ClientDisconnected(id)));
-    }
-}
-
-/// Tells that the client has left when it is dropped before the reply: a front's handler is dropped when
-/// its connection closes, and nothing else would say so.
-struct Leaving(Option<(DriverHandle, RequestId)>);
-
-impl Leaving {
-    /// It has its reply: what becomes of it from now on is told otherwise.
-    fn stays(mut self) {
-        self.0 = None;
-    }
-}
-
-impl Drop for Leaving {
-    fn drop(&mut self) {
-        if let Some((to, id)) = self.0.take() {
-            to.send(Message::ClientDisconnected(id));
-        }
-    }
-}
+use crate::edge::stats::{End, Figures};
+use crate::interface::{Micros, Outcome, RequestId, ServerId, Settings};
 
-/// What the line about what clients got was last told of.
-#[derive(Default)]
-struct Told {
-    due: Micros,
-    counts: Counts,
-}
-
-struct Waiting {
-    payload: Arc<Payload>,
-    reply: Option<oneshot::Sender<Reply>>,
-    over: oneshot::Sender<bool>,
-    class: u32,
-    /// The attempt whose stream the client is given.
-    streaming: Option<u32>,
-    /// Its end has been counted.
-    ended: bool,
-}
-
-struct Flying {
-    progress: Arc<Progress>,
-    /// Taken once the attempt has been told to stop.
-    stop: Option<oneshot::Sender<()>>,
-    opened: Option<Box<Opened>>,
-}
-
-/// Who is asked to let go of something for a request that goes on; without a task, it is still to be asked.
-type Releases = Vec<(ServerId, Option<JoinHandle<()>>)>;
+/// Servers that are avoided are counted so often (us): it goes through all of them, and a step is taken for each event.
+const AVOIDED_SERVERS_INTERVAL: Micros = 100_000;
 
 /// The loop. See the [module](self).
 pub struct Driver {
@@ -214,41 +45,44 @@
     to_self: DriverHandle,
     servers: Servers,
     peers: Peers,
-    addresses: BTreeMap<ServerId, (String, bool)>,
-    clients: HashMap<RequestId, Waiting>,
-    flying: HashMap<(RequestId, u32), Flying>,
-    releasing: HashMap<RequestId, Releases>,
+    addresses: Addresses,
+    clients: Clients,
+    attempts: Attempts,
+    releases: Releases,
     figures: Figures,
-    /// What fronts look classes up in.
+    /// The settings in which fronts look classes up.
     published: watch::Sender<Arc<Settings>>,
-    told: Told,
+    summary: Summary,
+    /// When the servers that are avoided are counted next (us).
     avoided_due: Micros,
 }
 
 impl Driver {
-    /// A driver for a configuration, with the way to tell it things.
+    /// A driver for a configuration, with the way to send it messages.
     #[must_use]
     pub fn new(config: &Config, clock: Clock) -> (Self, DriverHandle) {
-        let (to_self, inbox) = mpsc::unbounded_channel();
+        let (messages, inbox) = mpsc::unbounded_channel();
         let (published, settings) = watch::channel(Arc::new(config.settings.clone()));
-        let to_self = DriverHandle { to: to_self, settings };
-        let core = Core::new(config.settings.clone(), config.seed, clock.now(), config.max_open_requests());
+        let to_self = DriverHandle::new(messages, settings);
+        let max_open_requests = config.max_open_requests();
+        let core = Core::new(config.settings.clone(), config.seed, clock.now(), max_open_requests);
         let figures = Figures::default();
         config.settings.current().for_each(|class| figures.record().know(&class.name));
+        let servers = Servers::new(config, figures.clone());
         let driver = Self {
             core,
             clock,
             inbox,
+            attempts: Attempts::new(servers.clone(), to_self.clone()),
+            releases: Releases::new(servers.clone(), figures.clone()),
             to_self: to_self.clone(),
-            servers: Servers::new(config, figures.clone()),
+            servers,
             peers: Peers::default(),
-            addresses: BTreeMap::new(),
-            clients: HashMap::new(),
-            flying: HashMap::new(),
-            releasing: HashMap::new(),
+            addresses: Addresses::default(),
+            clients: Clients::default(),
             figures,
             published,
-            told: Told::default(),
+            summary: Summary::default(),
             avoided_due: 0,
         };
         (driver, to_self)
@@ -260,8 +94,8 @@
         self.figures.clone()
     }
 
-    /// Has messages for other dispatchers sent there.
-    pub fn reaches(&mut self, peers: Peers) {
+    /// Has load gossip sent there.
+    pub fn set_peers(&mut self, peers: Peers) {
         self.peers = peers;
     }
 
@@ -279,125 +113,104 @@
                 },
             };
             let Some(message) = message else { return };
-            if let Some(input) = self.take(message) {
+            if let Some(input) = self.receive(message) {
                 self.step(input);
             }
         }
     }
 
-    fn take(&mut self, message: Message) -> Option<Input> {
-        Some(match message {
-            Message::RequestArrived { call, payload, reply, over } => {
-                if self.clients.contains_key(&call.id) {
-                    let _ = reply.send(Reply::DuplicateId);
+    /// What a message is to the reducer, if it is anything.
+    fn receive(&mut self, message: Message) -> Option<Input> {
+        match message {
+            Message::RequestArrived { info, payload, reply, completed } => {
+                if self.clients.contains(info.id) {
+                    let _ = reply.send(Reply::DuplicateId); // the client may have gone
                     return None;
                 }
-                if let Some(class) = self.core.classes().get(&call.class) {
+                if let Some(class) = self.core.classes().get(&info.class) {
                     self.figures.record().taken(&class.name);
                 }
-                let (reply, class, streaming, ended) = (Some(reply), call.class, None, false);
-                self.clients.insert(call.id, Waiting { payload, reply, over, class, streaming, ended });
-                Input::RequestArrived(call)
+                self.clients.insert(info.id, Client::new(payload, info.class, reply, completed));
+                Some(Input::RequestArrived(info))
             }
             Message::EndpointsUpdated { how, entries } => {
-                let entries = self.list(how, entries);
-                Input::EndpointsUpdated { how, entries }
-            }
-            Message::StreamOpened { id, attempt, opened } => {
-                let flying = self.flying.get_mut(&(id, attempt))?;
-                if flying.stop.is_none() {
-                    self.give_up(id, attempt, opened); // it began just as it was told to stop
-                    return None;
-                }
-                flying.opened = Some(opened);
-                Input::StreamStarted { id, attempt }
+                let entries = self.addresses.apply(how, entries);
+                let mut record = self.figures.record();
+                record.members = self.addresses.count();
+                record.members_ready = self.addresses.count_ready();
+                drop(record);
+                Some(Input::EndpointsUpdated { how, entries })
             }
-            // Guards the request that has this id: another client, turned away for it, may be the one that left.
+            Message::StreamOpened { id, attempt, opened } => self.attempts.stream_opened(id, attempt, opened),
+            // Guards the request that has this id: another client, rejected for it, may be the one that disconnected.
             Message::ClientDisconnected(id) => {
-                let waiting = self.clients.get(&id).and_then(|client| client.reply.as_ref());
-                if !waiting.is_some_and(oneshot::Sender::is_closed) {
+                if !self.clients.has_disconnected(id) {
                     return None;
                 }
-                self.ended(id, End::Left);
-                Input::ClientDisconnected(id)
+                self.count_end(id, End::Left);
+                Some(Input::ClientDisconnected(id))
             }
             Message::ExportState(to) => {
                 let _ = to.send(Box::new(self.core.export_state())); // who asked may have gone
-                return None;
+                None
             }
-            Message::StateImported(learnt) => Input::StateImported(learnt),
+            Message::StateImported(learned) => Some(Input::StateImported(learned)),
             Message::LimitShareChanged { part, max_open_requests } => {
-                Input::LimitShareChanged { part, max_open_requests }
+                Some(Input::LimitShareChanged { part, max_open_requests })
             }
-            // In one step: what is published and what the reducer goes by are never of two files.
             Message::SettingsReloaded(settings) => {
-                let mut now = (*settings).clone();
-                self.step(Input::SettingsReloaded(settings));
-                now.classes = self.core.classes().clone();
-                now.classes.retain(|_, class| !class.retired);
-                let mut record = self.figures.record();
-                now.current().for_each(|class| record.know(&class.name));
-                drop(record);
-                self.published.send_replace(Arc::new(now));
-                return None;
+                self.reload_settings(settings);
+                None
             }
             Message::Input(input) => {
-                match input {
-                    Input::AttemptFinished { id, attempt, result: ending } => {
-                        self.flying.remove(&(id, attempt));
-                        if ending.outcome == Outcome::Read {
-                            self.call_releases_off(id);
-                        }
-                        let streaming = self.clients.get(&id).and_then(|client| client.streaming);
-                        if streaming == Some(attempt) {
-                            let served = ending.outcome == Outcome::Served;
-                            self.ended(id, if served { End::Completed } else { End::Failed });
-                        }
-                    }
-                    Input::AttemptStopped { id, attempt, .. } => {
-                        self.flying.remove(&(id, attempt));
-                    }
-                    Input::ClientDisconnected(id) => self.ended(id, End::Left),
-                    _ => {}
-                }
-                input
+                self.note_input(&input);
+                Some(input)
             }
-        })
+        }
     }
 
-    /// Counts a request's end, once.
-    fn ended(&mut self, id: RequestId, end: End) {
-        let Some(client) = self.clients.get_mut(&id) else { return };
-        if std::mem::replace(&mut client.ended, true) {
-            return;
-        }
-        if let Some(class) = self.core.classes().get(&client.class) {
-            self.figures.record().ended(&class.name, end);
+    /// In one step: what is published and what the reducer goes by are never of two files.
+    fn reload_settings(&mut self, settings: Box<Settings>) {
+        let mut published = (*settings).clone();
+        self.step(Input::SettingsReloaded(settings));
+        published.classes = self.core.classes().clone();
+        published.classes.retain(|_, class| !class.retired);
+        let mut record = self.figures.record();
+        published.current().for_each(|class| record.know(&class.name));
+        drop(record);
+        self.published.send_replace(Arc::new(published));
+    }
+
+    /// Follows what attempts tell the reducer: which are in flight, and which requests have ended.
+    fn note_input(&mut self, input: &Input) {
+        match *input {
+            Input::AttemptFinished { id, attempt, result } => {
+                self.attempts.remove(id, attempt);
+                if result.outcome == Outcome::Read {
+                    self.releases.abort(id);
+                }
+                if self.clients.is_streaming(id, attempt) {
+                    let served = result.outcome == Outcome::Served;
+                    self.count_end(id, if served { End::Completed } else { End::Failed });
+                }
+            }
+            Input::AttemptStopped { id, attempt, .. } => self.attempts.remove(id, attempt),
+            Input::ClientDisconnected(id) => self.count_end(id, End::Left),
+            _ => {}
         }
     }
 
-    fn list(&mut self, how: ListUpdateKind, entries: Vec<(ServerEntry, String)>) -> Vec<ServerEntry> {
-        if how != ListUpdateKind::Patch {
-            self.addresses.clear();
+    /// Counts a request's end, once.
+    fn count_end(&mut self, id: RequestId, end: End) {
+        let Some(class) = self.clients.take_uncounted_end(id) else { return };
+        if let Some(class) = self.core.classes().get(&class) {
+            self.figures.record().ended(&class.name, end);
         }
-        let listed = entries.into_iter().map(|(entry, address)| {
-            match entry.health {
-                Health::Gone => self.addresses.remove(&entry.server),
-                health => self.addresses.insert(entry.server, (address, health == Health::Ready)),
-            };
-            entry
-        });
-        let listed = listed.collect();
-        let ready = self.addresses.values().filter(|(_, ready)| *ready).count();
-        let mut record = self.figures.record();
-        (record.members, record.members_ready) = (self.addresses.len(), ready);
-        drop(record);
-        listed
     }
 
     fn step(&mut self, input: Input) {
         if !matches!(input, Input::Tick) {
-            debug!("{input:?}");
+            debug!("driver: input {input:?}");
         }
         let mut inputs = VecDeque::from([input]);
         while let Some(input) = inputs.pop_front() {
@@ -405,6 +218,10 @@
                 inputs.extend(self.carry_out(effect));
             }
         }
+        self.publish_figures();
+    }
+
+    fn publish_figures(&mut self) {
         let mut record = self.figures.record();
         record.open = self.core.open();
         record.serves = self.core.serves();
@@ -413,211 +230,65 @@
         record.messages_dropped = self.core.gossip().dropped;
         let now = self.clock.now();
         if now >= self.avoided_due {
-            self.avoided_due = now + AVOIDED;
+            self.avoided_due = now + AVOIDED_SERVERS_INTERVAL;
             record.members_unavailable = self.core.avoided();
         }
-        drop(record);
-        self.tell();
-    }
-
-    /// What clients got lately, for the staff; nothing while nothing happens.
-    fn tell(&mut self) {
-        let now = self.clock.now();
-        if now < self.told.due {
-            return;
-        }
-        let counts = self.figures.record().all();
-        let Counts { taken, completed, rejected, failed, left } = counts.since(&self.told.counts);
-        if counts != self.told.counts {
-            let pending = counts.pending();
-            let gossip = self.core.gossip();
-            info!("in 10 s: {taken} asked, {completed} served, {rejected} refused, {failed} failed, {left} left; {pending} open");
-            if gossip != GossipCounts::default() {
-                let GossipCounts { sent: told, received: heard, dropped } = gossip;
-                info!("messages between dispatchers since the start: {told} told, {heard} heard, {dropped} dropped");
-            }
+        let counts = record.all();
+        drop(record); // who asks for the figures does not wait for a log line
+        if self.summary.is_due(now) {
+            self.summary.write(now, counts, self.core.gossip());
         }
-        self.told = Told { due: now + TALLY, counts };
     }
 
+    /// Carries an effect out; what comes of it at once is the next input.
     fn carry_out(&mut self, effect: Effect) -> Option<Input> {
-        debug!("{effect:?}");
+        debug!("driver: effect {effect:?}");
         match effect {
             Effect::Send { id, attempt, server, reads, until, begin_by, new_connection } => {
-                let (Some((address, _)), Some(client)) = (self.addresses.get(&server), self.clients.get(&id))
+                let (Some(address), Some(payload)) = (self.addresses.get(server), self.clients.payload(id))
                 else {
-                    return Some(Input::AttemptFinished {
-                        id,
-                        attempt,
-                        result: Outcome::ConnectFailed.into(),
-                    });
+                    let result = Outcome::ConnectFailed.into();
+                    return Some(Input::AttemptFinished { id, attempt, result });
                 };
-                let (address, payload) = (address.clone(), client.payload.clone());
+                let (address, payload) = (address.clone(), payload.clone());
                 let (until, begin_by) = (self.clock.instant(until), self.clock.instant(begin_by));
-                let sent = servers::Attempt { address, payload, reads, until, begin_by, new_connection };
-                self.send(id, attempt, sent);
-                None
-            }
-            Effect::CancelUnwritten { id, attempt } => {
-                let flying = self.flying.get(&(id, attempt))?;
-                if flying.progress.call_off() {
-                    return None;
-                }
-                self.stop(id, attempt)
-            }
-            Effect::CancelAttempt { id, attempt } => self.stop(id, attempt),
-            Effect::Relay { id, attempt } => {
-                let opened = self.flying.remove(&(id, attempt)).and_then(|flying| flying.opened);
-                if let Some(opened) = opened {
-                    // The prompt is not sent again: held as long as streams last, prompts would add up.
-                    if let Some(client) = self.clients.get_mut(&id) {
-                        client.payload = Arc::new(client.payload.without_body());
-                        client.streaming = Some(attempt);
-                    }
-                    let end = Box::new(self.to_self.clone());
-                    let relay = self.servers.relay(*opened, id, attempt, end);
-                    self.reply(id, Reply::Stream(relay));
-                }
-                None
+                let request = servers::Attempt { address, payload, reads, until, begin_by, new_connection };
+                self.attempts.send(id, attempt, request);
             }
+            Effect::CancelUnwritten { id, attempt } => return self.attempts.cancel_unwritten(id, attempt),
+            Effect::CancelAttempt { id, attempt } => return self.attempts.cancel(id, attempt),
+            Effect::Relay { id, attempt } => self.relay(id, attempt),
             Effect::Reject { id, retry_in } => {
-                self.ended(id, End::Rejected);
-                self.reply(id, Reply::Rejected { retry_in });
-                None
+                self.count_end(id, End::Rejected);
+                self.clients.reply(id, Reply::Rejected { retry_in });
             }
             Effect::Fail { id, may_have_run } => {
-                self.ended(id, End::Failed);
-                info!("request {:016x}: failed{}", id.0, if may_have_run { ", may have run" } else { "" });
-                self.reply(id, Reply::Failed { may_have_run });
-                None
-            }
-            Effect::ReleaseHeldState { id, holders, again } => {
-                self.release(id, &holders, again);
-                None
-            }
-            Effect::PublishGossip(bytes) => {
-                self.peers.tell(&bytes);
-                None
+                self.count_end(id, End::Failed);
+                info!(request_id:% = id, may_have_run; "driver: request failed");
+                self.clients.reply(id, Reply::Failed { may_have_run });
             }
+            Effect::ReleaseHeldState { id, holders, again } => self.release(id, &holders, again),
+            Effect::PublishGossip(bytes) => self.peers.tell(&bytes),
             Effect::Evict { id, may_have_run } => {
-                // Guards the figures: a request that is over has ended, whatever way that came about.
-                self.ended(id, End::Failed);
-                self.releasing.remove(&id);
-                if let Some(client) = self.clients.remove(&id) {
-                    let _ = client.over.send(may_have_run); // few want to know
-                }
-                None
+                // Guards the figures: a request that is completed has ended, whatever way that came about.
+                self.count_end(id, End::Failed);
+                self.releases.forget(id);
+                self.clients.complete(id, may_have_run);
             }
         }
+        None
     }
 
-    fn reply(&mut self, id: RequestId, reply: Reply) {
-        // A client that has just left drops the reply; a stream that is dropped says so by itself.
-        if let Some(to) = self.clients.get_mut(&id).and_then(|client| client.reply.take()) {
-            let _ = to.send(reply);
-        }
+    /// Passes the stream of an attempt on to its client.
+    fn relay(&mut self, id: RequestId, attempt: u32) {
+        let Some(opened) = self.attempts.take_stream(id, attempt) else { return };
+        self.clients.start_streaming(id, attempt);
+        let relay = self.servers.relay(*opened, id, attempt, Box::new(self.to_self.clone()));
+        self.clients.reply(id, Reply::Stream(relay));
     }
 
-    fn send(&mut self, id: RequestId, number: u32, attempt: servers::Attempt) {
-        let progress = Arc::new(Progress::default());
-        let (stop, stopped) = oneshot::channel();
-        let (servers, marks, to) = (self.servers.clone(), progress.clone(), self.to_self.clone());
-        tokio::spawn(async move {
-            match servers.attempt(attempt, marks, stopped).await {
-                servers::Result::Opened(opened) => {
-                    to.send(Message::StreamOpened { id, attempt: number, opened })
-                }
-                servers::Result::Ended(ending) => to.finished(id, number, ending),
-                servers::Result::Stopped { written } => {
-                    to.send(Message::Input(Input::AttemptStopped { id, attempt: number, written }))
-                }
-                // Told already: by now the request may be over, and another have its id.
-                servers::Result::CalledOff => {}
-            }
-        });
-        self.flying.insert((id, number), Flying { progress, stop: Some(stop), opened: None });
-    }
-
-    /// Stops an attempt. One of which nothing has been written has stopped at once, as nothing ever will be. Of any
-    /// other that is told once its connection is closed; one that has just ended tells that instead.
-    fn stop(&mut self, id: RequestId, attempt: u32) -> Option<Input> {
-        let flying = self.flying.get_mut(&(id, attempt))?;
-        if let Some(opened) = flying.opened.take() {
-            self.give_up(id, attempt, opened);
-            return None;
-        }
-        let stop = flying.stop.take()?;
-        let begun = flying.progress.call_off();
-        let _ = stop.send(()); // it may just have ended
-        if begun {
-            return None;
-        }
-        self.flying.remove(&(id, attempt));
-        Some(Input::AttemptStopped { id, attempt, written: false })
-    }
-
-    /// Gives up a stream that has begun and will not be passed on.
-    fn give_up(&mut self, id: RequestId, attempt: u32, opened: Box<Opened>) {
-        let to = self.to_self.clone();
-        tokio::spawn(async move {
-            opened.close().await;
-            to.send(Message::Input(Input::AttemptStopped { id, attempt, written: true }));
-        });
-    }
-
-    /// A release lets go of all that is held for a request: one that is still under way when something new is held would
-    /// let go of that too. Who has not answered is asked again together with who holds it.
-    fn call_releases_off(&mut self, id: RequestId) {
-        let Some(releasing) = self.releasing.get_mut(&id) else { return };
-        releasing.retain(|(_, task)| task.as_ref().is_none_or(|task| !task.is_finished()));
-        let tasks = releasing.iter_mut().filter_map(|(_, task)| task.take());
-        tasks.for_each(|task| task.abort());
-    }
-
-    /// Asks each holder, and once more where that is said; where it does not answer, any other server takes the call.
     fn release(&mut self, id: RequestId, holders: &[ServerId], again: bool) {
-        let Some(client) = self.clients.get(&id) else { return };
-        let mut releasing = self.releasing.remove(&id).unwrap_or_default();
-        let mut holders = holders.to_vec();
-        holders.extend(releasing.iter().filter(|(_, task)| task.is_none()).map(|&(holder, _)| holder));
-        releasing.retain(|(_, task)| task.is_some());
-        let others = self.addresses.iter().filter(|(server, (_, ready))| *ready && !holders.contains(server));
-        let mut others: Vec<&String> = others.map(|(_, (address, _))| address).collect();
-        // Not the same few for every request and every dispatcher: those would have no place left.
-        let first = (mix(id.0) % others.len().max(1) as u64) as usize;
-        others.rotate_left(first);
-        others.truncate(STAND_INS);
-        for holder in holders {
-            let first = self.addresses.get(&holder).map(|(address, _)| address);
-            let addresses: Vec<String> = first.into_iter().chain(others.clone()).cloned().collect();
-            let (servers, txn) = (self.servers.clone(), client.payload.txn.clone());
-            let held = Held::new(self.figures.clone());
-            let task = tokio::spawn(async move {
-                servers.release(&txn, &addresses).await;
-                if again {
-                    sleep(Duration::from_micros(CLOSE_SEEN)).await;
-                    servers.release(&txn, &addresses).await;
-                }
-                drop(held);
-            });
-            releasing.push((holder, Some(task)));
-        }
-        self.releasing.insert(id, releasing);
-    }
-}
-
-/// Something that is asked to be let go of, in the figures.
-struct Held(Figures);
-
-impl Held {
-    fn new(figures: Figures) -> Self {
-        figures.record().releases += 1;
-        Self(figures)
-    }
-}
-
-impl Drop for Held {
-    fn drop(&mut self) {
-        self.0.record().releases -= 1;
+        let Some(payload) = self.clients.payload(id) else { return };
+        self.releases.start(id, &payload.txn, holders, &self.addresses, again);
     }
 }
--- /dev/null
+++ b/src/edge/driver/releases.rs
@@ -0,0 +1,103 @@
+//! Releases of what servers hold for requests: each runs in a task of its own until a server has taken it.
+
+use std::collections::HashMap;
+use std::time::Duration;
+
+use tokio::task::JoinHandle;
+use tokio::time::sleep;
+
+use crate::edge::core::CLOSE_SEEN;
+use crate::edge::driver::addresses::Addresses;
+use crate::edge::servers::Servers;
+use crate::edge::stats::Figures;
+use crate::interface::{RequestId, ServerId};
+
+/// Servers that a release turns to where the holders don't answer.
+const FALLBACK_SERVERS: usize = 8;
+
+/// A server that holds something for a request that goes on.
+struct Release {
+    holder: ServerId,
+    /// The task that asks for the release; without one, the holder is still to be asked.
+    task: Option<JoinHandle<()>>,
+}
+
+/// Releases under way, by request. See the [module](self).
+pub(super) struct Releases {
+    servers: Servers,
+    figures: Figures,
+    by_request: HashMap<RequestId, Vec<Release>>,
+}
+
+impl Releases {
+    pub(super) fn new(servers: Servers, figures: Figures) -> Self {
+        Self { servers, figures, by_request: HashMap::new() }
+    }
+
+    /// A request is completed: its releases end by themselves.
+    pub(super) fn forget(&mut self, id: RequestId) {
+        self.by_request.remove(&id);
+    }
+
+    /// Aborts the releases for a request as something new is held for it: a release lets go of all that is held for a
+    /// request, and one that is still under way would let go of that too. Holders that have not answered are asked again
+    /// together with the new one.
+    pub(super) fn abort(&mut self, id: RequestId) {
+        let Some(releases) = self.by_request.get_mut(&id) else { return };
+        releases.retain(|release| release.task.as_ref().is_none_or(|task| !task.is_finished()));
+        for release in releases {
+            if let Some(task) = release.task.take() {
+                task.abort();
+            }
+        }
+    }
+
+    /// Asks each holder, and once more where `again` says so; where it does not answer, any other server takes the call.
+    /// `transaction` is the request's id as servers know it.
+    pub(super) fn start(
+        &mut self,
+        id: RequestId,
+        transaction: &str,
+        holders: &[ServerId],
+        addresses: &Addresses,
+        again: bool,
+    ) {
+        let releases = self.by_request.entry(id).or_default();
+        let mut holders = holders.to_vec();
+        holders
+            .extend(releases.iter().filter(|release| release.task.is_none()).map(|release| release.holder));
+        releases.retain(|release| release.task.is_some());
+        let fallbacks = addresses.ready_but(&holders, id, FALLBACK_SERVERS);
+        for holder in holders {
+            let first = addresses.get(holder);
+            let asked: Vec<String> = first.into_iter().chain(fallbacks.clone()).cloned().collect();
+            let (servers, transaction) = (self.servers.clone(), transaction.to_owned());
+            let counted = CountedRelease::new(self.figures.clone());
+            let task = tokio::spawn(async move {
+                servers.release(&transaction, &asked).await;
+                if again {
+                    sleep(Duration::from_micros(CLOSE_SEEN)).await;
+                    servers.release(&transaction, &asked).await;
+                }
+                drop(counted);
+            });
+            releases.push(Release { holder, task: Some(task) });
+        }
+    }
+}
+
+/// A release under way, as the figures count it until it is dropped.
+struct CountedRelease(Figures);
+
+impl CountedRelease {
+    fn new(figures: Figures) -> Self {
+        figures.record().releases += 1;
+        Self(figures)
+    }
+}
+
+impl Drop for CountedRelease {
+    fn drop(&mut self) {
+        self.0.record().releases -= 1;
+    }
+}
--- /dev/null
+++ b/src/edge/driver/summary.rs
@@ -0,0 +1,40 @@
+//! The log line about what clients got lately, for the engineers on call.
+
+use log::info;
+
+use crate::edge::stats::Counts;
+use crate::interface::Micros;
+use dewladder_router::GossipCounts;
+
+/// Time between two summaries (us).
+const INTERVAL_US: Micros = 10_000_000;
+const INTERVAL_S: Micros = INTERVAL_US / 1_000_000;
+
+/// Writes a summary every ten seconds; nothing while nothing happens.
+#[derive(Default)]
+pub(super) struct Summary {
+    due_us: Micros,
+    last: Counts,
+}
+
+impl Summary {
+    /// Whether a summary is due at `now` (us).
+    pub(super) fn is_due(&self, now: Micros) -> bool {
+        now >= self.due_us
+    }
+
+    /// Writes the summary, if anything has changed since the last one.
+    pub(super) fn write(&mut self, now: Micros, counts: Counts, gossip: GossipCounts) {
+        if counts != self.last {
+            let Counts { taken, completed, rejected, failed, left } = counts.since(&self.last);
+            let pending = counts.pending();
+            info!(interval_s = INTERVAL_S, requests = taken, completed, rejected, failed, disconnected = left, pending;
+                "driver: requests");
+            if gossip != GossipCounts::default() {
+                let GossipCounts { sent, received, dropped } = gossip;
+                info!(sent, received, dropped; "driver: load gossip since the start");
+            }
+        }
+        (self.due_us, self.last) = (now + INTERVAL_US, counts);
+    }
+}
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -681,7 +681,7 @@
     told = value.to_string();
     let (mut driver, sender) =
         Driver::new(&Config::parse("config", &told, |_| None).unwrap(), Clock::start());
-    driver.reaches(peers.clone());
+    driver.set_peers(peers.clone());
     let counts = driver.figures();
     tokio::spawn(driver.run());
     tokio::spawn(peers.clone().hear(sender));
