--- a/crates/conform/src/cases.rs
+++ b/crates/conform/src/cases.rs
@@ -1,4 +1,4 @@
-//! Cases as data: `cases/*.toml`.
+//! Cases as data: `cases/*.toml`. Names of fields are those of the files.
 
 use std::collections::BTreeMap;
 
@@ -8,15 +8,15 @@
 /// A case: requests in order, each with what is expected of its answer.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Case {
-    /// Its name: `section/what`.
+    /// Its name: `section/subject`.
     pub name: String,
-    /// It asks servers to fail by name, as this repository's stand-in fleet does: tried only where that is said.
+    /// It asks servers to fail, by words that only the test fleet of this repository knows: run only on request.
     #[serde(default)]
     pub faults: bool,
     /// Its requests.
     #[serde(default)]
     pub step: Vec<Step>,
-    /// Where there is one request only, it stands in the case itself.
+    /// Where there is only one request, it stands in the case itself.
     #[serde(flatten)]
     only: Step,
 }
@@ -42,7 +42,7 @@
     /// What is expected.
     #[serde(default)]
     pub expect: Expect,
-    /// A value of the answer to be had as `{NAME}` later: a JSON pointer.
+    /// Values of the answer, by JSON pointer, that later steps use as `{NAME}`.
     #[serde(default)]
     pub capture: BTreeMap<String, String>,
 }
@@ -91,11 +91,19 @@
     case: Vec<Case>,
 }
 
+/// A file of cases that can't be read.
+#[derive(Debug, thiserror::Error)]
+#[error("cases/{name}.toml: {source}")]
+pub struct CasesError {
+    name: &'static str,
+    source: toml::de::Error,
+}
+
 /// All cases, in order.
 ///
 /// # Errors
 /// A file of cases that can't be read: which, and the line.
-pub fn cases() -> Result<Vec<Case>, String> {
+pub fn cases() -> Result<Vec<Case>, CasesError> {
     let files = [
         ("requests", include_str!("../cases/requests.toml")),
         ("answers", include_str!("../cases/answers.toml")),
@@ -105,7 +113,7 @@
     ];
     let mut all = Vec::new();
     for (name, text) in files {
-        let file: File = toml::from_str(text).map_err(|error| format!("cases/{name}.toml: {error}"))?;
+        let file: File = toml::from_str(text).map_err(|source| CasesError { name, source })?;
         all.extend(file.case);
     }
     Ok(all)
--- a/crates/conform/src/grammar.rs
+++ b/crates/conform/src/grammar.rs
@@ -4,197 +4,235 @@
 
 use serde_json::Value;
 
-/// An event: its name, if it has one, and its data.
-#[derive(Debug, PartialEq)]
-struct Event {
-    name: Option<String>,
-    data: String,
-}
-
-fn events(body: &str) -> Result<Vec<Event>, String> {
-    let mut events = Vec::new();
-    if !body.ends_with("\n\n") {
-        return Err("the stream does not end with a blank line".to_owned());
-    }
-    for block in body.split("\n\n").filter(|block| !block.is_empty()) {
-        let mut event = Event { name: None, data: String::new() };
-        let mut comment = true;
-        for line in block.lines() {
-            match line.split_once(':') {
-                Some(("", _)) => continue,
-                Some(("data", rest)) => event.data.push_str(rest.strip_prefix(' ').unwrap_or(rest)),
-                Some(("event", rest)) => event.name = Some(rest.trim().to_owned()),
-                Some(("id" | "retry", _)) => {}
-                _ => return Err(format!("'{line}' is no line of an event")),
-            }
-            comment = false;
-        }
-        if !comment {
-            events.push(event);
-        }
-    }
-    Ok(events)
-}
-
-fn json(event: &Event) -> Result<Value, String> {
-    serde_json::from_str(&event.data).map_err(|error| format!("an event is no JSON: {error}: {}", event.data))
-}
+use crate::events::{parse_events, Event};
+use crate::violation::{ensure, Violation};
 
-fn must(holds: bool, what: impl FnOnce() -> String) -> Result<(), String> {
-    if holds {
-        Ok(())
-    } else {
-        Err(what())
-    }
-}
+const DONE: &str = "[DONE]";
+const CHAT_OBJECT: &str = "chat.completion.chunk";
+const COMPLETION_OBJECT: &str = "text_completion";
+/// A response has at least the two opening events, one of an item's, its end and the last event.
+const MIN_RESPONSE_EVENTS: usize = 5;
 
-/// Holds a stream against a grammar.
+/// Checks a stream against a grammar: `chat`, `completion` or `response`; `cut` or `cut-response` for one that breaks
+/// off.
 ///
 /// # Errors
 /// The first thing that is not as published.
-pub(crate) fn check(kind: &str, body: &str, choices: usize, usage: bool) -> Result<(), String> {
-    match kind {
-        "chat" => chunks(body, "chat.completion.chunk", choices, usage),
-        "completion" => chunks(body, "text_completion", choices, usage),
-        "response" => typed(body),
-        "cut" => cut(body),
-        "cut-response" => cut_response(body),
-        other => Err(format!("there is no grammar '{other}'")),
+pub(crate) fn check(grammar: &str, body: &str, choices: usize, usage: bool) -> Result<(), Violation> {
+    match grammar {
+        "chat" => check_chunks(body, CHAT_OBJECT, choices, usage),
+        "completion" => check_chunks(body, COMPLETION_OBJECT, choices, usage),
+        "response" => check_response(body),
+        "cut" => check_cut_chunks(body),
+        "cut-response" => check_cut_response(body),
+        other => Err(Violation::UnknownGrammar(other.to_owned())),
     }
 }
 
-/// A stream that breaks off: events, then exactly one error, and nothing that looks like an end.
-fn cut(body: &str) -> Result<(), String> {
-    let events = events(body)?;
-    let (last, before) = events.split_last().ok_or("the stream is empty")?;
-    must(!before.is_empty(), || "nothing came before the error".to_owned())?;
+/// A stream of chunks that breaks off: chunks, then exactly one error, and nothing that looks like an end.
+fn check_cut_chunks(body: &str) -> Result<(), Violation> {
+    let events = parse_events(body)?;
+    let (last, before) = events.split_last().ok_or(Violation::Empty)?;
+    ensure(!before.is_empty(), || Violation::NothingBeforeError)?;
     for event in before {
-        must(event.data != "[DONE]", || "[DONE] in a stream that broke off".to_owned())?;
-        let chunk = json(event)?;
-        must(chunk["error"].is_null(), || "more than one error".to_owned())?;
-        let finish = &chunk["choices"][0]["finish_reason"];
-        must(finish.is_null(), || format!("an answer that broke off has finish_reason {finish}"))?;
+        ensure(event.data != DONE, || Violation::DoneInCutStream)?;
+        let chunk = event.json()?;
+        ensure(chunk["error"].is_null(), || Violation::SecondError)?;
+        let finish_reason = &chunk["choices"][0]["finish_reason"];
+        let violation = || Violation::FinishReasonInCutStream(finish_reason.clone());
+        ensure(finish_reason.is_null(), violation)?;
     }
-    let error = &json(last)?["error"];
-    let told = error["message"].is_string() && error["type"] == "server_error" && error["code"].is_string();
-    must(told, || format!("the last event is no error: {}", last.data))
+    let error = &last.json()?["error"];
+    let is_error =
+        error["message"].is_string() && error["type"] == "server_error" && error["code"].is_string();
+    ensure(is_error, || Violation::LastIsNoError(last.data.clone()))
 }
 
-fn cut_response(body: &str) -> Result<(), String> {
-    let events = events(body)?;
-    let (last, before) = events.split_last().ok_or("the stream is empty")?;
+/// A response that breaks off: numbered events, the last of which reports the failure.
+fn check_cut_response(body: &str) -> Result<(), Violation> {
+    let events = parse_events(body)?;
+    let (last, before) = events.split_last().ok_or(Violation::Empty)?;
     for (at, event) in events.iter().enumerate() {
-        let number = &json(event)?["sequence_number"];
-        must(*number == at, || format!("event {at} has number {number}"))?;
+        let number = &event.json()?["sequence_number"];
+        ensure(*number == at, || Violation::SequenceNumber { at, number: number.clone() })?;
     }
-    let ends = |event: &Event| event.name.as_deref().is_some_and(|name| name == "response.completed");
-    must(!before.iter().any(ends), || "completed, and yet it goes on".to_owned())?;
-    let response = &json(last)?["response"];
-    let told = response["status"] == "failed" && response["error"]["message"].is_string();
-    must(told && last.name.as_deref() == Some("response.failed"), || format!("the last event: {}", last.data))
+    let is_completion = |event: &Event| event.name.as_deref() == Some("response.completed");
+    ensure(!before.iter().any(is_completion), || Violation::GoesOnAfterCompletion)?;
+    let response = &last.json()?["response"];
+    let is_failure = response["status"] == "failed" && response["error"]["message"].is_string();
+    let is_named = last.name.as_deref() == Some("response.failed");
+    ensure(is_failure && is_named, || Violation::LastIsNoFailure(last.data.clone()))
 }
 
-fn chunks(body: &str, object: &str, choices: usize, usage: bool) -> Result<(), String> {
-    let events = events(body)?;
-    let (last, chunks) = events.split_last().ok_or("the stream is empty")?;
-    must(last.data == "[DONE]", || format!("the last event is not [DONE]: {}", last.data))?;
-    let mut finished: BTreeMap<usize, bool> = BTreeMap::new();
-    let mut alike: Option<[Value; 3]> = None;
-    let mut used = 0;
+fn check_chunks(body: &str, object: &'static str, choices: usize, usage: bool) -> Result<(), Violation> {
+    let events = parse_events(body)?;
+    let (last, chunks) = events.split_last().ok_or(Violation::Empty)?;
+    ensure(last.data == DONE, || Violation::LastIsNotDone(last.data.clone()))?;
+    let mut checker = ChunkChecker { object, choices, ..ChunkChecker::default() };
     for (at, event) in chunks.iter().enumerate() {
-        must(event.data != "[DONE]", || "[DONE] comes before the end".to_owned())?;
-        let chunk = json(event)?;
-        must(chunk["error"].is_null(), || format!("an error: {}", chunk["error"]))?;
-        must(chunk["object"] == object, || format!("object is {}", chunk["object"]))?;
-        must(chunk["created"].is_u64(), || format!("created is {}", chunk["created"]))?;
-        let names = [chunk["id"].clone(), chunk["model"].clone(), chunk["created"].clone()];
-        must(names[0].is_string() && names[1].is_string(), || "id or model is no text".to_owned())?;
-        let first = alike.get_or_insert_with(|| names.clone());
-        must(*first == names, || "id, model or created change within the stream".to_owned())?;
-        let found = chunk["choices"].as_array().ok_or("choices is no array")?;
-        if found.is_empty() {
-            used += 1;
-            must(chunk["usage"]["total_tokens"].is_u64(), || "the usage event tells no usage".to_owned())?;
-            must(at + 1 == chunks.len(), || "usage comes before the last choice's end".to_owned())?;
-            continue;
+        ensure(event.data != DONE, || Violation::EarlyDone)?;
+        checker.check_chunk(&event.json()?, at + 1 == chunks.len())?;
+    }
+    checker.check_end(usage)
+}
+
+/// What has been seen of a stream of chunks.
+#[derive(Default)]
+struct ChunkChecker {
+    object: &'static str,
+    choices: usize,
+    /// By index: whether a choice has ended.
+    ended: BTreeMap<usize, bool>,
+    /// Id, model and time of the first chunk.
+    metadata: Option<[Value; 3]>,
+    usage_events: usize,
+}
+
+impl ChunkChecker {
+    fn check_chunk(&mut self, chunk: &Value, is_last: bool) -> Result<(), Violation> {
+        ensure(chunk["error"].is_null(), || Violation::ErrorEvent(chunk["error"].clone()))?;
+        ensure(chunk["object"] == self.object, || Violation::Object(chunk["object"].clone()))?;
+        ensure(chunk["created"].is_u64(), || Violation::Created(chunk["created"].clone()))?;
+        self.check_metadata(chunk)?;
+        let choices = chunk["choices"].as_array().ok_or(Violation::ChoicesNotArray)?;
+        if choices.is_empty() {
+            self.usage_events += 1;
+            ensure(chunk["usage"]["total_tokens"].is_u64(), || Violation::UsageMissing)?;
+            return ensure(is_last, || Violation::EarlyUsage);
         }
-        must(chunk["usage"].is_null(), || "usage beside a choice".to_owned())?;
-        for choice in found {
-            let index = choice["index"].as_u64().ok_or("a choice without an index")? as usize;
-            must(index < choices, || format!("choice {index} of {choices}"))?;
-            let new = !finished.contains_key(&index);
-            if object == "chat.completion.chunk" {
-                must(choice["delta"].is_object(), || "a choice without a delta".to_owned())?;
-                let role = &choice["delta"]["role"];
-                must(!new || role == "assistant", || format!("the first delta's role is {role}"))?;
-                must(new || role.is_null(), || "the role is told again".to_owned())?;
-            } else {
-                must(choice["text"].is_string(), || "a choice without a text".to_owned())?;
-            }
-            let over = finished.entry(index).or_default();
-            must(!*over, || format!("choice {index} goes on after its end"))?;
-            *over = !choice["finish_reason"].is_null();
+        ensure(chunk["usage"].is_null(), || Violation::UsageBesideChoice)?;
+        for choice in choices {
+            self.check_choice(choice)?;
+        }
+        Ok(())
+    }
+
+    fn check_metadata(&mut self, chunk: &Value) -> Result<(), Violation> {
+        let metadata = [chunk["id"].clone(), chunk["model"].clone(), chunk["created"].clone()];
+        ensure(metadata[0].is_string() && metadata[1].is_string(), || Violation::IdOrModelNotText)?;
+        let first = self.metadata.get_or_insert_with(|| metadata.clone());
+        ensure(*first == metadata, || Violation::MetadataChanges)
+    }
+
+    fn check_choice(&mut self, choice: &Value) -> Result<(), Violation> {
+        let index = choice["index"].as_u64().ok_or(Violation::ChoiceWithoutIndex)? as usize;
+        let choices = self.choices;
+        ensure(index < choices, || Violation::ChoiceOutOfRange { index, choices })?;
+        if self.object == CHAT_OBJECT {
+            ensure(choice["delta"].is_object(), || Violation::ChoiceWithoutDelta)?;
+            let role = &choice["delta"]["role"];
+            let is_first = !self.ended.contains_key(&index);
+            ensure(!is_first || role == "assistant", || Violation::FirstRole(role.clone()))?;
+            ensure(is_first || role.is_null(), || Violation::RepeatedRole)?;
+        } else {
+            ensure(choice["text"].is_string(), || Violation::ChoiceWithoutText)?;
         }
+        let has_ended = self.ended.entry(index).or_default();
+        ensure(!*has_ended, || Violation::ChoiceAfterEnd(index))?;
+        *has_ended = !choice["finish_reason"].is_null();
+        Ok(())
+    }
+
+    fn check_end(&self, usage: bool) -> Result<(), Violation> {
+        let (found, expected) = (self.ended.len(), self.choices);
+        ensure(found == expected, || Violation::ChoiceCount { found, expected })?;
+        ensure(self.ended.values().all(|has_ended| *has_ended), || Violation::ChoiceWithoutEnd)?;
+        ensure(self.usage_events == usize::from(usage), || Violation::UsageCount(self.usage_events))
     }
-    must(finished.len() == choices, || format!("{} of {choices} choices", finished.len()))?;
-    must(finished.values().all(|over| *over), || "a choice without a finish_reason".to_owned())?;
-    must(used == usize::from(usage), || format!("{used} usage events"))
 }
 
-fn typed(body: &str) -> Result<(), String> {
-    let events = events(body)?;
-    let mut texts: BTreeMap<String, String> = BTreeMap::new();
-    let mut open: Vec<String> = Vec::new();
-    let mut done = 0;
+fn check_response(body: &str) -> Result<(), Violation> {
+    let events = parse_events(body)?;
+    let mut checker = ResponseChecker::default();
     for (at, event) in events.iter().enumerate() {
-        let value = json(event)?;
-        let kind = value["type"].as_str().ok_or("an event without a type")?;
-        must(event.name.as_deref() == Some(kind), || format!("event: {:?} is of type {kind}", event.name))?;
-        must(value["sequence_number"] == at, || {
-            format!("event {at} has number {}", value["sequence_number"])
+        checker.check_event(event, at, events.len())?;
+    }
+    ensure(events.len() >= MIN_RESPONSE_EVENTS, || Violation::TooFewEvents(events.len()))
+}
+
+/// What has been seen of the stream of a response.
+#[derive(Default)]
+struct ResponseChecker {
+    /// What the deltas of each item add up to, by its id.
+    texts: BTreeMap<String, String>,
+    /// Items that have begun and not ended.
+    open: Vec<String>,
+    ended: usize,
+}
+
+impl ResponseChecker {
+    fn check_event(&mut self, event: &Event, at: usize, events: usize) -> Result<(), Violation> {
+        let value = event.json()?;
+        let event_type = value["type"].as_str().ok_or(Violation::EventWithoutType)?;
+        ensure(event.name.as_deref() == Some(event_type), || Violation::EventName {
+            name: event.name.clone(),
+            event_type: event_type.to_owned(),
+        })?;
+        let number = &value["sequence_number"];
+        ensure(*number == at, || Violation::SequenceNumber { at, number: number.clone() })?;
+        let is_end = matches!(event_type, "response.completed" | "response.incomplete" | "response.failed");
+        ensure(is_end == (at + 1 == events), || Violation::EndMisplaced {
+            event_type: event_type.to_owned(),
+            at,
+            events,
         })?;
-        let last = matches!(kind, "response.completed" | "response.incomplete" | "response.failed");
-        must(last == (at + 1 == events.len()), || format!("{kind} is event {at} of {}", events.len()))?;
         match at {
-            0 => must(kind == "response.created", || format!("the first event is {kind}"))?,
-            1 => must(kind == "response.in_progress", || format!("the second event is {kind}"))?,
+            0 => ensure(event_type == "response.created", || Violation::FirstEvent(event_type.to_owned()))?,
+            1 => ensure(event_type == "response.in_progress", || {
+                Violation::SecondEvent(event_type.to_owned())
+            })?,
             _ => {}
         }
-        let item =
-            value["item_id"].as_str().or_else(|| value["item"]["id"].as_str()).unwrap_or("").to_owned();
-        match kind {
-            "response.output_item.added" => open.push(item),
-            "response.output_text.delta" | "response.function_call_arguments.delta" => {
-                must(open.contains(&item), || format!("{kind} of an item that is not open"))?;
-                let delta = value["delta"].as_str().ok_or("a delta that is no text")?;
-                texts.entry(item).or_default().push_str(delta);
+        self.check_type(event_type, &value)
+    }
+
+    /// Checks what the type of an event asks for.
+    fn check_type(&mut self, event_type: &str, value: &Value) -> Result<(), Violation> {
+        let item = value["item_id"].as_str().or_else(|| value["item"]["id"].as_str()).unwrap_or("");
+        let collected = self.texts.get(item).map_or("", String::as_str);
+        match event_type {
+            "response.output_item.added" => {
+                self.open.push(item.to_owned());
+                Ok(())
             }
-            "response.output_text.done" => {
-                let text = texts.get(&item).map_or("", String::as_str);
-                must(value["text"] == text, || "the text is not that of its deltas".to_owned())?;
+            "response.output_text.delta" | "response.function_call_arguments.delta" => {
+                self.add_delta(event_type, item, &value["delta"])
             }
+            "response.output_text.done" => ensure(value["text"] == collected, || Violation::TextDiffers),
             "response.function_call_arguments.done" => {
-                let text = texts.get(&item).map_or("", String::as_str);
-                must(value["arguments"] == text, || "arguments are not those of their deltas".to_owned())?;
+                ensure(value["arguments"] == collected, || Violation::ArgumentsDiffer)
             }
             "response.output_item.done" => {
-                must(open.contains(&item), || "an item ends that is not open".to_owned())?;
-                open.retain(|known| *known != item);
-                done += 1;
-            }
-            "response.completed" | "response.incomplete" => {
-                must(open.is_empty(), || "an item has not ended".to_owned())?;
-                let output = value["response"]["output"].as_array().map_or(0, Vec::len);
-                must(output == done && done > 0, || format!("{output} items told, {done} ended"))?;
-                let status = value["response"]["status"].as_str().unwrap_or("");
-                must(kind.ends_with(status) && !status.is_empty(), || {
-                    format!("{kind} with status {status}")
-                })?;
-                let usage = &value["response"]["usage"]["total_tokens"];
-                must(usage.is_u64(), || "no usage at the end".to_owned())?;
+                ensure(self.is_open(item), || Violation::EndOfClosedItem)?;
+                self.open.retain(|open| open != item);
+                self.ended += 1;
+                Ok(())
             }
-            _ => {}
+            "response.completed" | "response.incomplete" => self.check_end(event_type, &value["response"]),
+            _ => Ok(()),
         }
     }
-    must(events.len() > 4, || format!("{} events", events.len()))
+
+    fn is_open(&self, item: &str) -> bool {
+        self.open.iter().any(|open| open == item)
+    }
+
+    fn add_delta(&mut self, event_type: &str, item: &str, delta: &Value) -> Result<(), Violation> {
+        ensure(self.is_open(item), || Violation::DeltaOfClosedItem(event_type.to_owned()))?;
+        let delta = delta.as_str().ok_or(Violation::DeltaNotText)?;
+        self.texts.entry(item.to_owned()).or_default().push_str(delta);
+        Ok(())
+    }
+
+    fn check_end(&self, event_type: &str, response: &Value) -> Result<(), Violation> {
+        ensure(self.open.is_empty(), || Violation::ItemWithoutEnd)?;
+        let (output, ended) = (response["output"].as_array().map_or(0, Vec::len), self.ended);
+        ensure(output == ended && ended > 0, || Violation::OutputCount { output, ended })?;
+        let status = response["status"].as_str().unwrap_or("");
+        ensure(event_type.ends_with(status) && !status.is_empty(), || Violation::Status {
+            event_type: event_type.to_owned(),
+            status: status.to_owned(),
+        })?;
+        ensure(response["usage"]["total_tokens"].is_u64(), || Violation::NoUsageAtEnd)
+    }
 }
--- a/crates/conform/tests/findings.rs
+++ b/crates/conform/tests/findings.rs
@@ -2,7 +2,7 @@
 
 mod golden_file;
 
-use dewladder_conform::{cases, run, Came, Case, Target};
+use dewladder_conform::{cases, run, Case, CaseResult, Target};
 use golden_file::assert_golden;
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::TcpListener;
@@ -30,12 +30,12 @@
         once: "kiln-book".to_owned(),
         nonce: "nonce".to_owned(),
     };
-    let outcomes = run(&target, &[case]).await;
+    let reports = run(&target, &[case]).await;
     front.abort();
-    match &outcomes[0].came {
-        Came::Passed => "passed".to_owned(),
-        Came::Failed(what) => format!("failed: {what}"),
-        Came::Error(what) => format!("error: {what}"),
+    match &reports[0].result {
+        CaseResult::Passed => "passed".to_owned(),
+        CaseResult::Failed(what) => format!("failed: {what}"),
+        CaseResult::NotRun(what) => format!("error: {what}"),
     }
 }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -59,7 +59,9 @@
             None => runtime()?.block_on(demo::run()),
             Some(unknown) => Err(format!("demo takes no arguments: {}", unknown.to_string_lossy())),
         },
-        Some("conform") => runtime()?.block_on(conform::conform(arguments)),
+        Some("conform") => {
+            runtime()?.block_on(conform::conform(arguments)).map_err(|error| error.to_string())
+        }
         Some("check-config") => {
             let (_, config, fronts) = config(arguments)?;
             fronts.chat.as_ref().map_or(Ok(()), |chat| chat::check(chat, &config))?;
--- a/tests/conform.rs
+++ b/tests/conform.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use dewladder_conform::{cases, run, Came, Outcome, Target};
+use dewladder_conform::{cases, run, CaseReport, CaseResult, Target};
 use dewladder_stand_in::{wrong_front, Wrong};
 use stand_in::*;
 
@@ -26,8 +26,8 @@
     Shape { events: 3, read, pause, ..Shape::default() }
 }
 
-fn not_passed(outcomes: &[Outcome]) -> Vec<&Outcome> {
-    outcomes.iter().filter(|outcome| outcome.came != Came::Passed).collect()
+fn not_passed(reports: &[CaseReport]) -> Vec<&CaseReport> {
+    reports.iter().filter(|report| report.result != CaseResult::Passed).collect()
 }
 
 #[tokio::test]
@@ -41,13 +41,13 @@
     assert_eq!(names.len(), all.len(), "each name once");
     // Failures each on a site of its own: servers that fail are left out for a while, and others would fill them.
     let (failing, all): (Vec<_>, Vec<_>) = all.into_iter().partition(|case| case.faults);
-    let outcomes = run(&target(site.chat, "right"), &all).await;
-    assert_eq!(not_passed(&outcomes), Vec::<&Outcome>::new());
+    let reports = run(&target(site.chat, "right"), &all).await;
+    assert_eq!(not_passed(&reports), Vec::<&CaseReport>::new());
     assert!(failing.len() >= 12);
     for case in failing {
         let site = FleetSite::start(fast(), ON).await;
-        let outcomes = run(&target(site.chat, "failing"), &[case]).await;
-        assert_eq!(not_passed(&outcomes), Vec::<&Outcome>::new());
+        let reports = run(&target(site.chat, "failing"), &[case]).await;
+        assert_eq!(not_passed(&reports), Vec::<&CaseReport>::new());
     }
 }
 
@@ -57,13 +57,13 @@
     let site = FleetSite::start(fast(), ON).await;
     let all: Vec<_> = cases().unwrap().into_iter().filter(|case| !case.faults).collect();
     let right = wrong_front(site.chat, Wrong::Nothing, "key-of-clay").await.unwrap();
-    let outcomes = run(&target(right, "nothing"), &all).await;
-    assert_eq!(not_passed(&outcomes), Vec::<&Outcome>::new());
+    let reports = run(&target(right, "nothing"), &all).await;
+    assert_eq!(not_passed(&reports), Vec::<&CaseReport>::new());
     for wrong in Wrong::ALL {
         let front = wrong_front(site.chat, wrong, "key-of-clay").await.unwrap();
-        let outcomes = run(&target(front, &format!("{wrong:?}")), &all).await;
-        let failed = outcomes.iter().filter(|outcome| matches!(outcome.came, Came::Failed(_))).count();
-        let errors = outcomes.iter().filter(|outcome| matches!(outcome.came, Came::Error(_))).count();
+        let reports = run(&target(front, &format!("{wrong:?}")), &all).await;
+        let failed = reports.iter().filter(|report| matches!(report.result, CaseResult::Failed(_))).count();
+        let errors = reports.iter().filter(|report| matches!(report.result, CaseResult::NotRun(_))).count();
         assert!(failed > 0 && errors == 0, "{wrong:?}: {failed} failed, {errors} could not be tried");
         assert!(failed < all.len(), "{wrong:?} is wrong in one way only");
     }
@@ -73,10 +73,10 @@
 async fn what_can_not_be_reached_is_an_error_and_no_pass() {
     let closed = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
     let all = cases().unwrap();
-    let outcomes = run(&target(closed, "nobody"), &all[..5]).await;
-    assert!(outcomes.iter().all(|outcome| matches!(outcome.came, Came::Error(_))), "{outcomes:?}");
+    let reports = run(&target(closed, "nobody"), &all[..5]).await;
+    assert!(reports.iter().all(|report| matches!(report.result, CaseResult::NotRun(_))), "{reports:?}");
     let site = FleetSite::start(fast(), ON).await;
     let alone = Target { other_key: None, ..target(site.chat, "alone") };
     let of_two: Vec<_> = all.into_iter().filter(|case| case.name.contains("another-tenant")).collect();
-    assert!(matches!(run(&alone, &of_two).await[0].came, Came::Error(_)));
+    assert!(matches!(run(&alone, &of_two).await[0].result, CaseResult::NotRun(_)));
 }
