--- a/src/edge/clients/repeats.rs
+++ b/src/edge/clients/repeats.rs
@@ -14,7 +14,7 @@
     canonical_json, Admission, Effect, EntryId, Execution, Fingerprinter, IdempotencyStore, IncomingRequest,
     Outcome, Policy, ReadResult, RequestIdentity, Stats,
 };
-use dewladder_replica::{Denied, RecordId};
+use dewladder_replica::{Denial, RecordId};
 use dewladder_router::mix;
 use http_body::{Body, Frame};
 use http_body_util::BodyExt as _;
@@ -309,21 +309,21 @@
 }
 
 /// What a request comes to that other instances do not let pass.
-fn denied(why: Denied) -> Outcome {
+fn denied(why: Denial) -> Outcome {
     match why {
         // Another attempt, at this instance or another, may have run or may be running.
-        Denied::Found(_) => Outcome::Failed { may_have_executed: true },
-        Denied::NoQuorum | Denied::Behind | Denied::Full => Outcome::Refused { retry_after_us: 0 },
+        Denial::Conflict(_) => Outcome::Failed { may_have_executed: true },
+        Denial::NoQuorum | Denial::NotCaughtUp | Denial::StoreFull => Outcome::Refused { retry_after_us: 0 },
     }
 }
 
 fn told_to_others(grant: Grant, ending: &Outcome) {
     match ending {
-        Outcome::Completed => grant.ran(true),
-        Outcome::Interrupted(_) => grant.ran(false),
+        Outcome::Completed => grant.executed(true),
+        Outcome::Interrupted(_) => grant.executed(false),
         Outcome::Refused { .. }
         | Outcome::Failed { may_have_executed: false }
-        | Outcome::Canceled { may_have_executed: false } => grant.never_ran(),
+        | Outcome::Canceled { may_have_executed: false } => grant.never_executed(),
         // Its end says as much by itself.
         Outcome::Failed { may_have_executed: true } | Outcome::Canceled { may_have_executed: true } => {
             drop(grant)
