--- a/src/edge/balancers.rs
+++ b/src/edge/balancers.rs
@@ -14,7 +14,7 @@
 use tokio::time::{timeout_at, Instant};
 
 use crate::edge::accept::accept;
-use crate::edge::clients::listener::Phase;
+use crate::edge::phase::Phase;
 use crate::edge::stats::Figures;
 use crate::edge::tcp::Uninterrupted;
 
--- a/src/edge/clients/accept_queue.rs
+++ b/src/edge/clients/accept_queue.rs
@@ -71,7 +71,7 @@
     let listener = match listener.into_std() {
         Ok(listener) => listener,
         Err(error) => {
-            return warn!("listener: its queue can't be emptied: {error}");
+            return warn!(error:% = error; "listener: queue not emptied at its close");
         }
     };
     let until = Instant::now() + LAST_ACCEPTS;
@@ -84,11 +84,11 @@
         match accepted {
             Ok((stream, _)) => match usable(stream) {
                 Ok(stream) => admit(stream, failing.waited()),
-                Err(error) => warn!("listener: a connection is lost at its close: {error}"),
+                Err(error) => warn!(error:% = error; "listener: connection lost at its close"),
             },
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
             Err(error) if Instant::now() >= until => {
-                warn!("listener: can't accept those that wait at its close: {error}");
+                warn!(error:% = error; "listener: accept failed at its close");
                 break;
             }
             failed => {
@@ -97,7 +97,7 @@
             }
         }
     }
-    drop(listener); // in the same breath: what comes between the last accept and this is lost
+    drop(listener); // at once: what comes between the last accept and this is lost
 }
 
 /// A connection that was accepted without the runtime, made ready for it.
--- a/src/edge/clients/platform.rs
+++ b/src/edge/clients/platform.rs
@@ -15,7 +15,8 @@
 use serde::de::IgnoredAny;
 use tokio::time::{timeout_at, Instant};
 
-use crate::edge::clients::listener::{short, Waited, WholeBy};
+use crate::edge::clients::plain_response::plain_response;
+use crate::edge::clients::request_timing::{AcceptDelay, WholeBy};
 use crate::edge::clock::{micros, Clock};
 use crate::edge::driver::{Reply, Sender};
 use crate::edge::servers::{header, Payload, IDEMPOTENCY_KEY};
@@ -52,21 +53,21 @@
         Ok(asked) => asked,
         Err(what) => {
             failed();
-            return short(StatusCode::BAD_REQUEST, what);
+            return plain_response(StatusCode::BAD_REQUEST, what);
         }
     };
     let body = match body_within(body, &head.extensions).await {
         Ok(body) => body,
-        Err((status, what)) => return short(status, what),
+        Err((status, what)) => return plain_response(status, what),
     };
     // Guards the servers: they turn away what they can't use, which looks as if they were full.
     if serde_json::from_slice::<IgnoredAny>(&body).is_err() {
         failed();
-        return short(StatusCode::BAD_REQUEST, "the body is no JSON");
+        return plain_response(StatusCode::BAD_REQUEST, "the body is no JSON");
     }
     let target = head.uri.path_and_query().map_or("/", |target| target.as_str()).to_owned();
     // A request's time counts from its last byte, which may have come while nobody accepted its connection.
-    let waited = head.extensions.get::<Waited>().map_or(0, |waited| micros(waited.0));
+    let waited = head.extensions.get::<AcceptDelay>().map_or(0, |waited| micros(waited.0));
     let call = asked.call(body.len(), front.clock.now(), waited);
     let key = head.headers.get(IDEMPOTENCY_KEY).cloned();
     let payload = Arc::new(Payload { txn: asked.txn, target, key, body });
@@ -77,17 +78,17 @@
             response
         }
         Reply::Refused { retry_in } => {
-            let mut response = short(StatusCode::SERVICE_UNAVAILABLE, "refused");
+            let mut response = plain_response(StatusCode::SERVICE_UNAVAILABLE, "refused");
             let seconds = format!("{:.3}", Duration::from_micros(retry_in).as_secs_f64());
             if let Ok(value) = HeaderValue::from_str(&seconds) {
                 response.headers_mut().insert(RETRY_AFTER, value);
             }
             response
         }
-        Reply::Failed { .. } => short(StatusCode::BAD_GATEWAY, "failed"),
+        Reply::Failed { .. } => plain_response(StatusCode::BAD_GATEWAY, "failed"),
         Reply::Taken => {
             failed();
-            short(StatusCode::CONFLICT, "a request with this X-Txn is open")
+            plain_response(StatusCode::CONFLICT, "a request with this X-Txn is open")
         }
     }
 }
--- a/src/edge/dispatcher.rs
+++ b/src/edge/dispatcher.rs
@@ -10,14 +10,15 @@
 
 use crate::edge::admin::Admin;
 use crate::edge::balancers::{self, Health};
-use crate::edge::clients::listener::{self, Phase};
-use crate::edge::clients::room::Room;
+use crate::edge::clients::connection_limits::ConnectionLimits;
+use crate::edge::clients::listener;
 use crate::edge::clients::{chat, platform};
 use crate::edge::clock::Clock;
 use crate::edge::cluster::Cluster;
 use crate::edge::driver::{Driver, Message, Sender};
 use crate::edge::kin::{Companion, Seen};
 use crate::edge::peers::Peers;
+use crate::edge::phase::Phase;
 use crate::edge::settings::{Config, ConfigError, Fronts, Retuned};
 use crate::edge::stats::Figures;
 use crate::edge::transient::{self, is_transient, outlast};
@@ -231,7 +232,7 @@
         let hearing = peers.map(|peers| tokio::spawn(peers.hear(to_driver.clone())));
         let mut driver = tokio::spawn(driver.run());
         let mut watching = tokio::spawn(list::watch(config.clone(), discovery, to_driver.clone()));
-        let room = Room::new(config.most_connections());
+        let room = ConnectionLimits::new(config.most_connections());
         let agent = agent.map(|listener| tokio::spawn(balancers::agent_check(listener, health)));
         let (leave, left) = oneshot::channel();
         let cluster = cluster.map(|cluster| tokio::spawn(cluster.run(left)));
--- a/src/edge/kin.rs
+++ b/src/edge/kin.rs
@@ -17,10 +17,10 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::Instant;
 
-use crate::edge::clients::listener::Phase;
-use crate::edge::clients::room::Room;
+use crate::edge::clients::connection_limits::ConnectionLimits;
 use crate::edge::clock::Clock;
 use crate::edge::driver::{Message, Sender};
+use crate::edge::phase::Phase;
 use crate::edge::settings::Config;
 use crate::edge::stats::Figures;
 use crate::interface::Micros;
@@ -251,7 +251,7 @@
     pub async fn run(
         mut self,
         config: Config,
-        room: Room,
+        room: ConnectionLimits,
         driver: Sender,
         figures: Figures,
         mut phase: watch::Receiver<Phase>,
@@ -280,11 +280,11 @@
             let part = self.kin.says().part;
             if part != applied {
                 applied = part;
-                room.holds(dewladder_kin::of(config.most_connections(), part));
+                room.set_max_connections(dewladder_kin::of(config.most_connections(), part));
                 let most_open = dewladder_kin::of(config.most_open(), part);
                 driver.send(Message::Part { part: f64::from(part) / f64::from(WHOLE), most_open });
             }
-            room.shrink(Instant::now());
+            room.evict_excess(Instant::now());
             tell.send_replace(Some(self.seen()));
             let pause = if self.kin.other().is_some() || leaving || self.unsaid { OFTEN } else { SELDOM };
             let _ = tokio::time::timeout_at(Instant::now() + pause, phase.changed()).await;
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -17,6 +17,7 @@
 pub mod list;
 pub mod listing;
 pub mod peers;
+pub mod phase;
 pub mod servers;
 pub mod settings;
 pub mod stats;
--- a/src/edge/tcp.rs
+++ b/src/edge/tcp.rs
@@ -8,18 +8,19 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Interrupted calls in a row, after which others get their turn first.
-const IN_A_ROW: usize = 16;
+/// Interrupted calls in a row, after which other tasks get their turn first.
+const MAX_INTERRUPTS: usize = 16;
 
 /// A stream of which no call ends as interrupted.
 #[derive(Debug)]
 pub struct Uninterrupted(pub TcpStream);
 
-fn again<T>(
+/// Makes a call again for as long as it is interrupted.
+fn retry_interrupted<T>(
     context: &mut Context<'_>,
     mut call: impl FnMut(&mut Context<'_>) -> Poll<io::Result<T>>,
 ) -> Poll<io::Result<T>> {
-    for _ in 0..IN_A_ROW {
+    for _ in 0..MAX_INTERRUPTS {
         match call(context) {
             Poll::Ready(Err(error)) if error.kind() == io::ErrorKind::Interrupted => {}
             other => return other,
@@ -35,7 +36,7 @@
         context: &mut Context<'_>,
         into: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        again(context, |context| Pin::new(&mut self.0).poll_read(context, into))
+        retry_interrupted(context, |context| Pin::new(&mut self.0).poll_read(context, into))
     }
 }
 
@@ -45,15 +46,15 @@
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        again(context, |context| Pin::new(&mut self.0).poll_write(context, bytes))
+        retry_interrupted(context, |context| Pin::new(&mut self.0).poll_write(context, bytes))
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        again(context, |context| Pin::new(&mut self.0).poll_flush(context))
+        retry_interrupted(context, |context| Pin::new(&mut self.0).poll_flush(context))
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        again(context, |context| Pin::new(&mut self.0).poll_shutdown(context))
+        retry_interrupted(context, |context| Pin::new(&mut self.0).poll_shutdown(context))
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -65,6 +66,6 @@
         context: &mut Context<'_>,
         parts: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        again(context, |context| Pin::new(&mut self.0).poll_write_vectored(context, parts))
+        retry_interrupted(context, |context| Pin::new(&mut self.0).poll_write_vectored(context, parts))
     }
 }
--- a/tests/crossings_clients.rs
+++ b/tests/crossings_clients.rs
@@ -10,8 +10,9 @@
 use std::time::Duration;
 
 use crossing::*;
-use dewladder::edge::clients::listener::{self, Phase};
-use dewladder::edge::clients::room::Room;
+use dewladder::edge::clients::connection_limits::ConnectionLimits;
+use dewladder::edge::clients::listener;
+use dewladder::edge::phase::Phase;
 use dewladder::edge::stats::Figures;
 use dewladder_stand_in::{LatePeer, Line, Peer};
 use serde_json::json;
@@ -409,7 +410,7 @@
 }
 
 /// A front of a test's own behind the listener: one path, whose answer is this long and one piece.
-async fn listening(room: Room, answer: usize) -> (SocketAddr, watch::Sender<Phase>) {
+async fn listening(room: ConnectionLimits, answer: usize) -> (SocketAddr, watch::Sender<Phase>) {
     let front = axum::Router::new()
         .route("/", axum::routing::get(move || async move { "y".repeat(answer) }))
         .route("/wait", axum::routing::get(|| async { std::future::pending::<()>().await }));
@@ -417,7 +418,7 @@
 }
 
 /// A listener with a front of the test's own.
-fn served(room: Room, front: axum::Router) -> (SocketAddr, watch::Sender<Phase>) {
+fn served(room: ConnectionLimits, front: axum::Router) -> (SocketAddr, watch::Sender<Phase>) {
     let listener: TcpListener = listener::listen("127.0.0.1:0".parse().unwrap(), false).unwrap();
     let at = listener.local_addr().unwrap();
     let (phase, phases) = watch::channel(Phase::Serving);
@@ -431,7 +432,7 @@
 /// read. It is ended with no answer at all, and the new one is served. (The page lets a close between requests cross one.)
 #[tokio::test]
 async fn a_resting_connection_that_makes_room_as_its_request_comes_gets_no_half_answer() {
-    let (at, _phase) = listening(Room::new(1), 1_000).await;
+    let (at, _phase) = listening(ConnectionLimits::new(1), 1_000).await;
     let mut resting = std::net::TcpStream::connect(at).unwrap();
     resting.set_nonblocking(true).unwrap();
     std::io::Write::write_all(&mut resting, GET.as_bytes()).unwrap();
@@ -470,7 +471,7 @@
     for turns in [0, 1, 2, 3, 5, 8] {
         for bytes_first in [true, false] {
             let taken = Arc::new(AtomicUsize::new(0));
-            let (counted, room) = (taken.clone(), Room::new(1));
+            let (counted, room) = (taken.clone(), ConnectionLimits::new(1));
             let answers = move || {
                 counted.fetch_add(1, Ordering::Relaxed);
                 async { "y".repeat(1_000) }
@@ -534,7 +535,7 @@
 /// all of it is written. A connection that still writes does not rest: it may not be ended to make room.
 #[tokio::test]
 async fn a_client_that_still_reads_its_answer_is_not_ended_to_make_room() {
-    let (at, _phase) = listening(Room::new(1), ANSWER).await;
+    let (at, _phase) = listening(ConnectionLimits::new(1), ANSWER).await;
     let mut slow = TcpStream::connect(at).await.unwrap();
     slow.write_all(GET.as_bytes()).await.unwrap();
     assert!(slow.read(&mut [0; 64]).await.unwrap() > 0, "it has begun");
@@ -551,7 +552,7 @@
 /// of the listener itself wait 30 s for a client that takes in nothing.
 #[tokio::test]
 async fn a_client_that_still_reads_its_answer_is_not_ended_as_idle() {
-    let (at, _phase) = listening(Room::new(9), ANSWER).await;
+    let (at, _phase) = listening(ConnectionLimits::new(9), ANSWER).await;
     let mut slow = TcpStream::connect(at).await.unwrap();
     slow.write_all(GET.as_bytes()).await.unwrap();
     assert!(slow.read(&mut [0; 64]).await.unwrap() > 0, "it has begun");
@@ -563,7 +564,7 @@
 /// The same for the shutdown: connections are closed while the answer is still being written.
 #[tokio::test]
 async fn a_client_that_still_reads_its_answer_is_not_cut_by_the_shutdown() {
-    let (at, phase) = listening(Room::new(9), ANSWER).await;
+    let (at, phase) = listening(ConnectionLimits::new(9), ANSWER).await;
     let mut slow = TcpStream::connect(at).await.unwrap();
     slow.write_all(GET.as_bytes()).await.unwrap();
     assert!(slow.read(&mut [0; 64]).await.unwrap() > 0, "it has begun");
@@ -574,49 +575,49 @@
     assert!(length >= ANSWER, "{length} of {ANSWER} bytes came");
 }
 
-/// A seat's own times, both orders of two events: bytes that come just before the end of its rest put that off to the
+/// A slot's own times, both orders of two events: bytes that come just before the end of its rest put that off to the
 /// time a request may take; an answer that is handed over starts the rest anew.
 #[tokio::test]
 async fn a_request_that_comes_just_before_the_end_of_a_rest_is_waited_for() {
-    let (room, start) = (Room::new(2), Instant::now());
-    let place = room.enter(start).unwrap();
-    let seat = &place.seat;
-    seat.came(start, GET.as_bytes());
-    let _ = seat.taken(start);
-    assert_eq!(seat.due(), None, "while it is open it has no end");
-    seat.answered(start);
-    let rests = seat.due().unwrap();
+    let (limits, start) = (ConnectionLimits::new(2), Instant::now());
+    let guard = limits.admit(start).unwrap();
+    let slot = &guard.slot;
+    slot.received(start, GET.as_bytes());
+    let _ = slot.request_taken(start);
+    assert_eq!(slot.deadline(), None, "while it is open it has no end");
+    slot.request_answered(start);
+    let rests = slot.deadline().unwrap();
     let just_before = rests - Duration::from_micros(1);
-    seat.came(just_before, &GET.as_bytes()[..5]);
-    let waits = seat.due().unwrap();
+    slot.received(just_before, &GET.as_bytes()[..5]);
+    let waits = slot.deadline().unwrap();
     assert!(waits > rests, "half of a request has come");
-    seat.came(waits, &GET.as_bytes()[5..]);
-    let (_, whole_by) = seat.taken(waits);
+    slot.received(waits, &GET.as_bytes()[5..]);
+    let whole_by = slot.request_taken(waits).whole_by;
     assert_eq!(whole_by, waits, "counted from its first byte");
-    assert_eq!(seat.due(), None);
-    seat.answered(waits);
-    assert_eq!(seat.due().unwrap() - waits, rests - start);
+    assert_eq!(slot.deadline(), None);
+    slot.request_answered(waits);
+    assert_eq!(slot.deadline().unwrap() - waits, rests - start);
 }
 
-/// Room is short: one that rests makes room only after a time, one within a request that goes on does not, and one whose
+/// Slots are short: one that is idle is evicted only after a time, one within a request that goes on does not, and one whose
 /// request is open never does.
 #[tokio::test]
-async fn only_who_rests_makes_room() {
-    let (room, start) = (Room::new(1), Instant::now());
-    let place = room.enter(start).unwrap();
-    place.seat.came(start, GET.as_bytes());
-    let _ = place.seat.taken(start);
+async fn only_an_idle_connection_is_evicted_where_slots_are_short() {
+    let (limits, start) = (ConnectionLimits::new(1), Instant::now());
+    let guard = limits.admit(start).unwrap();
+    guard.slot.received(start, GET.as_bytes());
+    let _ = guard.slot.request_taken(start);
     let later = start + Duration::from_secs(3_600);
-    assert!(room.enter(later).unwrap().seat.crowded, "its request is open");
-    place.seat.answered(later);
-    assert!(room.enter(later).unwrap().seat.crowded, "it has just been answered");
+    assert!(limits.admit(later).unwrap().slot.over_capacity, "its request is open");
+    guard.slot.request_answered(later);
+    assert!(limits.admit(later).unwrap().slot.over_capacity, "it has just been answered");
     let rested = later + Duration::from_secs(3);
-    place.seat.came(rested, &GET.as_bytes()[..5]);
-    assert!(room.enter(rested).unwrap().seat.crowded, "a request has just begun to come");
-    place.seat.came(rested, &GET.as_bytes()[5..]);
-    let _ = place.seat.taken(rested);
-    place.seat.answered(rested);
-    assert!(!room.enter(rested + Duration::from_secs(3)).unwrap().seat.crowded, "it rests");
+    guard.slot.received(rested, &GET.as_bytes()[..5]);
+    assert!(limits.admit(rested).unwrap().slot.over_capacity, "a request has just begun to come");
+    guard.slot.received(rested, &GET.as_bytes()[5..]);
+    let _ = guard.slot.request_taken(rested);
+    guard.slot.request_answered(rested);
+    assert!(!limits.admit(rested + Duration::from_secs(3)).unwrap().slot.over_capacity, "it rests");
 }
 
 /// A chat client that asks for two choices goes during their reads: both are called off.
--- a/tests/hot_restart_files.rs
+++ b/tests/hot_restart_files.rs
@@ -9,11 +9,11 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use dewladder::edge::clients::listener::Phase;
-use dewladder::edge::clients::room::Room;
+use dewladder::edge::clients::connection_limits::ConnectionLimits;
 use dewladder::edge::clock::Clock;
 use dewladder::edge::driver::{Driver, Message, Sender};
 use dewladder::edge::kin::Companion;
+use dewladder::edge::phase::Phase;
 use dewladder::edge::settings::Config;
 use golden_file::assert_golden;
 use serde_json::{json, Value};
@@ -62,7 +62,7 @@
     let companion = Companion::start(&config, folder.to_str().unwrap(), clock);
     let (driver, sender) = Driver::new(&config, clock);
     let figures = driver.figures();
-    let room = Room::new(config.most_connections());
+    let room = ConnectionLimits::new(config.most_connections());
     let (phase, phases) = watch::channel(Phase::Serving);
     let (seen, _) = watch::channel(None);
     let to_driver = sender.clone();
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -9,8 +9,9 @@
 use std::process::Stdio;
 use std::time::Duration;
 
-use dewladder::edge::clients::listener::{self, Phase};
-use dewladder::edge::clients::room::Room;
+use dewladder::edge::clients::connection_limits::ConnectionLimits;
+use dewladder::edge::clients::listener;
+use dewladder::edge::phase::Phase;
 use dewladder::edge::stats::Figures;
 use dewladder_stand_in::{Fault, Fleet, Shape};
 use processes::Port;
@@ -294,7 +295,7 @@
     let at = listener.local_addr().unwrap();
     let front = axum::Router::new().route("/", axum::routing::get(|| async { "here" }));
     let (phase, phases) = tokio::sync::watch::channel(Phase::Serving);
-    let serving = listener::serve(listener, front, Room::new(500), Figures::default(), phases);
+    let serving = listener::serve(listener, front, ConnectionLimits::new(500), Figures::default(), phases);
     // Nothing is accepted yet: all of these wait in the queue when the listener is told to close.
     let mut waiting: Vec<std::net::TcpStream> = (0..200)
         .map(|_| {
--- a/tests/stable_texts.rs
+++ b/tests/stable_texts.rs
@@ -7,7 +7,7 @@
 use std::fmt::Write as _;
 
 use dewladder::edge::balancers::Health;
-use dewladder::edge::clients::listener::Phase;
+use dewladder::edge::phase::Phase;
 use dewladder::edge::settings::{Config, Fronts};
 use dewladder::edge::stats::{End, Figures, Record};
 use golden_file::assert_golden;
