--- a/src/edge/kin.rs
+++ b/src/edge/kin.rs
@@ -1,6 +1,6 @@
 //! Another process of this dispatcher, while a new version takes over: how the two know of each other. Each holds a
 //! lock on a file of its own in `$TMPDIR` for as long as it lives, and says there what it is; a file that nobody holds
-//! a lock on means nothing, whatever it says. What follows from it is `crates/kin`'s.
+//! a lock on means nothing, whatever it says. What follows from it is `crates/hot-restart`'s.
 
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io;
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use dewladder_kin::{next_generation, Generation, Kin, Other, Part, Said, Stage, WHOLE};
+use dewladder_hot_restart::{next_generation, Generation, Kin, Other, Part, Said, Stage, WHOLE};
 use dewladder_router::Handover;
 use log::{debug, info, warn};
 use serde::{Deserialize, Serialize};
@@ -19,7 +19,7 @@
 
 use crate::edge::clients::connection_limits::ConnectionLimits;
 use crate::edge::clock::Clock;
-use crate::edge::driver::{Message, Sender};
+use crate::edge::driver::{DriverHandle, Message};
 use crate::edge::phase::Phase;
 use crate::edge::settings::Config;
 use crate::edge::stats::Figures;
@@ -252,7 +252,7 @@
         mut self,
         config: Config,
         room: ConnectionLimits,
-        driver: Sender,
+        driver: DriverHandle,
         figures: Figures,
         mut phase: watch::Receiver<Phase>,
         tell: watch::Sender<Option<Seen>>,
@@ -275,14 +275,15 @@
                     }
                 }
             }
-            self.look(dewladder_kin::part_of(room.held() + figures.open(), config.limits.sockets));
+            self.look(dewladder_hot_restart::part_of(room.held() + figures.open(), config.limits.sockets));
             self.take_over(&driver);
             let part = self.kin.says().part;
             if part != applied {
                 applied = part;
-                room.set_max_connections(dewladder_kin::of(config.most_connections(), part));
-                let most_open = dewladder_kin::of(config.most_open(), part);
-                driver.send(Message::Part { part: f64::from(part) / f64::from(WHOLE), most_open });
+                room.set_max_connections(dewladder_hot_restart::of(config.most_connections(), part));
+                let most_open = dewladder_hot_restart::of(config.most_open(), part);
+                driver
+                    .send(Message::LimitShareChanged { part: f64::from(part) / f64::from(WHOLE), most_open });
             }
             room.evict_excess(Instant::now());
             tell.send_replace(Some(self.seen()));
@@ -292,10 +293,10 @@
     }
 
     /// Writes what is learnt by now; whether it lies there whole.
-    async fn hand_over(&self, driver: &Sender) -> bool {
+    async fn hand_over(&self, driver: &DriverHandle) -> bool {
         let Some(seats) = &self.seats else { return false };
         let (learnt, answer) = oneshot::channel();
-        driver.send(Message::Learnt(learnt));
+        driver.send(Message::ExportState(learnt));
         let Ok(learnt) = answer.await else { return false };
         let handed = Handed { born: self.kin.says().born, clock: self.clock.now(), learnt: *learnt };
         let written = serde_json::to_vec(&handed).map_err(io::Error::other).and_then(|text| {
@@ -312,7 +313,7 @@
 
     /// Takes what the other one has handed over, if it is of the one that lives: what lies there otherwise means
     /// nothing. It is removed, as it counts as memory.
-    fn take_over(&mut self, driver: &Sender) {
+    fn take_over(&mut self, driver: &DriverHandle) {
         let (Some(seats), Some(other)) = (&self.seats, self.kin.other()) else { return };
         if other.born > self.kin.says().born || self.taken_from == other.born {
             return;
@@ -326,7 +327,7 @@
             Ok(handed) if handed.born == other.born => {
                 info!("kin: what the other process has learnt is taken over");
                 self.taken_from = other.born;
-                driver.send(Message::TakenOver(Box::new(handed.on_clock(self.clock.now()))));
+                driver.send(Message::StateImported(Box::new(handed.on_clock(self.clock.now()))));
             }
             Ok(_) => {}
             Err(error) => warn!("kin: what was handed over can't be read: {error}"),
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -13,7 +13,7 @@
 use dewladder::edge::clients::listener;
 use dewladder::edge::phase::Phase;
 use dewladder::edge::stats::Figures;
-use dewladder_stand_in::{Fault, Fleet, Shape};
+use dewladder_test_peers::{Fault, Fleet, Shape};
 use processes::Port;
 use serde_json::{json, Value};
 use stand_in::{field, platform, talk, until_close};
