--- a/benches/scale/membership.rs
+++ b/benches/scale/membership.rs
@@ -5,7 +5,7 @@
 use dewladder_membership::{MemberState, Settings};
 use dewladder_scale::options;
 use dewladder_scale::results::{MembershipEvent, MembershipSample};
-use dewladder_simulation::{name, Lab, SECOND};
+use dewladder_simulation::{name, Simulation, SECOND};
 use pico_args::Arguments;
 
 use crate::Failure;
@@ -18,7 +18,7 @@
 const MOST: u64 = 600 * SECOND;
 
 struct Cluster {
-    lab: Lab,
+    simulation: Simulation,
     members: usize,
 }
 
@@ -34,21 +34,21 @@
 impl Cluster {
     fn formed(members: usize) -> Result<Self, Failure> {
         let settings = Settings { tick_interval: 100_000, ..Settings::default() };
-        let mut lab = Lab::new(members, settings, 7);
-        let forms = lab.until(FORMS_IN, Lab::all_alive);
+        let mut simulation = Simulation::new(members, settings, 7);
+        let forms = simulation.advance_until(FORMS_IN, Simulation::all_alive);
         forms.ok_or("the cluster does not form")?;
-        Ok(Self { lab, members })
+        Ok(Self { simulation, members })
     }
 
     fn sent(&self) -> (u64, u64) {
-        let of = |at| (self.lab.bytes_out(at), self.lab.messages_out(at));
+        let of = |at| (self.simulation.bytes_sent(at), self.simulation.messages_sent(at));
         (0..self.members).map(of).fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1))
     }
 
     /// Lets time pass and says what it cost.
     fn passes(&mut self, time: u64) -> Spent {
         let (before, start) = (self.sent(), Instant::now());
-        self.lab.pass(time);
+        self.simulation.advance(time);
         let processor_us = start.elapsed().as_secs_f64() * 1e6;
         let after = self.sent();
         Spent { bytes: after.0 - before.0, messages: after.1 - before.1, processor_us, played_us: time }
@@ -74,12 +74,12 @@
     let mut cluster = Cluster::formed(members)?;
     let spent = cluster.passes(quiet);
     let killed = members / 2;
-    cluster.lab.kill(killed);
-    let all_know = |lab: &Lab| {
-        let gone = |at| lab.held(at, killed).is_none_or(|standing| standing == MemberState::Dead);
-        lab.running().into_iter().all(gone)
+    cluster.simulation.kill(killed);
+    let all_know = |simulation: &Simulation| {
+        let gone = |at| simulation.state_of(at, killed).is_none_or(|standing| standing == MemberState::Dead);
+        simulation.running().into_iter().all(gone)
     };
-    let known = cluster.lab.until(MOST, all_know);
+    let known = cluster.simulation.advance_until(MOST, all_know);
     println!("{members} members, a death ({}): known to all after {known:?} us", name(killed));
     Ok(cluster.sample(MembershipEvent::Death, spent, known))
 }
@@ -87,10 +87,10 @@
 fn cut(members: usize, time: u64) -> Result<MembershipSample, Failure> {
     let mut cluster = Cluster::formed(members)?;
     let side: Vec<usize> = (0..members / 2).collect();
-    cluster.lab.partition(&side, true);
+    cluster.simulation.partition(&side, true);
     let spent = cluster.passes(time);
-    cluster.lab.partition(&side, false);
-    let healed = cluster.lab.until(MOST, Lab::all_alive);
+    cluster.simulation.partition(&side, false);
+    let healed = cluster.simulation.advance_until(MOST, Simulation::all_alive);
     println!(
         "{members} members, two regions cut for {} s: all alive again after {healed:?} us",
         time / SECOND
--- a/crates/simulation/benches/membership.rs
+++ b/crates/simulation/benches/membership.rs
@@ -5,7 +5,7 @@
 
 use dewladder_membership::codec::Codec;
 use dewladder_membership::{Body, MemberState, Membership, Message, Micros, Settings};
-use dewladder_simulation::{Lab, SECOND};
+use dewladder_simulation::{Simulation, SECOND};
 use hdrhistogram::Histogram;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -47,22 +47,22 @@
     let mut row = Row::new();
     for seed in 0..trials {
         let settings = Settings { tick_interval: 100_000, ..Settings::default() };
-        let mut lab = Lab::new(members, settings, seed);
-        assert!(lab.until(600 * SECOND, Lab::all_alive).is_some(), "it forms");
-        lab.net.loss = loss;
-        let before: u64 = (0..members).map(|at| lab.bytes_out(at)).sum();
-        lab.pass(QUIET);
-        let after: u64 = (0..members).map(|at| lab.bytes_out(at)).sum();
+        let mut simulation = Simulation::new(members, settings, seed);
+        assert!(simulation.advance_until(600 * SECOND, Simulation::all_alive).is_some(), "it forms");
+        simulation.network.loss = loss;
+        let before: u64 = (0..members).map(|at| simulation.bytes_sent(at)).sum();
+        simulation.advance(QUIET);
+        let after: u64 = (0..members).map(|at| simulation.bytes_sent(at)).sum();
         row.bytes += (after - before) as f64 / members as f64 / (QUIET as f64 / 1e6) / trials as f64;
-        row.false_deaths += lab.false_deaths();
+        row.false_deaths += simulation.false_deaths();
         row.pairs += members * (members - 1);
         let killed = members / 2;
-        lab.kill(killed);
-        let start = lab.now;
-        lab.pass(120 * SECOND);
+        simulation.kill(killed);
+        let start = simulation.now;
+        simulation.advance(120 * SECOND);
         let name = dewladder_simulation::name(killed);
         let mut knowing = std::collections::BTreeSet::new();
-        for (at, when, change) in lab.changes() {
+        for (at, when, change) in simulation.changes() {
             let first = change.state == MemberState::Dead && change.name == name && when >= start;
             if first && knowing.insert(at) {
                 row.detected.record((when - start) / 1_000).expect("in range");
--- a/crates/simulation/tests/membership.rs
+++ b/crates/simulation/tests/membership.rs
@@ -1,114 +1,133 @@
-//! The faults that membership is for, in virtual time, each over many seeds. Times are in probe times.
+//! The faults that membership is for, in virtual time, each over many seeds. Times are in probe intervals.
 
 use dewladder_membership::{MemberState, Micros, Settings};
-use dewladder_simulation::{Lab, SECOND};
+use dewladder_simulation::{Simulation, SECOND};
 
-/// Probe time 1 s, whole states every 5 s.
+/// A probe each second, whole states every 5 s.
 fn settings() -> Settings {
     Settings { sync_interval: 5 * SECOND, ..Settings::default() }
 }
 
 /// A cluster in which all know each other.
-fn formed(count: usize, seed: u64) -> Lab {
-    let mut lab = Lab::new(count, settings(), seed);
-    assert!(lab.until(60 * SECOND, Lab::all_alive).is_some(), "seed {seed}: it forms");
-    lab
+fn formed(count: usize, seed: u64) -> Simulation {
+    let mut simulation = Simulation::new(count, settings(), seed);
+    assert!(simulation.advance_until(60 * SECOND, Simulation::all_alive).is_some(), "seed {seed}: it forms");
+    simulation
 }
 
-/// The bound of the design note: a round of probes, the longest suspicion, and the news to the last.
+/// The bound of the design note: a round of probes, the longest suspicion, and the dissemination to the last one.
 fn bound(count: usize) -> Micros {
     let settings = settings();
     let round = 2 * count as Micros * settings.probe_interval;
-    let (least, most) = settings.suspicion_bounds(count);
-    round + most + least + 5 * settings.probe_interval
+    let (min, max) = settings.suspicion_bounds(count);
+    round + max + min + 5 * settings.probe_interval
 }
 
 #[test]
-fn a_death_is_known_to_all_within_the_bound_and_nobody_else_is_held_for_dead() {
+fn a_death_is_known_to_all_within_the_bound_and_nobody_else_is_declared_dead() {
     for seed in 0..40 {
-        let mut lab = formed(5, seed);
-        lab.kill(3);
-        let known = |lab: &Lab| lab.running().iter().all(|&at| lab.held(at, 3) == Some(MemberState::Dead));
-        assert!(lab.until(bound(5), known).is_some(), "seed {seed}");
-        assert_eq!(lab.false_deaths(), 0, "seed {seed}");
+        let mut simulation = formed(5, seed);
+        simulation.kill(3);
+        let known = |simulation: &Simulation| {
+            simulation.running().iter().all(|&at| simulation.state_of(at, 3) == Some(MemberState::Dead))
+        };
+        assert!(simulation.advance_until(bound(5), known).is_some(), "seed {seed}");
+        assert_eq!(simulation.false_deaths(), 0, "seed {seed}");
     }
 }
 
 #[test]
-fn one_that_stood_still_refutes_on_waking_and_finds_fault_with_nobody() {
+fn a_paused_instance_refutes_when_it_is_resumed_and_declares_nobody_dead() {
     for seed in 0..40 {
-        let mut lab = formed(5, seed);
-        lab.pause(2);
-        lab.pass(3 * SECOND);
-        lab.wake(2);
-        assert!(lab.until(10 * SECOND, Lab::all_alive).is_some(), "seed {seed}: alive everywhere");
-        assert_eq!(lab.false_deaths(), 0, "seed {seed}");
+        let mut simulation = formed(5, seed);
+        simulation.pause(2);
+        simulation.advance(3 * SECOND);
+        simulation.resume(2);
+        assert!(
+            simulation.advance_until(10 * SECOND, Simulation::all_alive).is_some(),
+            "seed {seed}: alive everywhere"
+        );
+        assert_eq!(simulation.false_deaths(), 0, "seed {seed}");
     }
 }
 
 #[test]
-fn one_that_stood_still_for_very_long_holds_nobody_for_dead_and_comes_back() {
+fn an_instance_that_was_paused_for_long_declares_nobody_dead_and_is_alive_again() {
     for seed in 0..40 {
-        let mut lab = formed(5, seed);
+        let mut simulation = formed(5, seed);
         // Just before: it suspects one that has not answered.
-        lab.net.cuts.extend((0..5).flat_map(|other| [(2, other), (other, 2)]));
-        lab.pass(2 * SECOND);
-        lab.pause(2);
-        lab.net.cuts.clear();
-        lab.pass(120 * SECOND);
-        lab.wake(2);
-        let by_it =
-            lab.changes().filter(|(at, _, change)| *at == 2 && change.state == MemberState::Dead).count();
-        assert_eq!(by_it, 0, "seed {seed}: it finds fault with nobody for the time that it stood still");
-        assert!(lab.until(20 * SECOND, Lab::all_alive).is_some(), "seed {seed}: alive everywhere");
-        let by_it =
-            lab.changes().filter(|(at, _, change)| *at == 2 && change.state == MemberState::Dead).count();
+        simulation.network.blocked.extend((0..5).flat_map(|other| [(2, other), (other, 2)]));
+        simulation.advance(2 * SECOND);
+        simulation.pause(2);
+        simulation.network.blocked.clear();
+        simulation.advance(120 * SECOND);
+        simulation.resume(2);
+        let by_it = simulation
+            .changes()
+            .filter(|(at, _, change)| *at == 2 && change.state == MemberState::Dead)
+            .count();
+        assert_eq!(by_it, 0, "seed {seed}: it declares nobody dead for the time of its pause");
+        assert!(
+            simulation.advance_until(20 * SECOND, Simulation::all_alive).is_some(),
+            "seed {seed}: alive everywhere"
+        );
+        let by_it = simulation
+            .changes()
+            .filter(|(at, _, change)| *at == 2 && change.state == MemberState::Dead)
+            .count();
         assert_eq!(by_it, 0, "seed {seed}");
     }
 }
 
 #[test]
-fn where_one_way_is_cut_nobody_is_held_for_dead() {
+fn nobody_is_suspected_where_one_direction_is_blocked() {
     for seed in 0..20 {
-        let mut lab = formed(5, seed);
-        lab.net.cuts.insert((0, 1));
-        lab.pass(120 * SECOND);
+        let mut simulation = formed(5, seed);
+        simulation.network.blocked.insert((0, 1));
+        simulation.advance(120 * SECOND);
         // Others are asked, and they get answers: nobody is even suspected.
-        let doubted = lab.changes().filter(|(_, _, change)| change.state != MemberState::Alive);
-        assert_eq!(doubted.count(), 0, "seed {seed}");
+        let suspected = simulation.changes().filter(|(_, _, change)| change.state != MemberState::Alive);
+        assert_eq!(suspected.count(), 0, "seed {seed}");
     }
 }
 
 #[test]
-fn a_fifth_of_all_messages_lost_for_a_minute_is_no_death() {
+fn losing_a_fifth_of_all_messages_for_a_minute_leads_to_no_death() {
     for seed in 0..20 {
-        let mut lab = formed(5, seed);
-        lab.net.loss = 0.2;
-        lab.pass(60 * SECOND);
-        assert_eq!(lab.false_deaths(), 0, "seed {seed}");
+        let mut simulation = formed(5, seed);
+        simulation.network.loss = 0.2;
+        simulation.advance(60 * SECOND);
+        assert_eq!(simulation.false_deaths(), 0, "seed {seed}");
     }
 }
 
 #[test]
-fn two_sides_of_a_cut_find_together_again_within_the_bound() {
+fn two_sides_of_a_partition_are_one_cluster_again_within_the_bound() {
     for seed in 0..20 {
-        let mut lab = formed(5, seed);
-        lab.partition(&[0, 1], true);
-        let apart = |lab: &Lab| {
+        let mut simulation = formed(5, seed);
+        simulation.partition(&[0, 1], true);
+        let apart = |simulation: &Simulation| {
             [0, 1].iter().all(|&a| {
                 [2, 3, 4].iter().all(|&b| {
-                    lab.held(a, b) == Some(MemberState::Dead) && lab.held(b, a) == Some(MemberState::Dead)
+                    simulation.state_of(a, b) == Some(MemberState::Dead)
+                        && simulation.state_of(b, a) == Some(MemberState::Dead)
                 })
             })
         };
-        assert!(lab.until(2 * bound(5), apart).is_some(), "seed {seed}: each side holds the other for dead");
-        lab.partition(&[0, 1], false);
+        assert!(
+            simulation.advance_until(2 * bound(5), apart).is_some(),
+            "seed {seed}: each side declares the other dead"
+        );
+        simulation.partition(&[0, 1], false);
         // Each looks for one of its lost ones about every 5 s.
-        assert!(lab.until(20 * SECOND, Lab::all_alive).is_some(), "seed {seed}: one cluster again");
-        lab.pass(30 * SECOND);
+        assert!(
+            simulation.advance_until(20 * SECOND, Simulation::all_alive).is_some(),
+            "seed {seed}: one cluster again"
+        );
+        simulation.advance(30 * SECOND);
         // What the other side held of them has killed nobody on its own side.
         let side = |at: usize| at < 2;
-        let own = lab.changes().filter(|(at, _, change)| {
+        let own = simulation.changes().filter(|(at, _, change)| {
             let other = change.name[1..].parse::<usize>().expect("a number");
             change.state == MemberState::Dead && side(*at) == side(other)
         });
@@ -117,60 +136,68 @@
 }
 
 #[test]
-fn one_that_leaves_is_not_suspected_and_one_that_starts_again_is_alive_again() {
+fn an_instance_that_leaves_is_not_suspected_and_one_that_restarts_is_alive_again() {
     for seed in 0..20 {
-        let mut lab = formed(5, seed);
-        lab.leave(4);
-        let left = |lab: &Lab| (0..4).all(|at| lab.held(at, 4) == Some(MemberState::Left));
-        assert!(lab.until(10 * SECOND, left).is_some(), "seed {seed}");
-        lab.kill(3);
-        lab.pass(bound(5));
-        lab.start(3);
-        lab.start(4);
-        assert!(lab.until(20 * SECOND, Lab::all_alive).is_some(), "seed {seed}: both are back");
+        let mut simulation = formed(5, seed);
+        simulation.leave(4);
+        let left =
+            |simulation: &Simulation| (0..4).all(|at| simulation.state_of(at, 4) == Some(MemberState::Left));
+        assert!(simulation.advance_until(10 * SECOND, left).is_some(), "seed {seed}");
+        simulation.kill(3);
+        simulation.advance(bound(5));
+        simulation.start(3);
+        simulation.start(4);
+        assert!(
+            simulation.advance_until(20 * SECOND, Simulation::all_alive).is_some(),
+            "seed {seed}: both are back"
+        );
         let suspected = |(_, _, change): &(usize, Micros, &dewladder_membership::Change)| {
             change.name == "n4" && matches!(change.state, MemberState::Suspect | MemberState::Dead)
         };
-        assert_eq!(lab.changes().filter(suspected).count(), 0, "seed {seed}");
+        assert_eq!(simulation.changes().filter(suspected).count(), 0, "seed {seed}");
     }
 }
 
 #[test]
-fn a_slow_one_asks_itself_before_others_are_found_fault_with() {
+fn an_instance_that_receives_nothing_gives_others_more_time() {
     // One member hears nothing at all: it must give others more and more time.
-    let mut lab = formed(5, 3);
-    lab.net.cuts.extend((0..5).map(|other| (other, 2)));
-    lab.pass(6 * SECOND);
-    let score = lab.membership(2).expect("it runs").health_score();
+    let mut simulation = formed(5, 3);
+    simulation.network.blocked.extend((0..5).map(|other| (other, 2)));
+    simulation.advance(6 * SECOND);
+    let score = simulation.membership(2).expect("it runs").health_score();
     assert!(score > 2, "score {score}");
-    let other = lab.membership(0).expect("it runs").health_score();
+    let other = simulation.membership(0).expect("it runs").health_score();
     assert!(other <= 2, "score {other}");
 }
 
 #[test]
 fn the_same_seed_gives_the_same_run() {
     let run = || {
-        let mut lab = formed(7, 11);
-        lab.net.loss = 0.3;
-        lab.kill(2);
-        lab.pass(40 * SECOND);
-        let changes: Vec<_> = lab.changes().map(|(at, when, change)| (at, when, change.clone())).collect();
-        (changes, (0..7).map(|at| lab.bytes_out(at)).collect::<Vec<_>>())
+        let mut simulation = formed(7, 11);
+        simulation.network.loss = 0.3;
+        simulation.kill(2);
+        simulation.advance(40 * SECOND);
+        let changes: Vec<_> =
+            simulation.changes().map(|(at, when, change)| (at, when, change.clone())).collect();
+        (changes, (0..7).map(|at| simulation.bytes_sent(at)).collect::<Vec<_>>())
     };
     assert_eq!(run(), run());
 }
 
 #[test]
-fn dead_members_are_forgotten_by_all_and_do_not_come_back_by_hearsay() {
+fn dead_members_are_forgotten_by_all_and_are_not_brought_back_by_updates() {
     for seed in 0..12 {
         let short = Settings { dead_retention: 60 * SECOND, ..settings() };
-        let mut lab = Lab::new(5, short, seed);
-        assert!(lab.until(60 * SECOND, Lab::all_alive).is_some());
-        lab.kill(3);
-        lab.pass(bound(5) + 60 * SECOND);
+        let mut simulation = Simulation::new(5, short, seed);
+        assert!(simulation.advance_until(60 * SECOND, Simulation::all_alive).is_some());
+        simulation.kill(3);
+        simulation.advance(bound(5) + 60 * SECOND);
         for _ in 0..20 {
-            assert!(lab.running().iter().all(|&at| lab.held(at, 3).is_none()), "seed {seed}: told of again");
-            lab.pass(SECOND);
+            assert!(
+                simulation.running().iter().all(|&at| simulation.state_of(at, 3).is_none()),
+                "seed {seed}: brought back"
+            );
+            simulation.advance(SECOND);
         }
     }
 }
