--- a/crates/soak/src/agent.rs
+++ b/crates/soak/src/agent.rs
@@ -1,4 +1,4 @@
-//! A stand-in discovery agent for each dispatcher. It tells of drains as the plan has them, and can be silent.
+//! A test agent of discovery for each dispatcher. It reports drains as the plan has them, and can be silent.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,16 +10,17 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-use crate::ledger::Ledger;
-use crate::plan::{Kind, Plan};
+use crate::event_log::EventLog;
+use crate::plan::{FaultKind, Plan};
 
-const LOOK: Duration = Duration::from_millis(5);
+/// How often an agent looks at the plan.
+const LOOK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What the agents of a play go by.
+/// What the agents of a play know.
 #[derive(Clone)]
 pub struct Registry {
     plan: Arc<Plan>,
-    ledger: Ledger,
+    event_log: EventLog,
     addresses: Vec<SocketAddr>,
     /// Unix time at the start of the play (ms): when servers that start within it started.
     up_since_ms: u64,
@@ -28,40 +29,40 @@
 impl Registry {
     /// The registry of a plan's servers; `up_since_ms` is when the last of each role started (Unix time, ms).
     #[must_use]
-    pub fn new(plan: Arc<Plan>, ledger: Ledger, addresses: Vec<SocketAddr>, up_since_ms: u64) -> Self {
-        Self { plan, ledger, addresses, up_since_ms }
+    pub fn new(plan: Arc<Plan>, event_log: EventLog, addresses: Vec<SocketAddr>, up_since_ms: u64) -> Self {
+        Self { plan, event_log, addresses, up_since_ms }
     }
 
-    fn drains(&self, before: u64) -> impl Iterator<Item = usize> + '_ {
-        self.plan.troubles.iter().filter(move |trouble| trouble.from_ms <= before).filter_map(|trouble| {
-            match trouble.kind {
-                Kind::Drain { server } => Some(server),
+    fn drains(&self, before_ms: u64) -> impl Iterator<Item = usize> + '_ {
+        self.plan.faults.iter().filter(move |fault| fault.from_ms <= before_ms).filter_map(
+            |fault| match fault.kind {
+                FaultKind::Drain { server } => Some(server),
                 _ => None,
-            }
-        })
+            },
+        )
     }
 
-    /// The revision at a time (ms since the start).
-    fn revision(&self, now: u64) -> u64 {
-        1 + self.drains(now).count() as u64
+    /// The revision at a time.
+    fn revision(&self, now_ms: u64) -> u64 {
+        1 + self.drains(now_ms).count() as u64
     }
 
     /// The whole list at a time.
     #[must_use]
-    pub fn list(&self, now: u64) -> Value {
-        let draining: Vec<usize> = self.drains(now).collect();
-        let of_a_role = self.plan.servers_of_a_role;
+    pub fn list(&self, now_ms: u64) -> Value {
+        let draining: Vec<usize> = self.drains(now_ms).collect();
+        let per_role = self.plan.servers_per_role;
         let member = |(at, address): (usize, &SocketAddr)| {
             let (flavor, phase) = (
-                if at < of_a_role { "prefill" } else { "decode" },
+                if at < per_role { "prefill" } else { "decode" },
                 if draining.contains(&at) { "draining" } else { "up" },
             );
-            let started = if at % of_a_role + 1 == of_a_role { self.up_since_ms } else { 0 };
+            let started = if at % per_role + 1 == per_role { self.up_since_ms } else { 0 };
             json!({"id": format!("s-{:08x}", at + 1), "host_port": address.to_string(), "locality": "a",
                 "flavor": flavor, "cell": 1, "phase": phase, "size": 1.0, "up_since_ms": started})
         };
         let members: Vec<Value> = self.addresses.iter().enumerate().map(member).collect();
-        json!({"revision": self.revision(now), "complete": true, "members": members})
+        json!({"revision": self.revision(now_ms), "complete": true, "members": members})
     }
 
     /// Starts the agent of a dispatcher; where it listens.
@@ -76,58 +77,79 @@
             loop {
                 match listener.accept().await {
                     Ok((stream, _)) => {
-                        tokio::spawn(answers(stream, registry.clone(), dispatcher));
+                        tokio::spawn(serve(stream, registry.clone(), dispatcher));
                     }
-                    Err(_) => sleep(LOOK).await,
+                    Err(_) => sleep(LOOK_INTERVAL).await,
                 }
             }
         });
         Ok(address)
     }
 
-    fn now(&self) -> u64 {
-        self.ledger.now() / 1_000
+    fn now_ms(&self) -> u64 {
+        self.event_log.now() / 1_000
     }
 
-    /// Whether a connection that was opened then is silent for good, or the agent is for now.
-    fn silent(&self, dispatcher: usize, opened: u64) -> bool {
-        let now = self.now();
-        self.plan.troubles.iter().any(|trouble| match trouble.kind {
-            Kind::AgentDown { dispatcher: of } => {
-                of == dispatcher && (trouble.from_ms..trouble.to_ms).contains(&now)
-            }
-            Kind::WatchSilent { dispatcher: of } => {
-                of == dispatcher && opened < trouble.from_ms && trouble.from_ms <= now
+    /// Whether a connection that was opened at a time is silent for good, or the agent is silent now.
+    fn is_silent(&self, dispatcher: usize, opened_ms: u64) -> bool {
+        let now_ms = self.now_ms();
+        self.plan.faults.iter().any(|fault| match fault.kind {
+            FaultKind::AgentDown { dispatcher: of } => of == dispatcher && fault.is_in_force(now_ms),
+            FaultKind::WatchSilent { dispatcher: of } => {
+                of == dispatcher && opened_ms < fault.from_ms && fault.from_ms <= now_ms
             }
             _ => false,
         })
     }
+
+    /// What a call is answered with now: the list, or, where the caller has it already, that nothing has changed once
+    /// its time is over. `None` where the call waits on.
+    fn answer_now(&self, call: Call) -> Option<Value> {
+        let now_ms = self.now_ms();
+        match call.known_revision {
+            Some(known) if self.revision(now_ms) <= known => {
+                let is_over = now_ms >= call.until_ms;
+                is_over.then(|| json!({"revision": known, "complete": false, "members": []}))
+            }
+            _ => Some(self.list(now_ms)),
+        }
+    }
 }
 
-async fn answers(mut stream: TcpStream, registry: Registry, dispatcher: usize) {
-    let opened = registry.now();
-    let mut read = Vec::new();
-    while let Some((head, _)) = dewladder_test_peers::message(&mut stream, &mut read).await {
+/// A call of a dispatcher.
+#[derive(Clone, Copy)]
+struct Call {
+    /// The revision that the caller has; `None` where it wants the list at once.
+    known_revision: Option<u64>,
+    /// Until when it waits for a newer one (ms).
+    until_ms: u64,
+}
+
+impl Call {
+    fn read(head: &str, now_ms: u64) -> Self {
         let number = |name: &str| {
             let (_, rest) = head.split_once(name)?;
             rest.split(['&', ' ']).next()?.parse::<u64>().ok()
         };
-        let (from, hold) = (number("from="), number("hold_ms=").unwrap_or(0));
-        let until = registry.now() + hold;
+        Self { known_revision: number("from="), until_ms: now_ms + number("hold_ms=").unwrap_or(0) }
+    }
+}
+
+/// Answers the calls of a connection until it ends.
+async fn serve(mut stream: TcpStream, registry: Registry, dispatcher: usize) {
+    let opened_ms = registry.now_ms();
+    let mut read = Vec::new();
+    while let Some((head, _)) = dewladder_test_peers::message(&mut stream, &mut read).await {
+        let call = Call::read(&head, registry.now_ms());
         let answer = loop {
-            let now = registry.now();
-            if !registry.silent(dispatcher, opened) {
-                match from {
-                    Some(from) if registry.revision(now) <= from && now >= until => {
-                        break json!({"revision": from, "complete": false, "members": []});
-                    }
-                    Some(from) if registry.revision(now) <= from => {}
-                    _ => break registry.list(now),
+            if !registry.is_silent(dispatcher, opened_ms) {
+                if let Some(answer) = registry.answer_now(call) {
+                    break answer;
                 }
             }
             tokio::select! {
-                () = sleep(LOOK) => {}
-                came = stream.read_buf(&mut read) => if matches!(came, Ok(0) | Err(_)) {
+                () = sleep(LOOK_INTERVAL) => {}
+                read = stream.read_buf(&mut read) => if matches!(read, Ok(0) | Err(_)) {
                     return;
                 },
             }
--- a/crates/soak/src/bin/false_dispatcher.rs
+++ b/crates/soak/src/bin/false_dispatcher.rs
@@ -11,19 +11,19 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
 
-/// What it holds to, and what it breaks.
+/// The rule that it breaks, and the servers that it knows.
 #[derive(Clone)]
-struct Habits {
-    breaks: String,
+struct Behavior {
+    violations: String,
     readers: Vec<SocketAddr>,
     writers: Vec<SocketAddr>,
 }
 
 type Failure = Box<dyn std::error::Error + Send + Sync>;
 
-impl Habits {
-    fn breaks(&self, rule: &str) -> bool {
-        self.breaks == rule
+impl Behavior {
+    fn violations(&self, rule: &str) -> bool {
+        self.violations == rule
     }
 }
 
@@ -37,8 +37,8 @@
 async fn main() -> Result<(), Failure> {
     let path = std::env::args().skip_while(|argument| argument != "--config").nth(1).ok_or("no --config")?;
     let config: Value = serde_json::from_str(&std::fs::read_to_string(path)?)?;
-    let habits = Habits {
-        breaks: std::env::var("FALSE_RULE").unwrap_or_default(),
+    let behavior = Behavior {
+        violations: std::env::var("FALSE_RULE").unwrap_or_default(),
         readers: servers(&config, "prefill"),
         writers: servers(&config, "decode"),
     };
@@ -54,26 +54,26 @@
     eprintln!("second address: {}", admin.local_addr()?);
     let mut term = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())?;
     let mut leaked = Vec::new();
-    let end = sleep(Duration::from_secs(if habits.breaks("exit") { 2 } else { 3_600 }));
+    let end = sleep(Duration::from_secs(if behavior.violations("exit") { 2 } else { 3_600 }));
     tokio::pin!(end);
     loop {
         tokio::select! {
             _ = term.recv() => return Ok(()),
             () = &mut end => return Err("it ends by itself".into()),
             caller = admin.accept() => {
-                let said = if habits.breaks("not_ready") { "ERR no\n" } else { "OK ready\n" };
+                let said = if behavior.violations("not_ready") { "ERR no\n" } else { "OK ready\n" };
                 if let Ok((mut caller, _)) = caller {
                     caller.write_all(said.as_bytes()).await?;
                 }
             }
             client = clients.accept() => {
-                if habits.breaks("leak") {
+                if behavior.violations("leak") {
                     for _ in 0..4 {
                         leaked.push(std::fs::File::open("/dev/null")?);
                     }
                 }
                 if let Ok((client, _)) = client {
-                    tokio::spawn(serve(client, habits.clone()));
+                    tokio::spawn(serve(client, behavior.clone()));
                 }
             }
         }
@@ -81,24 +81,26 @@
 }
 
 /// A request comes whole within this, or its connection is closed.
-const REQUEST: Duration = Duration::from_secs(2);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 /// Longer than any play.
 const FOR_EVER: Duration = Duration::from_secs(600);
 
 /// Serves a client until its connection ends.
-async fn serve(mut client: TcpStream, habits: Habits) {
+async fn serve(mut client: TcpStream, behavior: Behavior) {
     let mut read = Vec::new();
     loop {
-        let patience = if habits.breaks("half_request") { FOR_EVER } else { REQUEST };
-        let Ok(Some((head, body))) = timeout(patience, message(&mut client, &mut read)).await else { return };
+        let request_timeout = if behavior.violations("half_request") { FOR_EVER } else { REQUEST_TIMEOUT };
+        let Ok(Some((head, body))) = timeout(request_timeout, message(&mut client, &mut read)).await else {
+            return;
+        };
         let txn = field(&head, "x-txn").unwrap_or_default();
-        if habits.breaks("dropped") && txn.ends_with(['1', '5', '9', 'd']) {
+        if behavior.violations("dropped") && txn.ends_with(['1', '5', '9', 'd']) {
             return;
         }
-        if habits.breaks("sent_after_client_left") {
+        if behavior.violations("sent_after_client_left") {
             sleep(Duration::from_millis(350)).await;
         }
-        let answered = answer(&mut client, &habits, &head, &body, &txn).await;
+        let answered = answer(&mut client, &behavior, &head, &body, &txn).await;
         if answered.is_err() {
             return;
         }
@@ -106,40 +108,40 @@
 }
 
 /// What is sent on to a server.
-fn request(head: &str, body: &[u8], told: &str) -> String {
+fn request(head: &str, body: &[u8], remaining: &str) -> String {
     let line = head.lines().next().unwrap_or("");
     let txn = field(head, "x-txn").unwrap_or_default();
     let body = String::from_utf8_lossy(body);
     format!(
-        "{line}\r\nHost: s\r\nX-Txn: {txn}\r\nX-Remaining: {told}\r\nContent-Length: {}\r\n\r\n{body}",
+        "{line}\r\nHost: s\r\nX-Txn: {txn}\r\nX-Remaining: {remaining}\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     )
 }
 
 async fn answer(
     client: &mut TcpStream,
-    habits: &Habits,
+    behavior: &Behavior,
     head: &str,
     body: &[u8],
     txn: &str,
 ) -> Result<(), Failure> {
-    let told = field(head, "x-remaining").unwrap_or_default();
-    let told = if habits.breaks("deadline_told") { "9.000" } else { told.as_str() };
-    let text = request(head, body, told);
+    let remaining = field(head, "x-remaining").unwrap_or_default();
+    let remaining = if behavior.violations("deadline_told") { "9.000" } else { remaining.as_str() };
+    let text = request(head, body, remaining);
     let at = txn.bytes().map(usize::from).sum::<usize>();
-    let mut reader = TcpStream::connect(habits.readers[at % habits.readers.len()]).await?;
+    let mut reader = TcpStream::connect(behavior.readers[at % behavior.readers.len()]).await?;
     reader.write_all(text.as_bytes()).await?;
     let refused = plain(503, "", "");
     let (said, _) = message(&mut reader, &mut Vec::new()).await.ok_or("no answer of the reader")?;
     if !said.contains(" 202 ") {
         return Ok(client.write_all(refused.as_bytes()).await?);
     }
-    if habits.breaks("held") {
+    if behavior.violations("held") {
         sleep(Duration::from_millis(1_200)).await;
     }
-    let writer = habits.writers[at % habits.writers.len()];
-    if habits.breaks("run_twice") {
-        let mut first = TcpStream::connect(habits.writers[(at + 1) % habits.writers.len()]).await?;
+    let writer = behavior.writers[at % behavior.writers.len()];
+    if behavior.violations("run_twice") {
+        let mut first = TcpStream::connect(behavior.writers[(at + 1) % behavior.writers.len()]).await?;
         first.write_all(text.as_bytes()).await?;
         sleep(Duration::from_millis(5)).await;
     }
@@ -154,17 +156,17 @@
         }
         whole.extend_from_slice(&piece[..length]);
         if whole.starts_with(b"HTTP/1.1 4") || whole.starts_with(b"HTTP/1.1 5") {
-            let mut holder = TcpStream::connect(habits.readers[0]).await?;
+            let mut holder = TcpStream::connect(behavior.readers[0]).await?;
             holder
                 .write_all(format!("DELETE /kv/leases/{txn} HTTP/1.1\r\nHost: s\r\n\r\n").as_bytes())
                 .await?;
             return Ok(client.write_all(refused.as_bytes()).await?);
         }
-        if !habits.breaks("stream") {
+        if !behavior.violations("stream") {
             client.write_all(&piece[..length]).await?;
         }
         if whole.ends_with(b"0\r\n\r\n") {
-            if habits.breaks("stream") {
+            if behavior.violations("stream") {
                 sleep(Duration::from_millis(500)).await;
                 client.write_all(&whole).await?;
             }
--- a/crates/soak/src/ledger.rs
+++ b/crates/soak/src/event_log.rs
@@ -6,20 +6,20 @@
 /// Microseconds since the play began.
 pub type Micros = u64;
 
-/// One entry of the ledger.
+/// One entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Entry {
+pub struct LogEntry {
     /// When it was seen.
     pub at: Micros,
     /// The request that it is about; 0 for none.
     pub id: u64,
     /// What was seen.
-    pub seen: Seen,
+    pub observation: Observation,
 }
 
 /// How a client's exchange ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Final {
+pub enum ClientOutcome {
     /// A 200, and its stream came to its last chunk.
     Served,
     /// A 429 or 503.
@@ -34,20 +34,20 @@
 
 /// What a peer saw.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Seen {
+pub enum Observation {
     /// A client has written the last byte of a request.
     Asked {
         /// The dispatcher that it asked.
         dispatcher: usize,
         /// What may happen to it.
         class: Class,
-        /// How long the client waits for the first token (us).
-        waits: Micros,
-        /// It is the first request on its connection.
-        fresh: bool,
+        /// How long the client waits for the first token.
+        timeout: Micros,
+        /// Whether it is the first request on its connection.
+        on_new_connection: bool,
     },
     /// The client has its final answer.
-    Ended(Final),
+    Ended(ClientOutcome),
     /// The client closed its connection before that.
     Left,
     /// An event reached the client.
@@ -61,10 +61,10 @@
     AttemptArrived {
         /// The server.
         server: usize,
-        /// Whether the server reads only.
-        reads: bool,
-        /// What `X-Remaining` said (us), if it said something.
-        told: Option<Micros>,
+        /// Whether the server reads prompts only.
+        is_reader: bool,
+        /// The time left by `X-Remaining`, if that was there.
+        remaining: Option<Micros>,
     },
     /// A server turned an attempt away: it never ran.
     TurnedAway {
@@ -93,15 +93,8 @@
         /// The server.
         server: usize,
     },
-    /// A server was asked to let go of everything that is held.
+    /// A server was asked to release everything that it holds.
     Released,
-    /// An agent had told a dispatcher that a server takes no work.
-    ToldDrain {
-        /// The dispatcher.
-        dispatcher: usize,
-        /// The server.
-        server: usize,
-    },
     /// A process was started.
     Started {
         /// The dispatcher that it belongs to.
@@ -170,20 +163,20 @@
     }
 }
 
-/// The ledger of a play.
+/// The event log of a play, shared by all peers.
 #[derive(Clone, Debug)]
-pub struct Ledger {
+pub struct EventLog {
     start: Instant,
-    entries: Arc<Mutex<Vec<Entry>>>,
+    entries: Arc<Mutex<Vec<LogEntry>>>,
 }
 
-impl Default for Ledger {
+impl Default for EventLog {
     fn default() -> Self {
         Self { start: Instant::now(), entries: Arc::default() }
     }
 }
 
-impl Ledger {
+impl EventLog {
     /// Microseconds since the play began.
     #[must_use]
     pub fn now(&self) -> Micros {
@@ -197,19 +190,19 @@
     }
 
     /// Writes an entry, now.
-    pub fn write(&self, id: u64, seen: Seen) {
-        self.write_at(self.now(), id, seen);
+    pub fn write(&self, id: u64, observation: Observation) {
+        self.write_at(self.now(), id, observation);
     }
 
     /// Writes an entry that was seen at another time.
-    pub fn write_at(&self, at: Micros, id: u64, seen: Seen) {
+    pub fn write_at(&self, at: Micros, id: u64, observation: Observation) {
         let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
-        entries.push(Entry { at, id, seen });
+        entries.push(LogEntry { at, id, observation });
     }
 
     /// All entries, by time.
     #[must_use]
-    pub fn entries(&self) -> Vec<Entry> {
+    pub fn entries(&self) -> Vec<LogEntry> {
         let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner).clone();
         entries.sort_by_key(|entry| entry.at);
         entries
--- /dev/null
+++ b/crates/soak/src/oracle/request.rs
@@ -0,0 +1,318 @@
+//! The rules about one request, from the first byte that its client sent to the last release.
+
+use super::outages::PlannedOutages;
+use super::{Limits, Rule, Violation, MS, TOLERANCE};
+use crate::event_log::{Class, ClientOutcome, LogEntry, Micros, Observation};
+use crate::plan::{FaultKind, Plan};
+use crate::servers::EVENTS;
+
+/// A final answer may come so long after the client's time.
+const MAX_LATE_ANSWER: Micros = 500 * MS;
+/// An attempt may begin so long after its client has left.
+const MAX_AFTER_LEAVING: Micros = 100 * MS;
+/// What is held is released within the settings' time and this.
+const MAX_HELD_BEYOND_SETTING: Micros = 300 * MS;
+/// A server may be told of so much more time than is left.
+const MAX_EXCESS_REMAINING: Micros = 150 * MS;
+/// An event reaches its client within this.
+const MAX_EVENT_DELAY: Micros = 300 * MS;
+/// A change counts as reported so long after a watch fell silent.
+const SILENT_WATCH_DETECTED: Micros = 6_000 * MS;
+
+/// A request with all that the log has of it.
+pub(super) struct RequestHistory<'a> {
+    id: u64,
+    dispatcher: usize,
+    class: Class,
+    asked_at: Micros,
+    deadline: Micros,
+    on_new_connection: bool,
+    entries: Vec<&'a LogEntry>,
+}
+
+impl<'a> RequestHistory<'a> {
+    /// The history of a request by its entries; `None` where its client never sent it whole.
+    pub(super) fn new(id: u64, entries: Vec<&'a LogEntry>) -> Option<Self> {
+        let asked = entries.iter().find(|entry| matches!(entry.observation, Observation::Asked { .. }))?;
+        let Observation::Asked { dispatcher, class, timeout, on_new_connection } = asked.observation else {
+            return None;
+        };
+        let (asked_at, deadline) = (asked.at, asked.at + timeout);
+        Some(Self { id, dispatcher, class, asked_at, deadline, on_new_connection, entries })
+    }
+
+    /// Checks all rules about the request.
+    pub(super) fn check(
+        &self,
+        plan: &Plan,
+        outages: &PlannedOutages,
+        limits: &Limits,
+        violations: &mut Vec<Violation>,
+    ) {
+        self.check_answer(plan, outages, violations);
+        self.check_runs(limits, violations);
+        self.check_attempts_after_leaving(outages, violations);
+        self.check_held_states(outages, limits, violations);
+        self.check_deadlines(outages, violations);
+        self.check_stream(plan, outages, violations);
+        self.check_draining(plan, outages, limits, violations);
+    }
+
+    fn violation(&self, rule: Rule, at: Micros, what: impl Into<String>) -> Violation {
+        let what = format!("dispatcher {}, {}: {}", self.dispatcher, self.class.name(), what.into());
+        Violation { rule, at, id: self.id, what }
+    }
+
+    fn first(&self, is_wanted: impl Fn(&Observation) -> bool) -> Option<Micros> {
+        self.entries.iter().find(|entry| is_wanted(&entry.observation)).map(|entry| entry.at)
+    }
+
+    fn last(&self, is_wanted: impl Fn(&Observation) -> bool) -> Option<Micros> {
+        self.entries.iter().rfind(|entry| is_wanted(&entry.observation)).map(|entry| entry.at)
+    }
+
+    /// The client's outcome, and when.
+    fn outcome(&self) -> Option<(Micros, ClientOutcome)> {
+        self.entries.iter().find_map(|entry| match entry.observation {
+            Observation::Ended(outcome) => Some((entry.at, outcome)),
+            _ => None,
+        })
+    }
+
+    fn check_answer(&self, plan: &Plan, outages: &PlannedOutages, violations: &mut Vec<Violation>) {
+        let left = self.first(|seen| *seen == Observation::Left);
+        let outcome = self.outcome();
+        let over = outcome.map(|(at, _)| at).or(left).unwrap_or(Micros::MAX);
+        let first_event = self.first(|seen| matches!(seen, Observation::EventCame(0))).unwrap_or(over);
+        let due = self.deadline.max(self.accepted_by(outages)) + MAX_LATE_ANSWER + TOLERANCE;
+        if outages.any_within(self.dispatcher, self.asked_at, over.min(due)) {
+            return;
+        }
+        if let Some((at, ClientOutcome::Closed)) = outcome {
+            if !self.may_be_closed_unanswered(plan, at) {
+                let what = "the connection was closed without an answer";
+                violations.push(self.violation(Rule::Dropped, at, what));
+            }
+            return;
+        }
+        match outcome {
+            Some((at, _)) if first_event.min(at) > due => {
+                let late_ms = (first_event.min(at) - self.deadline) / MS;
+                let what = format!("the answer came {late_ms} ms after its time");
+                violations.push(self.violation(Rule::Dropped, at, what));
+            }
+            None if left.is_none_or(|left| left > due) => {
+                violations.push(self.violation(Rule::Dropped, due, "no answer came"));
+            }
+            _ => {}
+        }
+    }
+
+    /// By when a request on a new connection could be read at the latest: it waits where all accepts fail.
+    fn accepted_by(&self, outages: &PlannedOutages) -> Micros {
+        if self.on_new_connection {
+            outages.accepted_from(self.dispatcher, self.asked_at)
+        } else {
+            self.asked_at
+        }
+    }
+
+    /// Whether the dispatcher may have closed the connection, at a time, before it read the request: a kept connection
+    /// at any time, a new one where idle clients fill the descriptors.
+    fn may_be_closed_unanswered(&self, plan: &Plan, at: Micros) -> bool {
+        if self.first(|seen| matches!(seen, Observation::AttemptBegan { .. })).is_some() {
+            return false;
+        }
+        let is_crowded = plan.has(
+            at / MS,
+            |kind| matches!(kind, FaultKind::Idlers { dispatcher, .. } if *dispatcher == self.dispatcher),
+        );
+        !self.on_new_connection || is_crowded
+    }
+
+    fn check_runs(&self, limits: &Limits, violations: &mut Vec<Violation>) {
+        if self.class == Class::Ask {
+            return;
+        }
+        // The first attempt at a writer that was not turned away, and every one after it.
+        let mut first_run: Option<Micros> = None;
+        for (at, entry) in self.entries.iter().enumerate() {
+            let Observation::AttemptArrived { server, is_reader: false, .. } = entry.observation else {
+                continue;
+            };
+            if let Some(first_run) = first_run {
+                let age = entry.at - first_run;
+                if self.class == Class::Book || age > limits.deduplication_window + TOLERANCE {
+                    let what =
+                        format!("sent to writer {server} again, {} ms after it may have run", age / MS);
+                    violations.push(self.violation(Rule::RunTwice, entry.at, what));
+                }
+            }
+            let later = &self.entries[at..];
+            let turned_away = Observation::TurnedAway { server };
+            if !later.iter().any(|after| after.observation == turned_away) {
+                first_run.get_or_insert(entry.at);
+            }
+        }
+        let runs = self.entries.iter();
+        let runs = runs.filter(|entry| matches!(entry.observation, Observation::WriteBegan { .. })).count();
+        if runs > 1 && self.class == Class::Book {
+            let what = format!("{runs} writers began it");
+            violations.push(self.violation(Rule::RunTwice, self.asked_at, what));
+        }
+    }
+
+    fn check_attempts_after_leaving(&self, outages: &PlannedOutages, violations: &mut Vec<Violation>) {
+        let Some(left) = self.first(|seen| *seen == Observation::Left) else { return };
+        for entry in &self.entries {
+            let Observation::AttemptBegan { server } = entry.observation else { continue };
+            let late = entry.at.saturating_sub(left);
+            if late > MAX_AFTER_LEAVING + TOLERANCE && !outages.any_within(self.dispatcher, left, entry.at) {
+                let what =
+                    format!("an attempt at server {server} began {} ms after the client left", late / MS);
+                violations.push(self.violation(Rule::SentAfterClientLeft, entry.at, what));
+            }
+        }
+    }
+
+    fn check_held_states(&self, outages: &PlannedOutages, limits: &Limits, violations: &mut Vec<Violation>) {
+        let mut in_flight: usize = 0;
+        let mut is_held = false;
+        // Since when a state has been held with no attempt in flight.
+        let mut idle_since: Option<Micros> = None;
+        for entry in &self.entries {
+            violations.extend(self.held_too_long(idle_since, entry.at, outages, limits));
+            match entry.observation {
+                Observation::ReadEnded { .. } => is_held = true,
+                Observation::WriteBegan { .. } | Observation::Released => is_held = false,
+                Observation::AttemptArrived { .. } => in_flight += 1,
+                Observation::AttemptOver { .. } => in_flight = in_flight.saturating_sub(1),
+                _ => continue,
+            }
+            let is_idle = is_held && in_flight == 0;
+            idle_since = if is_idle { idle_since.or(Some(entry.at)) } else { None };
+        }
+        violations.extend(self.held_too_long(idle_since, Micros::MAX / 2, outages, limits));
+    }
+
+    fn held_too_long(
+        &self,
+        idle_since: Option<Micros>,
+        now: Micros,
+        outages: &PlannedOutages,
+        limits: &Limits,
+    ) -> Option<Violation> {
+        let since = idle_since?;
+        let due = since + limits.release_within + MAX_HELD_BEYOND_SETTING + TOLERANCE;
+        if now <= due || outages.any_within(self.dispatcher, since, now) {
+            return None;
+        }
+        let what = format!("a state was held for {} ms with nothing out", (now - since) / MS);
+        Some(self.violation(Rule::Held, due, what))
+    }
+
+    fn check_deadlines(&self, outages: &PlannedOutages, violations: &mut Vec<Violation>) {
+        for entry in &self.entries {
+            let Observation::AttemptArrived { server, remaining: Some(told), .. } = entry.observation else {
+                continue;
+            };
+            let left = self.deadline.saturating_sub(entry.at);
+            let is_excessive = told > left + MAX_EXCESS_REMAINING + TOLERANCE;
+            if is_excessive && !outages.any_within(self.dispatcher, self.asked_at, entry.at) {
+                let what = format!("server {server} was told {} ms with {} ms left", told / MS, left / MS);
+                violations.push(self.violation(Rule::DeadlineTold, entry.at, what));
+            }
+        }
+    }
+
+    fn check_stream(&self, plan: &Plan, outages: &PlannedOutages, violations: &mut Vec<Violation>) {
+        let over = self.entries.last().map_or(self.asked_at, |entry| entry.at);
+        if outages.any_within(self.dispatcher, self.asked_at, over) {
+            return;
+        }
+        if !is_clock_held(plan) {
+            if let Some(late) = self.late_event() {
+                violations.push(late);
+                return;
+            }
+        }
+        let is_ended = self.first(|seen| matches!(seen, Observation::StreamEnded { .. })).is_some();
+        let cut = self.first(|seen| *seen == Observation::Ended(ClientOutcome::Cut));
+        if let (true, Some(at)) = (is_ended, cut) {
+            let what = "its server ended the stream, and the client's was cut";
+            violations.push(self.violation(Rule::Stream, at, what));
+        }
+    }
+
+    /// The first event that reached the client late.
+    fn late_event(&self) -> Option<Violation> {
+        for event in 0..EVENTS {
+            let written = self.last(|seen| *seen == Observation::EventWritten(event));
+            let came = self.last(|seen| *seen == Observation::EventCame(event));
+            let (Some(written), Some(came)) = (written, came) else { continue };
+            let late = came.saturating_sub(written);
+            if late > MAX_EVENT_DELAY + TOLERANCE {
+                let what = format!("event {event} came {} ms late", late / MS);
+                return Some(self.violation(Rule::Stream, came, what));
+            }
+        }
+        None
+    }
+
+    fn check_draining(
+        &self,
+        plan: &Plan,
+        outages: &PlannedOutages,
+        limits: &Limits,
+        violations: &mut Vec<Violation>,
+    ) {
+        for entry in &self.entries {
+            let Observation::AttemptBegan { server } = entry.observation else { continue };
+            let Some(drained) = drained_at(plan, server) else { continue };
+            let reported = self.drain_reported_at(plan, drained, entry.at);
+            let due = reported + limits.stop_sending + TOLERANCE;
+            if entry.at > due && !outages.any_within(self.dispatcher, reported, entry.at) {
+                let late_ms = (entry.at - reported) / MS;
+                let what = format!("sent to server {server} {late_ms} ms after its drain was told");
+                violations.push(self.violation(Rule::SentToDraining, entry.at, what));
+            }
+        }
+    }
+
+    /// When a drain counts as reported to this dispatcher. An agent that is down reports nothing; a process that starts
+    /// while it is down can't know, so the end of every outage of the agent up to now counts.
+    fn drain_reported_at(&self, plan: &Plan, drained: Micros, now: Micros) -> Micros {
+        let mut reported = drained;
+        for fault in plan.faults.iter().filter(|fault| fault.kind.dispatcher() == Some(self.dispatcher)) {
+            let (from, to) = (fault.from_ms * MS, fault.to_ms * MS);
+            match fault.kind {
+                FaultKind::AgentDown { .. } if from <= now && to > drained => reported = reported.max(to),
+                FaultKind::WatchSilent { .. } => {
+                    let detected = from + SILENT_WATCH_DETECTED;
+                    if (from..detected).contains(&drained) {
+                        reported = reported.max(detected);
+                    }
+                }
+                _ => {}
+            }
+        }
+        reported
+    }
+}
+
+/// When a server begins to drain, if it does.
+fn drained_at(plan: &Plan, server: usize) -> Option<Micros> {
+    let drains = plan
+        .faults
+        .iter()
+        .filter(|fault| matches!(fault.kind, FaultKind::Drain { server: draining } if draining == server));
+    drains.map(|fault| fault.from_ms * MS).min()
+}
+
+/// Whether the plan holds some process's clock: then events may be relayed late.
+fn is_clock_held(plan: &Plan) -> bool {
+    plan.faults.iter().any(|fault| match &fault.kind {
+        FaultKind::Shim { rule, .. } | FaultKind::ShimLater { rule, .. } => rule.starts_with("monotonic"),
+        _ => false,
+    })
+}
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,7 +1,8 @@
-//! Plans: what is played, drawn from a seed. A plan is JSON, and can be played again and shrunk.
+//! Plans: what is played, drawn from a seed ([`draw`]). A plan is JSON, and can be played again and shrunk; the names
+//! in the JSON are older than those here, and stay.
+
+mod draw;
 
-use rand_core::{RngCore as _, SeedableRng as _};
-use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
 
 /// A play from its start to its end.
@@ -11,39 +12,50 @@
     pub seed: u64,
     /// Dispatchers.
     pub processes: usize,
-    /// How long it is played (ms).
+    /// How long it is played.
     pub length_ms: u64,
     /// Servers that read, and as many that write.
-    pub servers_of_a_role: usize,
-    /// Requests of each dispatcher's clients in a second.
-    pub rate: u32,
-    /// By when first tokens are wanted (ms): dispatchers wait so long at least for an attempt.
-    #[serde(default = "short_aim")]
-    pub aim_ms: u64,
+    #[serde(rename = "servers_of_a_role")]
+    pub servers_per_role: usize,
+    /// Requests of each dispatcher's clients per second.
+    #[serde(rename = "rate")]
+    pub requests_per_second: u32,
+    /// The latency objective: by when first tokens are wanted (ms). Dispatchers wait so long at least for an attempt.
+    #[serde(rename = "aim_ms", default = "default_objective_ms")]
+    pub objective_ms: u64,
     /// What goes wrong.
-    pub troubles: Vec<Trouble>,
+    #[serde(rename = "troubles")]
+    pub faults: Vec<Fault>,
 }
 
-/// The aim of plans that name none (ms).
-fn short_aim() -> u64 {
+/// The latency objective of plans that name none (ms).
+fn default_objective_ms() -> u64 {
     400
 }
 
 /// Something that goes wrong for a while.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Trouble {
+pub struct Fault {
     /// When it begins (ms).
     pub from_ms: u64,
     /// When it is over (ms).
     pub to_ms: u64,
     /// What it is.
-    pub kind: Kind,
+    pub kind: FaultKind,
+}
+
+impl Fault {
+    /// Whether it is in force at a time.
+    #[must_use]
+    pub fn is_in_force(&self, now_ms: u64) -> bool {
+        (self.from_ms..self.to_ms).contains(&now_ms)
+    }
 }
 
 /// What goes wrong.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "is", rename_all = "snake_case")]
-pub enum Kind {
+pub enum FaultKind {
     /// A new process is started beside the old one, which is told to end once the new one is ready.
     Upgrade {
         /// The dispatcher.
@@ -182,158 +194,75 @@
     },
 }
 
-/// Errnos of each call that the program makes on its sockets, as their man pages document them for what it does. A
-/// reset of the stream itself is not among them: peers make those, and the ledger shows them.
-const SOCKET_FAULTS: [(&str, &[&str]); 6] = [
-    ("accept", &["ECONNABORTED", "EINTR", "EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EPERM"]),
-    ("socket", &["EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"]),
-    (
-        "connect",
-        &["EADDRNOTAVAIL", "ENETUNREACH", "EAGAIN", "EINTR", "ENOBUFS", "EPERM", "ECONNREFUSED", "ETIMEDOUT"],
-    ),
-    ("recv", &["EINTR", "short"]),
-    ("send", &["EINTR", "short"]),
-    ("monotonic", &["hold60", "hold150"]),
-];
-/// The same of files.
-const FILE_FAULTS: [(&str, &[&str]); 6] = [
-    ("writefile", &["ENOSPC", "EIO", "short"]),
-    ("rename", &["ENOSPC", "EIO"]),
-    ("readfile", &["EIO", "EINTR"]),
-    ("open", &["ENOSPC", "EIO", "ENFILE"]),
-    ("flock", &["EINTR", "ENOLCK"]),
-    ("fsync", &["EIO"]),
-];
-/// Failures of calls that are made at the start.
-const START_FAULTS: [(&str, &[&str]); 3] = [
-    ("bind", &["EADDRINUSE", "EADDRNOTAVAIL", "ENOMEM"]),
-    ("listen", &["EADDRINUSE"]),
-    ("socket", &["ENFILE", "ENOBUFS"]),
-];
-/// Steps of the wall clock (ms).
-const STEPS: [i64; 6] = [-3_600_000, -5_000, -1_000, 1_000, 5_000, 3_600_000];
-
-/// Draws of a plan.
-struct Lots(Pcg64Mcg);
-
-impl Lots {
-    fn below(&mut self, limit: u64) -> u64 {
-        self.0.next_u64() % limit.max(1)
-    }
-
-    fn of<T: Copy>(&mut self, all: &[T]) -> T {
-        all[self.below(all.len() as u64) as usize]
+impl FaultKind {
+    /// The dispatcher whose processes or clients it is about, if it is about one.
+    #[must_use]
+    pub fn dispatcher(&self) -> Option<usize> {
+        match *self {
+            Self::Upgrade { dispatcher }
+            | Self::Restart { dispatcher }
+            | Self::Kill { dispatcher }
+            | Self::Stop { dispatcher }
+            | Self::Reload { dispatcher, .. }
+            | Self::AgentDown { dispatcher }
+            | Self::WatchSilent { dispatcher }
+            | Self::ClientsLeave { dispatcher }
+            | Self::Idlers { dispatcher, .. }
+            | Self::Pieces { dispatcher }
+            | Self::ShortTime { dispatcher }
+            | Self::Shim { dispatcher, .. }
+            | Self::ShimLater { dispatcher, .. } => Some(dispatcher),
+            _ => None,
+        }
     }
 
-    fn fault(&mut self, of: &[(&str, &[&str])], from: u64, to: u64) -> String {
-        let (call, effects) = self.of(of);
-        let effect = self.of(effects);
-        let permille = match call {
-            "monotonic" => 2,
-            "recv" | "send" => self.of(&[30, 200]),
-            _ => self.of(&[100, 500, 1_000]),
-        };
-        format!("{call}:{effect}@{from}-{to}%{permille}")
+    /// The server that it is about, if it is about one.
+    #[must_use]
+    pub fn server(&self) -> Option<usize> {
+        match *self {
+            Self::Cut { server }
+            | Self::Silence { server }
+            | Self::Reset { server }
+            | Self::Refuse { server }
+            | Self::Hang { server }
+            | Self::Slow { server, .. }
+            | Self::TurnAway { server }
+            | Self::Break { server }
+            | Self::CloseOnUse { server }
+            | Self::AnswerTwice { server }
+            | Self::NeverEnd { server }
+            | Self::Drain { server } => Some(server),
+            _ => None,
+        }
     }
 }
 
-/// Time before the first trouble and after the last (ms).
-const QUIET_MS: u64 = 2_000;
-
 impl Plan {
-    /// Draws a plan: two or three troubles at a time, for `seconds`.
+    /// The rules of the fault shim for a process of a dispatcher; the first process is the one that the play starts
+    /// with.
     #[must_use]
-    pub fn draw(seed: u64, processes: usize, seconds: u64) -> Self {
-        let mut lots = Lots(Pcg64Mcg::seed_from_u64(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15)));
-        let length_ms = seconds * 1_000;
-        let servers_of_a_role = lots.of(&[2, 3, 4]);
-        let mut troubles = Vec::new();
-        // Times at which several troubles come together.
-        let knots = (length_ms / 5_000).max(1);
-        for knot in 0..knots {
-            let span = (length_ms.saturating_sub(2 * QUIET_MS)) / knots;
-            let at = QUIET_MS + knot * span + lots.below(span / 2);
-            for _ in 0..2 + lots.below(2) {
-                let from_ms = at + lots.below(600);
-                let length = lots.of(&[50, 300, 800, 1_500, 3_000]);
-                let to_ms = (from_ms + length).min(length_ms.saturating_sub(QUIET_MS));
-                let kind = Self::trouble(&mut lots, processes, servers_of_a_role, from_ms, to_ms);
-                troubles.push(Trouble { from_ms, to_ms: to_ms.max(from_ms + 20), kind });
+    pub fn shim_rules(&self, dispatcher: usize, is_first: bool) -> String {
+        let mut rules = Vec::new();
+        for fault in &self.faults {
+            match &fault.kind {
+                FaultKind::Shim { dispatcher: of, rule } if *of == dispatcher => rules.push(rule.as_str()),
+                FaultKind::ShimLater { dispatcher: of, rule } if *of == dispatcher && !is_first => {
+                    rules.push(rule.as_str());
+                }
+                _ => {}
             }
         }
-        let rate = lots.of(&[4, 10, 20]);
-        let aim_ms = lots.of(&[short_aim(), 1_500]);
-        // Drawn last, so that a seed's other troubles are as they were before there was this one.
-        let from_ms = QUIET_MS + lots.below(length_ms.saturating_sub(2 * QUIET_MS));
-        let (server, dispatcher) =
-            (lots.below(servers_of_a_role as u64) as usize, lots.below(processes as u64) as usize);
-        let kind = match lots.below(3) {
-            0 => Kind::AnswerTwice { server },
-            1 => Kind::NeverEnd { server },
-            _ => Kind::Pieces { dispatcher },
-        };
-        troubles.push(Trouble { from_ms, to_ms: from_ms + lots.of(&[300, 1_500, 3_000]), kind });
-        Self { seed, processes, length_ms, servers_of_a_role, rate, aim_ms, troubles }
+        rules.join(";")
     }
 
-    fn trouble(lots: &mut Lots, processes: usize, servers: usize, from: u64, to: u64) -> Kind {
-        let dispatcher = lots.below(processes as u64) as usize;
-        let server = lots.below(2 * servers as u64) as usize;
-        match lots.below(28) {
-            0 | 1 => Kind::Upgrade { dispatcher },
-            2 | 3 => Kind::Restart { dispatcher },
-            4 => Kind::Kill { dispatcher },
-            5 => Kind::Stop { dispatcher },
-            6 => Kind::Reload { dispatcher, broken: lots.below(2) == 0 },
-            7 | 8 => Kind::Cut { server },
-            9 | 10 => Kind::Silence { server },
-            11 => Kind::Reset { server },
-            12 => Kind::Refuse { server },
-            13 => Kind::Hang { server },
-            14 => Kind::Slow { server, by_ms: lots.of(&[100, 400, 1_000]) },
-            15 => Kind::TurnAway { server },
-            16 => Kind::Break { server },
-            17 => Kind::CloseOnUse { server },
-            18 => Kind::Drain { server },
-            19 => Kind::AgentDown { dispatcher },
-            20 => Kind::WatchSilent { dispatcher },
-            21 => Kind::ClientsLeave { dispatcher },
-            22 => Kind::Idlers { dispatcher, count: lots.of(&[50, 300, 700]) },
-            23 => Kind::ShortTime { dispatcher },
-            24 | 25 => Kind::Shim { dispatcher, rule: lots.fault(&SOCKET_FAULTS, from, to) },
-            26 => {
-                let rule = match lots.below(3) {
-                    0 => format!("clock:{}@{from}-600000", lots.of(&STEPS)),
-                    1 => lots.fault(&FILE_FAULTS, from, to),
-                    _ => lots.fault(&FILE_FAULTS, 0, 1_500),
-                };
-                Kind::Shim { dispatcher, rule }
-            }
-            _ => {
-                let rule = match lots.below(3) {
-                    0 => format!("clock:{}@0-600000", lots.of(&STEPS)),
-                    1 => lots.fault(&FILE_FAULTS, 0, 1_500),
-                    _ => lots.fault(&START_FAULTS, 0, 1_500),
-                };
-                Kind::ShimLater { dispatcher, rule }
-            }
-        }
-    }
-
-    /// The plan of the fault shim for a dispatcher's process; `first` is the one that the play starts with.
-    #[must_use]
-    pub fn shim(&self, of: usize, first: bool) -> String {
-        let rules = self.troubles.iter().filter_map(|trouble| match &trouble.kind {
-            Kind::Shim { dispatcher, rule } if *dispatcher == of => Some(rule.as_str()),
-            Kind::ShimLater { dispatcher, rule } if *dispatcher == of && !first => Some(rule.as_str()),
-            _ => None,
-        });
-        rules.collect::<Vec<_>>().join(";")
+    /// The faults that are in force at a time.
+    pub fn faults_at(&self, now_ms: u64) -> impl Iterator<Item = &FaultKind> {
+        let in_force = self.faults.iter().filter(move |fault| fault.is_in_force(now_ms));
+        in_force.map(|fault| &fault.kind)
     }
 
-    /// Whether some trouble holds at a time (ms).
-    pub fn holds(&self, now: u64, is: impl Fn(&Kind) -> bool) -> bool {
-        let holds = |trouble: &&Trouble| (trouble.from_ms..trouble.to_ms).contains(&now) && is(&trouble.kind);
-        self.troubles.iter().any(|trouble| holds(&trouble))
+    /// Whether some fault of a kind is in force at a time.
+    pub fn has(&self, now_ms: u64, is_kind: impl Fn(&FaultKind) -> bool) -> bool {
+        self.faults_at(now_ms).any(is_kind)
     }
 }
--- /dev/null
+++ b/crates/soak/src/plan/draw.rs
@@ -0,0 +1,186 @@
+//! Drawing plans. The order of draws is part of what a seed means: a seed that once broke a rule gives the same plan.
+
+use rand_core::{RngCore as _, SeedableRng as _};
+use rand_pcg::Pcg64Mcg;
+
+use super::{default_objective_ms, Fault, FaultKind, Plan};
+
+/// Errnos of each call that the program makes on its sockets, as their man pages document them for what it does. A
+/// reset of the stream itself is not among them: peers make those, and the event log shows them.
+const SOCKET_FAULTS: [(&str, &[&str]); 6] = [
+    ("accept", &["ECONNABORTED", "EINTR", "EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EPERM"]),
+    ("socket", &["EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"]),
+    (
+        "connect",
+        &["EADDRNOTAVAIL", "ENETUNREACH", "EAGAIN", "EINTR", "ENOBUFS", "EPERM", "ECONNREFUSED", "ETIMEDOUT"],
+    ),
+    ("recv", &["EINTR", "short"]),
+    ("send", &["EINTR", "short"]),
+    ("monotonic", &["hold60", "hold150"]),
+];
+/// The same of files.
+const FILE_FAULTS: [(&str, &[&str]); 6] = [
+    ("writefile", &["ENOSPC", "EIO", "short"]),
+    ("rename", &["ENOSPC", "EIO"]),
+    ("readfile", &["EIO", "EINTR"]),
+    ("open", &["ENOSPC", "EIO", "ENFILE"]),
+    ("flock", &["EINTR", "ENOLCK"]),
+    ("fsync", &["EIO"]),
+];
+/// Failures of calls that are made at the start.
+const START_FAULTS: [(&str, &[&str]); 3] = [
+    ("bind", &["EADDRINUSE", "EADDRNOTAVAIL", "ENOMEM"]),
+    ("listen", &["EADDRINUSE"]),
+    ("socket", &["ENFILE", "ENOBUFS"]),
+];
+/// Steps of the wall clock.
+const CLOCK_STEPS_MS: [i64; 6] = [-3_600_000, -5_000, -1_000, 1_000, 5_000, 3_600_000];
+
+/// Nothing goes wrong so long before the end, and for so long after the start (ms).
+const QUIET_MS: u64 = 2_000;
+/// Faults come in groups, one in so many milliseconds.
+const GROUP_INTERVAL_MS: u64 = 5_000;
+/// A fault lasts at least so long (ms).
+const MIN_LENGTH_MS: u64 = 20;
+/// Rules for the time after a start end then (ms since the start of the process).
+const START_ENDS_MS: u64 = 1_500;
+
+/// A fault's times (ms since the start of the play).
+#[derive(Clone, Copy)]
+struct Span {
+    from_ms: u64,
+    to_ms: u64,
+}
+
+/// The span of rules for the time after the start of a process.
+const START: Span = Span { from_ms: 0, to_ms: START_ENDS_MS };
+
+/// The random draws of a plan.
+struct Draws(Pcg64Mcg);
+
+impl Draws {
+    fn below(&mut self, limit: u64) -> u64 {
+        self.0.next_u64() % limit.max(1)
+    }
+
+    fn index(&mut self, length: usize) -> usize {
+        self.below(length as u64) as usize
+    }
+
+    fn one_of<T: Copy>(&mut self, all: &[T]) -> T {
+        all[self.index(all.len())]
+    }
+
+    /// A rule of the fault shim.
+    fn shim_rule(&mut self, faults: &[(&str, &[&str])], span: Span) -> String {
+        let (call, effects) = self.one_of(faults);
+        let effect = self.one_of(effects);
+        let permille = match call {
+            "monotonic" => 2,
+            "recv" | "send" => self.one_of(&[30, 200]),
+            _ => self.one_of(&[100, 500, 1_000]),
+        };
+        format!("{call}:{effect}@{}-{}%{permille}", span.from_ms, span.to_ms)
+    }
+
+    /// A rule of the fault shim by which the wall clock steps, for the rest of the play.
+    fn clock_rule(&mut self, from_ms: u64) -> String {
+        format!("clock:{}@{from_ms}-600000", self.one_of(&CLOCK_STEPS_MS))
+    }
+
+    /// A rule for a process of the start: of the clock, or of files.
+    fn first_process_rule(&mut self, span: Span) -> String {
+        match self.below(3) {
+            0 => self.clock_rule(span.from_ms),
+            1 => self.shim_rule(&FILE_FAULTS, span),
+            _ => self.shim_rule(&FILE_FAULTS, START),
+        }
+    }
+
+    /// A rule for later processes: of the clock, of files, or of what is done at the start.
+    fn later_process_rule(&mut self) -> String {
+        match self.below(3) {
+            0 => self.clock_rule(0),
+            1 => self.shim_rule(&FILE_FAULTS, START),
+            _ => self.shim_rule(&START_FAULTS, START),
+        }
+    }
+
+    /// What goes wrong in a span, for one of the dispatchers or servers.
+    fn fault_kind(&mut self, dispatchers: usize, servers: usize, span: Span) -> FaultKind {
+        let dispatcher = self.index(dispatchers);
+        let server = self.index(servers);
+        match self.below(28) {
+            0 | 1 => FaultKind::Upgrade { dispatcher },
+            2 | 3 => FaultKind::Restart { dispatcher },
+            4 => FaultKind::Kill { dispatcher },
+            5 => FaultKind::Stop { dispatcher },
+            6 => FaultKind::Reload { dispatcher, broken: self.below(2) == 0 },
+            7 | 8 => FaultKind::Cut { server },
+            9 | 10 => FaultKind::Silence { server },
+            11 => FaultKind::Reset { server },
+            12 => FaultKind::Refuse { server },
+            13 => FaultKind::Hang { server },
+            14 => FaultKind::Slow { server, by_ms: self.one_of(&[100, 400, 1_000]) },
+            15 => FaultKind::TurnAway { server },
+            16 => FaultKind::Break { server },
+            17 => FaultKind::CloseOnUse { server },
+            18 => FaultKind::Drain { server },
+            19 => FaultKind::AgentDown { dispatcher },
+            20 => FaultKind::WatchSilent { dispatcher },
+            21 => FaultKind::ClientsLeave { dispatcher },
+            22 => FaultKind::Idlers { dispatcher, count: self.one_of(&[50, 300, 700]) },
+            23 => FaultKind::ShortTime { dispatcher },
+            24 | 25 => FaultKind::Shim { dispatcher, rule: self.shim_rule(&SOCKET_FAULTS, span) },
+            26 => FaultKind::Shim { dispatcher, rule: self.first_process_rule(span) },
+            _ => FaultKind::ShimLater { dispatcher, rule: self.later_process_rule() },
+        }
+    }
+
+    /// Groups of two or three faults that overlap.
+    fn fault_groups(&mut self, length_ms: u64, dispatchers: usize, servers: usize) -> Vec<Fault> {
+        let mut faults = Vec::new();
+        let groups = (length_ms / GROUP_INTERVAL_MS).max(1);
+        let group_ms = length_ms.saturating_sub(2 * QUIET_MS) / groups;
+        for group in 0..groups {
+            let group_from_ms = QUIET_MS + group * group_ms + self.below(group_ms / 2);
+            for _ in 0..2 + self.below(2) {
+                let from_ms = group_from_ms + self.below(600);
+                let drawn_ms = self.one_of(&[50, 300, 800, 1_500, 3_000]);
+                let to_ms = (from_ms + drawn_ms).min(length_ms.saturating_sub(QUIET_MS));
+                let kind = self.fault_kind(dispatchers, servers, Span { from_ms, to_ms });
+                faults.push(Fault { from_ms, to_ms: to_ms.max(from_ms + MIN_LENGTH_MS), kind });
+            }
+        }
+        faults
+    }
+
+    /// One fault of exchanges on a connection: a reader's answers, or clients' requests.
+    fn exchange_fault(&mut self, length_ms: u64, dispatchers: usize, readers: usize) -> Fault {
+        let from_ms = QUIET_MS + self.below(length_ms.saturating_sub(2 * QUIET_MS));
+        let server = self.index(readers);
+        let dispatcher = self.index(dispatchers);
+        let kind = match self.below(3) {
+            0 => FaultKind::AnswerTwice { server },
+            1 => FaultKind::NeverEnd { server },
+            _ => FaultKind::Pieces { dispatcher },
+        };
+        Fault { from_ms, to_ms: from_ms + self.one_of(&[300, 1_500, 3_000]), kind }
+    }
+}
+
+impl Plan {
+    /// Draws a plan that is played for so many seconds.
+    #[must_use]
+    pub fn draw(seed: u64, processes: usize, seconds: u64) -> Self {
+        let mut draws = Draws(Pcg64Mcg::seed_from_u64(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15)));
+        let length_ms = seconds * 1_000;
+        let servers_per_role = draws.one_of(&[2, 3, 4]);
+        let mut faults = draws.fault_groups(length_ms, processes, 2 * servers_per_role);
+        let requests_per_second = draws.one_of(&[4, 10, 20]);
+        let objective_ms = draws.one_of(&[default_objective_ms(), 1_500]);
+        // Drawn last: it was added later, and a seed's other faults were to stay as they were.
+        faults.push(draws.exchange_fault(length_ms, processes, servers_per_role));
+        Self { seed, processes, length_ms, servers_per_role, requests_per_second, objective_ms, faults }
+    }
+}
--- a/crates/soak/src/process.rs
+++ b/crates/soak/src/process.rs
@@ -2,19 +2,22 @@
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use std::process::Stdio;
+use std::process::{ExitStatus, Stdio};
 use std::time::Duration;
 
 use dewladder_test_peers::until_close;
-use tokio::io::{AsyncBufReadExt as _, AsyncWriteExt as _, BufReader};
-use tokio::process::{Child, Command};
+use thiserror::Error;
+use tokio::io::{AsyncBufReadExt as _, AsyncWriteExt as _, BufReader, Lines};
+use tokio::process::{Child, ChildStderr, Command};
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
 /// A process is ready by then, or it counts as one that never was.
-pub const READY_BY: Duration = Duration::from_secs(10);
-const LOOK: Duration = Duration::from_millis(20);
-const CALL: Duration = Duration::from_secs(1);
+pub const READY_WITHIN: Duration = Duration::from_secs(10);
+/// How often a process is asked whether it is ready.
+const READY_INTERVAL: Duration = Duration::from_millis(20);
+/// A call of the second address ends within this.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How a process is started.
 #[derive(Clone, Debug)]
@@ -31,9 +34,9 @@
     pub environment: Vec<(String, String)>,
 }
 
-/// What a process holds.
+/// The resources that a process holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Held {
+pub struct ResourceUsage {
     /// Open descriptors.
     pub descriptors: usize,
     /// Threads.
@@ -52,41 +55,64 @@
 }
 
 impl Launch {
-    /// Starts a process; `plan` is for the fault shim, and its log goes to `log`.
+    /// Starts a process with these rules of the fault shim; its log goes to a file.
     ///
     /// # Errors
     /// What the system says.
-    pub fn start(&self, plan: &str, log: &Path) -> std::io::Result<Process> {
+    pub fn start(&self, shim_rules: &str, log_file: &Path) -> std::io::Result<Process> {
+        let mut child = self.command(shim_rules, log_file).spawn()?;
+        let (sender, admin) = watch::channel(None);
+        let id = child.id().unwrap_or(0);
+        if let Some(stderr) = child.stderr.take() {
+            tokio::spawn(keep_log(BufReader::new(stderr).lines(), log_file.to_owned(), sender));
+        }
+        Ok(Process { id, child, admin })
+    }
+
+    fn command(&self, shim_rules: &str, log_file: &Path) -> Command {
         let mut command = Command::new(&self.program);
         command.arg("serve").arg("--config").arg(&self.config).env_clear();
         command.env("TMPDIR", &self.folder).envs(self.environment.iter().cloned());
         command.current_dir(&self.folder).stdin(Stdio::null()).stderr(Stdio::piped()).kill_on_drop(true);
-        if let Some(shim) = self.shim.as_ref().filter(|_| !plan.is_empty()) {
-            command.env("LD_PRELOAD", shim).env("FAULT_SHIM_PLAN", plan);
-            command.env("FAULT_SHIM_TRACE", log.with_extension("faults"));
+        if let Some(shim) = self.shim.as_ref().filter(|_| !shim_rules.is_empty()) {
+            command.env("LD_PRELOAD", shim).env("FAULT_SHIM_PLAN", shim_rules);
+            command.env("FAULT_SHIM_TRACE", log_file.with_extension("faults"));
+        }
+        command
+    }
+}
+
+/// Writes a process's log to a file, and tells the second address that it names.
+async fn keep_log(
+    mut lines: Lines<BufReader<ChildStderr>>,
+    log_file: PathBuf,
+    admin: watch::Sender<Option<SocketAddr>>,
+) {
+    let Ok(mut file) = tokio::fs::File::create(&log_file).await else { return };
+    while let Ok(Some(line)) = lines.next_line().await {
+        if let Some((_, address)) = line.split_once("second address: ") {
+            admin.send_replace(address.parse().ok());
+        }
+        if file.write_all(format!("{line}\n").as_bytes()).await.is_err() {
+            return;
         }
-        let mut child = command.spawn()?;
-        let (told, admin) = watch::channel(None);
-        let id = child.id().unwrap_or(0);
-        let lines = child.stderr.take().map(|lines| BufReader::new(lines).lines());
-        let log = log.to_owned();
-        tokio::spawn(async move {
-            let (Some(mut lines), Ok(mut file)) = (lines, tokio::fs::File::create(&log).await) else {
-                return;
-            };
-            while let Ok(Some(line)) = lines.next_line().await {
-                if let Some((_, address)) = line.split_once("second address: ") {
-                    told.send_replace(address.parse().ok());
-                }
-                if file.write_all(format!("{line}\n").as_bytes()).await.is_err() {
-                    return;
-                }
-            }
-            // A log that is lost at its end makes no verdict.
-            drop(file.flush().await);
-        });
-        Ok(Process { id, child, admin })
     }
+    // A log that is lost at its end changes no result.
+    drop(file.flush().await);
+}
+
+/// Why a process did not end in good order.
+#[derive(Debug, Error)]
+pub enum EndError {
+    /// It ended with an error or by a signal.
+    #[error("told to end, it ended with {0}")]
+    Status(ExitStatus),
+    /// Its end could not be waited for.
+    #[error(transparent)]
+    System(#[from] std::io::Error),
+    /// It did not end in time.
+    #[error("told to end, it ran on for {0:?}")]
+    Timeout(Duration),
 }
 
 impl Process {
@@ -101,11 +127,11 @@
                 if call(address, "READY\n").await.is_some_and(|said| said.starts_with("OK")) {
                     return;
                 }
-                sleep(LOOK).await;
+                sleep(READY_INTERVAL).await;
             }
         };
         tokio::select! {
-            ready = timeout(READY_BY, ready) => ready.is_ok(),
+            ready = timeout(READY_WITHIN, ready) => ready.is_ok(),
             _ = self.child.wait() => false,
         }
     }
@@ -126,13 +152,15 @@
         self.child.try_wait().ok().flatten().map(|status| status.to_string())
     }
 
-    /// Waits for its end for so long; whether it ended in good order.
-    pub async fn ends_within(&mut self, time: Duration) -> Result<(), String> {
-        match timeout(time, self.child.wait()).await {
-            Ok(Ok(status)) if status.success() => Ok(()),
-            Ok(Ok(status)) => Err(format!("told to end, it ended with {status}")),
-            Ok(Err(error)) => Err(error.to_string()),
-            Err(_) => Err(format!("told to end, it ran on for {time:?}")),
+    /// Waits for its end in good order, for so long.
+    ///
+    /// # Errors
+    /// How it ended instead, or that it did not.
+    pub async fn ends_within(&mut self, time: Duration) -> Result<(), EndError> {
+        let Ok(status) = timeout(time, self.child.wait()).await else { return Err(EndError::Timeout(time)) };
+        match status? {
+            status if status.success() => Ok(()),
+            status => Err(EndError::Status(status)),
         }
     }
 
@@ -142,9 +170,9 @@
         drop(self.child.kill().await);
     }
 
-    /// What it holds now.
+    /// The resources that it holds now.
     #[must_use]
-    pub fn held(&self) -> Option<Held> {
+    pub fn resource_usage(&self) -> Option<ResourceUsage> {
         let of = Path::new("/proc").join(self.id.to_string());
         let descriptors = std::fs::read_dir(of.join("fd")).ok()?.count();
         let status = std::fs::read_to_string(of.join("status")).ok()?;
@@ -153,7 +181,7 @@
             line.trim().split(' ').next()?.parse::<u64>().ok()
         };
         let threads = usize::try_from(number("Threads:")?).ok()?;
-        Some(Held { descriptors, threads, peak_kib: number("VmHWM:")? })
+        Some(ResourceUsage { descriptors, threads, peak_kib: number("VmHWM:")? })
     }
 }
 
@@ -165,7 +193,7 @@
 }
 
 async fn call(address: SocketAddr, line: &str) -> Option<String> {
-    let connected = timeout(CALL, tokio::net::TcpStream::connect(address)).await;
+    let connected = timeout(CALL_TIMEOUT, tokio::net::TcpStream::connect(address)).await;
     drop(connected.ok()?.ok()?);
-    timeout(CALL, until_close(address, line)).await.ok()
+    timeout(CALL_TIMEOUT, until_close(address, line)).await.ok()
 }
--- /dev/null
+++ b/crates/soak/src/servers/connection.rs
@@ -0,0 +1,278 @@
+//! One connection of a test server: its exchanges, with what the plan has go wrong in them.
+
+use std::time::Duration;
+
+use dewladder_test_peers::{chunk, field, plain};
+use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
+use tokio::net::TcpStream;
+use tokio::time::{sleep_until, Instant};
+
+use super::{id_of, reset_on_close, Shared, EVENTS, LOOK_INTERVAL};
+use crate::event_log::{EventLog, Micros, Observation};
+use crate::plan::FaultKind;
+
+/// A read takes so long.
+const READ_TIME: Duration = Duration::from_millis(15);
+/// A writer takes so long to its first event.
+const FIRST_EVENT_AFTER: Duration = Duration::from_millis(25);
+/// And so long from one event to the next.
+const EVENT_INTERVAL: Duration = Duration::from_millis(12);
+/// A second answer comes so long after the first.
+const SECOND_ANSWER_AFTER: Duration = Duration::from_millis(6);
+/// A stream that breaks does so after so many events.
+const EVENTS_BEFORE_BREAK: usize = 2;
+/// A connection is closed on use only when it is older than this (ms): before, it is in its first use.
+const MIN_AGE_TO_CLOSE_MS: u64 = 50;
+/// Longer than any play.
+const FOR_EVER: Duration = Duration::from_secs(600);
+/// The same, in milliseconds behind the end of a play.
+const NEVER_MS: u64 = 60_000;
+const END_OF_HEAD: &[u8] = b"\r\n\r\n";
+const STREAM_HEAD: &str =
+    "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
+
+/// Why a connection is not served any longer.
+enum ConnectionEnd {
+    /// It has ended, or is to be closed in good order.
+    Closed,
+    /// It is to be reset.
+    Reset,
+}
+
+/// Serves a connection until it ends, or the plan resets it.
+pub(super) async fn serve(stream: TcpStream, shared: Shared) {
+    let opened_ms = shared.now_ms();
+    let reset_at_ms = shared.reset_at_ms(opened_ms).unwrap_or(shared.plan.length_ms + NEVER_MS);
+    let reset_at = shared.event_log.instant(reset_at_ms);
+    let mut connection = Connection { stream, read: Vec::new(), opened_ms, shared };
+    let end = tokio::select! {
+        end = connection.serve() => end,
+        () = sleep_until(reset_at) => ConnectionEnd::Reset,
+    };
+    if matches!(end, ConnectionEnd::Reset) {
+        reset_on_close(&connection.stream);
+    }
+}
+
+/// Logs the end of an attempt when it is dropped.
+struct InFlightAttempt {
+    event_log: EventLog,
+    id: u64,
+    server: usize,
+}
+
+impl Drop for InFlightAttempt {
+    fn drop(&mut self) {
+        self.event_log.write(self.id, Observation::AttemptOver { server: self.server });
+    }
+}
+
+/// A request as a server reads it.
+struct Message {
+    line: String,
+    head: String,
+    /// When its first byte was there.
+    first_byte: Micros,
+}
+
+struct Connection {
+    stream: TcpStream,
+    /// What was read and belongs to no message yet.
+    read: Vec<u8>,
+    opened_ms: u64,
+    shared: Shared,
+}
+
+impl Connection {
+    async fn serve(&mut self) -> ConnectionEnd {
+        loop {
+            if let Err(end) = self.exchange().await {
+                return end;
+            }
+        }
+    }
+
+    fn log(&self, id: u64, observation: Observation) {
+        self.shared.event_log.write(id, observation);
+    }
+
+    // ---- Reading and writing ----
+
+    /// Where the connection is silent, waits until it is to be reset.
+    async fn end_if_silent(&mut self) -> Result<(), ConnectionEnd> {
+        let Some(until_ms) = self.shared.silent_until_ms(self.opened_ms) else { return Ok(()) };
+        let until = self.shared.event_log.instant(until_ms);
+        let mut lost = [0; 4_096];
+        loop {
+            // What comes is lost; that the other side closes ends the attempt in flight.
+            tokio::select! {
+                read = self.stream.read(&mut lost) => if matches!(read, Ok(0) | Err(_)) {
+                    return Err(ConnectionEnd::Reset);
+                },
+                () = sleep_until(until) => return Err(ConnectionEnd::Reset),
+            }
+        }
+    }
+
+    /// Reads the next request.
+    async fn message(&mut self) -> Result<Message, ConnectionEnd> {
+        let mut first_byte = (!self.read.is_empty()).then(|| self.shared.event_log.now());
+        loop {
+            if let Some((line, head)) = self.take_message() {
+                let first_byte = first_byte.unwrap_or_else(|| self.shared.event_log.now());
+                return Ok(Message { line, head, first_byte });
+            }
+            if self.stream.readable().await.is_err() {
+                return Err(ConnectionEnd::Closed);
+            }
+            self.end_if_silent().await?;
+            if first_byte.is_none() && self.closes_on_use() {
+                return Err(ConnectionEnd::Closed);
+            }
+            match self.stream.try_read_buf(&mut self.read) {
+                Ok(0) => return Err(ConnectionEnd::Closed),
+                Ok(_) => {
+                    first_byte.get_or_insert_with(|| self.shared.event_log.now());
+                }
+                Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {}
+                Err(_) => return Err(ConnectionEnd::Closed),
+            }
+        }
+    }
+
+    /// Takes a whole request from what was read: its first line and its head.
+    fn take_message(&mut self) -> Option<(String, String)> {
+        let head_end = self.read.windows(END_OF_HEAD.len()).position(|window| window == END_OF_HEAD)?;
+        let head = String::from_utf8_lossy(&self.read[..head_end]).into_owned();
+        let body_length = field(&head, "content-length").and_then(|text| text.parse().ok()).unwrap_or(0);
+        let end = head_end + END_OF_HEAD.len() + body_length;
+        if self.read.len() < end {
+            return None;
+        }
+        self.read.drain(..end);
+        let line = head.lines().next().unwrap_or("").to_owned();
+        Some((line, head))
+    }
+
+    fn closes_on_use(&self) -> bool {
+        let is_old = self.shared.now_ms() > self.opened_ms + MIN_AGE_TO_CLOSE_MS;
+        is_old && self.shared.has(|kind| matches!(kind, FaultKind::CloseOnUse { .. }))
+    }
+
+    async fn write(&mut self, text: &str) -> Result<(), ConnectionEnd> {
+        self.end_if_silent().await?;
+        self.stream.write_all(text.as_bytes()).await.map_err(|_| ConnectionEnd::Closed)
+    }
+
+    /// Waits for so long; ends when the other side closes.
+    async fn wait(&mut self, time: Duration) -> Result<(), ConnectionEnd> {
+        let end = Instant::now() + time;
+        loop {
+            tokio::select! {
+                biased; // a close that has come stops the work, though its time is over in the same moment
+                read = self.stream.read_buf(&mut self.read) => if matches!(read, Ok(0) | Err(_)) {
+                    return Err(ConnectionEnd::Closed);
+                },
+                () = sleep_until(end) => return self.end_if_silent().await,
+            }
+        }
+    }
+
+    // ---- Exchanges ----
+
+    async fn exchange(&mut self) -> Result<(), ConnectionEnd> {
+        let message = self.message().await?;
+        match message.line.strip_prefix("DELETE /kv/leases/") {
+            Some(rest) => self.release(id_of(rest.split(' ').next().unwrap_or(""))).await,
+            None => self.attempt(&message).await,
+        }
+    }
+
+    /// Releases the state of a request.
+    async fn release(&mut self, id: u64) -> Result<(), ConnectionEnd> {
+        self.shared.states().remove(&id);
+        self.log(id, Observation::Released);
+        self.hang().await?;
+        self.write(&plain(204, "", "")).await
+    }
+
+    /// Answers an attempt, as a reader or a writer.
+    async fn attempt(&mut self, message: &Message) -> Result<(), ConnectionEnd> {
+        let id = id_of(&field(&message.head, "x-txn").unwrap_or_default());
+        let _in_flight = self.log_attempt(id, message);
+        if self.shared.is_draining() || self.shared.has(|kind| matches!(kind, FaultKind::TurnAway { .. })) {
+            return self.turn_away(id, 503).await;
+        }
+        self.hang().await?;
+        let delay = self.shared.delay();
+        if self.shared.is_reader {
+            self.wait(READ_TIME + delay).await?;
+            self.shared.states().insert(id);
+            self.log(id, Observation::ReadEnded { server: self.shared.server });
+            return self.write_read_answer().await;
+        }
+        if !self.shared.states().remove(&id) {
+            return self.turn_away(id, 410).await;
+        }
+        self.log(id, Observation::WriteBegan { server: self.shared.server });
+        self.wait(FIRST_EVENT_AFTER + delay).await?;
+        self.write_stream(id).await
+    }
+
+    /// Logs an attempt that has arrived; its end is logged when the result is dropped.
+    fn log_attempt(&self, id: u64, message: &Message) -> InFlightAttempt {
+        let (event_log, server) = (self.shared.event_log.clone(), self.shared.server);
+        event_log.write_at(message.first_byte, id, Observation::AttemptBegan { server });
+        let remaining_s = field(&message.head, "x-remaining").and_then(|text| text.parse::<f64>().ok());
+        let remaining = remaining_s.map(|seconds| (seconds * 1e6) as Micros);
+        let is_reader = self.shared.is_reader;
+        event_log.write(id, Observation::AttemptArrived { server, is_reader, remaining });
+        InFlightAttempt { event_log, id, server }
+    }
+
+    /// Writes a reader's answer, spoilt where the plan says so.
+    async fn write_read_answer(&mut self) -> Result<(), ConnectionEnd> {
+        let answer = plain(202, "", "{\"cached_tokens\":0}");
+        if self.shared.has(|kind| matches!(kind, FaultKind::NeverEnd { .. })) {
+            self.write(&answer[..answer.len() - 2]).await?;
+            return self.wait(FOR_EVER).await;
+        }
+        self.write(&answer).await?;
+        if self.shared.has(|kind| matches!(kind, FaultKind::AnswerTwice { .. })) {
+            self.wait(SECOND_ANSWER_AFTER).await?;
+            return self.write(&answer).await;
+        }
+        Ok(())
+    }
+
+    /// Takes what comes and answers nothing, while the plan says so and until the other side closes.
+    async fn hang(&mut self) -> Result<(), ConnectionEnd> {
+        while self.shared.has(|kind| matches!(kind, FaultKind::Hang { .. })) {
+            self.wait(LOOK_INTERVAL).await?;
+        }
+        Ok(())
+    }
+
+    async fn turn_away(&mut self, id: u64, status: u16) -> Result<(), ConnectionEnd> {
+        self.log(id, Observation::TurnedAway { server: self.shared.server });
+        self.write(&plain(status, "X-Turned-Away: 1\r\n", "")).await
+    }
+
+    /// Writes a writer's answer; the stream breaks where the plan says so.
+    async fn write_stream(&mut self, id: u64) -> Result<(), ConnectionEnd> {
+        self.write(STREAM_HEAD).await?;
+        for event in 0..EVENTS {
+            let breaks = |kind: &FaultKind| matches!(kind, FaultKind::Break { .. });
+            if event == EVENTS_BEFORE_BREAK && self.shared.has(breaks) {
+                return Err(ConnectionEnd::Closed);
+            }
+            self.end_if_silent().await?;
+            self.log(id, Observation::EventWritten(event));
+            self.write(&chunk(&format!("data: {{\"event\":{event}}}\n\n"))).await?;
+            self.wait(EVENT_INTERVAL).await?;
+        }
+        self.write("0\r\n\r\n").await?;
+        self.log(id, Observation::StreamEnded { server: self.shared.server });
+        Ok(())
+    }
+}
--- a/crates/soak/tests/plans.rs
+++ b/crates/soak/tests/plans.rs
@@ -1,8 +1,8 @@
-//! Plans: drawn alike from the same seed, read back as written, shrunk to what breaks.
+//! Plans: drawn alike from the same seed, read back as written, shrunk to what violates a rule.
 
-use dewladder_fault_shim::rule::Rule as Fault;
-use dewladder_soak::oracle::{Break, Rule};
-use dewladder_soak::plan::{Kind, Plan};
+use dewladder_fault_shim::rule::Rule as ShimRule;
+use dewladder_soak::oracle::{Rule, Violation};
+use dewladder_soak::plan::{FaultKind, Plan};
 use dewladder_soak::shrink::shrink;
 
 #[test]
@@ -12,7 +12,7 @@
         assert_eq!(plan, Plan::draw(seed, 12, 20));
         let text = serde_json::to_string(&plan).unwrap();
         assert_eq!(serde_json::from_str::<Plan>(&text).unwrap(), plan);
-        assert!(plan.troubles.len() >= 8, "{plan:?}");
+        assert!(plan.faults.len() >= 8, "{plan:?}");
     }
 }
 
@@ -20,9 +20,9 @@
 fn every_drawn_rule_of_the_shim_can_be_read() {
     let mut seen = 0;
     for seed in 1..400 {
-        for trouble in Plan::draw(seed, 12, 20).troubles {
-            if let Kind::Shim { rule, .. } | Kind::ShimLater { rule, .. } = trouble.kind {
-                rule.parse::<Fault>().unwrap_or_else(|error| panic!("{rule}: {error}"));
+        for fault in Plan::draw(seed, 12, 20).faults {
+            if let FaultKind::Shim { rule, .. } | FaultKind::ShimLater { rule, .. } = fault.kind {
+                rule.parse::<ShimRule>().unwrap_or_else(|error| panic!("{rule}: {error}"));
                 seen += 1;
             }
         }
@@ -31,22 +31,22 @@
 }
 
 #[test]
-fn what_is_no_rule_of_the_shim_is_refused() {
+fn a_text_that_is_no_rule_of_the_shim_is_refused() {
     for text in
         ["accept", "accept:EWHAT@0-1", "walk:EIO@0-1", "accept:EIO@0", "accept:EIO@a-b", "accept:EIO@0-1%x"]
     {
-        assert!(text.parse::<Fault>().is_err(), "{text}");
+        assert!(text.parse::<ShimRule>().is_err(), "{text}");
     }
 }
 
 #[tokio::test]
-async fn a_plan_shrinks_to_the_troubles_that_break() {
+async fn a_plan_shrinks_to_the_faults_that_violate_the_rule() {
     let plan = Plan::draw(7, 3, 20);
-    let needed = [plan.troubles[1].clone(), plan.troubles[4].clone()];
-    let least = shrink(&plan, Rule::Held, |plan| {
-        let breaks = needed.iter().all(|one| plan.troubles.contains(one));
-        let broken = Break { rule: Rule::Held, at: 0, id: 1, what: String::new() };
-        std::future::ready(if breaks { vec![broken] } else { Vec::new() })
+    let needed = [plan.faults[1].clone(), plan.faults[4].clone()];
+    let smallest = shrink(&plan, Rule::Held, |plan| {
+        let violates = needed.iter().all(|one| plan.faults.contains(one));
+        let violation = Violation { rule: Rule::Held, at: 0, id: 1, what: String::new() };
+        std::future::ready(if violates { vec![violation] } else { Vec::new() })
     });
-    assert_eq!(least.await.troubles, needed);
+    assert_eq!(smallest.await.faults, needed);
 }
--- a/crates/soak/tests/sees_each_rule.rs
+++ b/crates/soak/tests/sees_each_rule.rs
@@ -3,26 +3,34 @@
 use std::collections::BTreeSet;
 use std::path::PathBuf;
 
-use dewladder_soak::bed::{play, Options};
-use dewladder_soak::oracle::{judge, Rule, LIMITS};
-use dewladder_soak::plan::{Kind, Plan, Trouble};
-
-fn plan(seed: u64, troubles: Vec<Trouble>) -> Plan {
-    Plan { seed, processes: 1, length_ms: 4_500, servers_of_a_role: 2, rate: 20, aim_ms: 400, troubles }
+use dewladder_soak::harness::{play, Options};
+use dewladder_soak::oracle::{check, Rule, LIMITS};
+use dewladder_soak::plan::{Fault, FaultKind, Plan};
+
+fn plan(seed: u64, faults: Vec<Fault>) -> Plan {
+    Plan {
+        seed,
+        processes: 1,
+        length_ms: 4_500,
+        servers_per_role: 2,
+        requests_per_second: 20,
+        objective_ms: 400,
+        faults,
+    }
 }
 
-async fn rules_broken_by(rule: &str, seed: u64, troubles: Vec<Trouble>) -> BTreeSet<Rule> {
+async fn rules_broken_by(rule: &str, seed: u64, faults: Vec<Fault>) -> BTreeSet<Rule> {
     let options = Options {
         program: PathBuf::from(env!("CARGO_BIN_EXE_false-dispatcher")),
         shim: None,
         folder: PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("false-{rule}")),
         environment: vec![("FALSE_RULE".to_owned(), rule.to_owned())],
     };
-    let plan = plan(seed, troubles);
+    let plan = plan(seed, faults);
     let entries = play(&plan, &options).await.unwrap();
-    let breaks = judge(&plan, &entries, &LIMITS);
-    breaks.iter().for_each(|broken| println!("{broken:?}"));
-    breaks.into_iter().map(|broken| broken.rule).collect()
+    let violations = check(&plan, &entries, &LIMITS);
+    violations.iter().for_each(|broken| println!("{broken:?}"));
+    violations.into_iter().map(|broken| broken.rule).collect()
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -42,8 +50,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn work_for_a_draining_server_is_seen() {
-    let kind = Kind::Drain { server: 3 };
-    let drain = vec![Trouble { from_ms: 1_000, to_ms: 4_000, kind }];
+    let kind = FaultKind::Drain { server: 3 };
+    let drain = vec![Fault { from_ms: 1_000, to_ms: 4_000, kind }];
     assert_eq!(rules_broken_by("sent_to_draining", 4, drain).await, BTreeSet::from([Rule::SentToDraining]));
 }
 
@@ -70,8 +78,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_half_request_that_is_not_ended_is_seen() {
-    let kind = Kind::Idlers { dispatcher: 0, count: 16 };
-    let idlers = |from_ms| vec![Trouble { from_ms, to_ms: from_ms + 100, kind: kind.clone() }];
+    let kind = FaultKind::Idlers { dispatcher: 0, count: 16 };
+    let idlers = |from_ms| vec![Fault { from_ms, to_ms: from_ms + 100, kind: kind.clone() }];
     let broken = rules_broken_by("half_request", 12, idlers(500)).await;
     assert_eq!(broken, BTreeSet::from([Rule::HalfRequest]));
     assert_eq!(rules_broken_by("none", 13, idlers(500)).await, BTreeSet::new());
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -3,10 +3,10 @@
 
 use std::path::PathBuf;
 
-use dewladder_soak::bed::{play, Options};
-use dewladder_soak::ledger::{Entry, Seen};
-use dewladder_soak::oracle::{counts, judge, LIMITS};
-use dewladder_soak::plan::{Kind, Plan, Trouble};
+use dewladder_soak::event_log::{LogEntry, Observation};
+use dewladder_soak::harness::{play, Options};
+use dewladder_soak::oracle::{check, counts, LIMITS};
+use dewladder_soak::plan::{Fault, FaultKind, Plan};
 
 /// The fault shim lies beside the tests' own programs.
 fn shim() -> PathBuf {
@@ -16,12 +16,12 @@
     shim
 }
 
-fn trouble(from_ms: u64, to_ms: u64, kind: Kind) -> Trouble {
-    Trouble { from_ms, to_ms, kind }
+fn fault(from_ms: u64, to_ms: u64, kind: FaultKind) -> Fault {
+    Fault { from_ms, to_ms, kind }
 }
 
 /// Plays the plan; no rule is broken, and most requests are served. What was seen.
-async fn keeps_the_rules(name: &str, plan: &Plan) -> Vec<Entry> {
+async fn keeps_the_rules(name: &str, plan: &Plan) -> Vec<LogEntry> {
     let options = Options {
         program: PathBuf::from(env!("CARGO_BIN_EXE_dewladder")),
         shim: Some(shim()),
@@ -29,22 +29,30 @@
         environment: vec![("RUST_LOG".to_owned(), "debug".to_owned())],
     };
     let entries = play(plan, &options).await.unwrap();
-    let breaks = judge(plan, &entries, &LIMITS);
-    assert!(breaks.is_empty(), "{breaks:#?}");
+    let violations = check(plan, &entries, &LIMITS);
+    assert!(violations.is_empty(), "{violations:#?}");
     let counts = counts(&entries);
     assert!(counts.served * 2 > counts.asked, "{counts:?}");
     entries
 }
 
-fn plan(seed: u64, length_ms: u64, rate: u32, troubles: Vec<Trouble>) -> Plan {
-    Plan { seed, processes: 2, length_ms, servers_of_a_role: 2, rate, aim_ms: 400, troubles }
+fn plan(seed: u64, length_ms: u64, requests_per_second: u32, faults: Vec<Fault>) -> Plan {
+    Plan {
+        seed,
+        processes: 2,
+        length_ms,
+        servers_per_role: 2,
+        requests_per_second,
+        objective_ms: 400,
+        faults,
+    }
 }
 
 /// The writers' machines are cut off: what is written into connections that were open stays unanswered, and new ones do
 /// not come up. The time of what is held goes on from the read's end.
 #[tokio::test(flavor = "multi_thread")]
 async fn what_is_sent_to_machines_that_are_cut_off_is_let_go_in_time() {
-    let cut = |server| trouble(2_000, 4_500, Kind::Cut { server });
+    let cut = |server| fault(2_000, 4_500, FaultKind::Cut { server });
     keeps_the_rules("cut", &plan(912, 8_500, 40, vec![cut(2), cut(3)])).await;
 }
 
@@ -58,10 +66,10 @@
         "send:short@0-60000%200",
     ];
     let shim = |(at, rule): (usize, &&str)| {
-        trouble(0, 60_000, Kind::Shim { dispatcher: at % 2, rule: (*rule).to_owned() })
+        fault(0, 60_000, FaultKind::Shim { dispatcher: at % 2, rule: (*rule).to_owned() })
     };
-    let troubles = rules.iter().enumerate().map(shim).collect();
-    keeps_the_rules("interrupted", &plan(913, 3_000, 20, troubles)).await;
+    let faults = rules.iter().enumerate().map(shim).collect();
+    keeps_the_rules("interrupted", &plan(913, 3_000, 20, faults)).await;
 }
 
 /// What a start needs of the system may be lacking for a moment (`socket(2)`, `bind(2)`, `listen(2)`, `open(2)`): it is
@@ -78,17 +86,20 @@
     ];
     // Each at a restart, and at an upgrade.
     let processes = 2 * rules.len();
-    let mut troubles = Vec::new();
+    let mut faults = Vec::new();
     for dispatcher in 0..processes {
         let rule = rules[dispatcher / 2].to_owned();
-        troubles.push(trouble(0, 3_000, Kind::ShimLater { dispatcher, rule }));
-        let starts =
-            if dispatcher % 2 == 0 { Kind::Restart { dispatcher } } else { Kind::Upgrade { dispatcher } };
-        troubles.push(trouble(300, 400, starts));
+        faults.push(fault(0, 3_000, FaultKind::ShimLater { dispatcher, rule }));
+        let starts = if dispatcher % 2 == 0 {
+            FaultKind::Restart { dispatcher }
+        } else {
+            FaultKind::Upgrade { dispatcher }
+        };
+        faults.push(fault(300, 400, starts));
     }
-    let plan = Plan { processes, ..plan(914, 4_500, 10, troubles) };
+    let plan = Plan { processes, ..plan(914, 4_500, 10, faults) };
     let seen = keeps_the_rules("start", &plan).await;
-    let ready = seen.iter().filter(|entry| matches!(entry.seen, Seen::Ready { .. })).count();
+    let ready = seen.iter().filter(|entry| matches!(entry.observation, Observation::Ready { .. })).count();
     assert_eq!(ready, 2 * processes);
 }
 
@@ -98,10 +109,10 @@
 async fn connections_that_end_in_the_accept_queue_do_not_hold_up_others() {
     let rules = ["accept:ECONNABORTED", "accept:EINTR", "accept:EPROTO", "accept:EHOSTUNREACH"];
     let shim = |(dispatcher, call): (usize, &&str)| {
-        trouble(0, 60_000, Kind::Shim { dispatcher, rule: format!("{call}@0-60000%950") })
+        fault(0, 60_000, FaultKind::Shim { dispatcher, rule: format!("{call}@0-60000%950") })
     };
-    let troubles = rules.iter().enumerate().map(shim).collect();
-    let plan = Plan { processes: rules.len(), ..plan(916, 3_500, 40, troubles) };
+    let faults = rules.iter().enumerate().map(shim).collect();
+    let plan = Plan { processes: rules.len(), ..plan(916, 3_500, 40, faults) };
     keeps_the_rules("aborted", &plan).await;
 }
 
@@ -109,13 +120,13 @@
 /// begun for those that have gone.
 #[tokio::test(flavor = "multi_thread")]
 async fn nothing_is_begun_for_clients_that_left_before_they_were_accepted() {
-    let mut troubles = Vec::new();
+    let mut faults = Vec::new();
     for dispatcher in 0..4 {
         let rule = "accept:EMFILE@1500-2300%1000".to_owned();
-        troubles.push(trouble(0, 60_000, Kind::Shim { dispatcher, rule }));
-        troubles.push(trouble(1_500, 2_300, Kind::ClientsLeave { dispatcher }));
+        faults.push(fault(0, 60_000, FaultKind::Shim { dispatcher, rule }));
+        faults.push(fault(1_500, 2_300, FaultKind::ClientsLeave { dispatcher }));
     }
-    let plan = Plan { processes: 4, ..plan(917, 4_000, 60, troubles) };
+    let plan = Plan { processes: 4, ..plan(917, 4_000, 60, faults) };
     keeps_the_rules("left-in-queue", &plan).await;
 }
 
@@ -123,13 +134,13 @@
 /// waits in its queue is accepted once they don't, and answered.
 #[tokio::test(flavor = "multi_thread")]
 async fn who_waits_in_a_queue_as_its_listener_closes_is_answered_though_accepts_fail_for_a_second() {
-    let mut troubles = Vec::new();
+    let mut faults = Vec::new();
     for (dispatcher, errno) in ["EMFILE", "ENFILE"].into_iter().enumerate() {
         let rule = format!("accept:{errno}@1700-3200%1000");
-        troubles.push(trouble(0, 60_000, Kind::Shim { dispatcher, rule }));
-        troubles.push(trouble(1_500, 1_600, Kind::Restart { dispatcher }));
+        faults.push(fault(0, 60_000, FaultKind::Shim { dispatcher, rule }));
+        faults.push(fault(1_500, 1_600, FaultKind::Restart { dispatcher }));
     }
-    keeps_the_rules("close", &plan(918, 4_500, 40, troubles)).await;
+    keeps_the_rules("close", &plan(918, 4_500, 40, faults)).await;
 }
 
 /// The logs of a dispatcher's processes in a play, in the order of their starts.
@@ -144,11 +155,11 @@
 async fn a_new_process_takes_over_whatever_the_wall_clock_says() {
     for (seed, step) in [(930, -3_600_000), (931, 3_600_000)] {
         let rule = format!("clock:{step}@0-60000");
-        let troubles = vec![
-            trouble(1_000, 1_100, Kind::Upgrade { dispatcher: 0 }),
-            trouble(0, 60_000, Kind::ShimLater { dispatcher: 0, rule }),
+        let faults = vec![
+            fault(1_000, 1_100, FaultKind::Upgrade { dispatcher: 0 }),
+            fault(0, 60_000, FaultKind::ShimLater { dispatcher: 0, rule }),
         ];
-        keeps_the_rules("order", &plan(seed, 3_000, 10, troubles)).await;
+        keeps_the_rules("order", &plan(seed, 3_000, 10, faults)).await;
         let logs = logs("order", seed, 0, 2);
         assert!(logs[0].contains("what was learnt is handed over"), "{step}: {}", logs[0]);
         assert!(logs[1].contains("what the other process has learnt is taken over"), "{step}: {}", logs[1]);
@@ -166,12 +177,12 @@
         "open:EIO@0-1500%1000",
         "flock:ENOLCK@0-1500%1000",
     ];
-    let mut troubles = Vec::new();
+    let mut faults = Vec::new();
     for (dispatcher, rule) in rules.into_iter().enumerate() {
-        troubles.push(trouble(1_000, 1_100, Kind::Upgrade { dispatcher }));
-        troubles.push(trouble(0, 60_000, Kind::Shim { dispatcher, rule: rule.to_owned() }));
+        faults.push(fault(1_000, 1_100, FaultKind::Upgrade { dispatcher }));
+        faults.push(fault(0, 60_000, FaultKind::Shim { dispatcher, rule: rule.to_owned() }));
     }
-    let plan = Plan { processes: rules.len(), ..plan(940, 6_000, 10, troubles) };
+    let plan = Plan { processes: rules.len(), ..plan(940, 6_000, 10, faults) };
     keeps_the_rules("disk", &plan).await;
     for (dispatcher, rule) in rules.into_iter().enumerate() {
         let logs = logs("disk", 940, dispatcher, 2);
@@ -187,14 +198,14 @@
 async fn connects_that_fail_on_this_machine_are_not_held_against_servers() {
     // From the start, when no connection is kept yet.
     let rules = ["connect:EADDRNOTAVAIL", "connect:ENOBUFS", "connect:EINTR", "socket:ENFILE"];
-    let mut troubles = Vec::new();
+    let mut faults = Vec::new();
     for (dispatcher, call) in rules.into_iter().enumerate() {
         // What listens is opened before that.
         let from = if call.starts_with("socket") { 60 } else { 0 };
         let rule = format!("{call}@{from}-450%1000");
-        troubles.push(trouble(0, 60_000, Kind::Shim { dispatcher, rule }));
+        faults.push(fault(0, 60_000, FaultKind::Shim { dispatcher, rule }));
     }
-    let plan = Plan { processes: 4, ..plan(950, 2_000, 30, troubles) };
+    let plan = Plan { processes: 4, ..plan(950, 2_000, 30, faults) };
     keeps_the_rules("connect", &plan).await;
     for dispatcher in 0..4 {
         let log = logs("connect", 950, dispatcher, 1).remove(0);
@@ -208,11 +219,11 @@
 /// back beyond that, and the step forward changes nothing.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_start_at_the_beginning_of_unix_time_is_as_any_other() {
-    let troubles = vec![
-        trouble(0, 60_000, Kind::Shim { dispatcher: 0, rule: "clock:-9000000000000@0-1200".to_owned() }),
-        trouble(0, 60_000, Kind::Shim { dispatcher: 1, rule: "clock:-9000000000000@0-60000".to_owned() }),
-        trouble(1_500, 1_600, Kind::Upgrade { dispatcher: 0 }),
-        trouble(1_500, 1_600, Kind::Upgrade { dispatcher: 1 }),
+    let faults = vec![
+        fault(0, 60_000, FaultKind::Shim { dispatcher: 0, rule: "clock:-9000000000000@0-1200".to_owned() }),
+        fault(0, 60_000, FaultKind::Shim { dispatcher: 1, rule: "clock:-9000000000000@0-60000".to_owned() }),
+        fault(1_500, 1_600, FaultKind::Upgrade { dispatcher: 0 }),
+        fault(1_500, 1_600, FaultKind::Upgrade { dispatcher: 1 }),
     ];
-    keeps_the_rules("1970", &plan(960, 4_000, 20, troubles)).await;
+    keeps_the_rules("1970", &plan(960, 4_000, 20, faults)).await;
 }
