--- a/crates/router/src/eligibility.rs
+++ b/crates/router/src/eligibility.rs
@@ -57,60 +57,82 @@
     state.class(request.call.class).is_some_and(|class| request.attempts >= class.max_attempts)
 }
 
-/// Whether the rules allow this send now: (1) the request is open and in time; (2) nothing else is in flight
-/// and no effect can happen twice; (3) the list has the server as ready; (4) slow start has room for it.
+/// What the rules permit for a request now: (1) it is open and in time; (2) nothing else is in flight and no
+/// effect can happen twice; (3) the list has the server as ready; (4) slow start has room for it.
+///
+/// What does not depend on the server is worked out once: many servers are asked for one request.
+#[derive(Clone, Copy, Debug)]
+struct Permissions<'a> {
+    state: &'a RoutingState,
+    is_open: bool,
+    scope: RepeatScope,
+}
+
+impl<'a> Permissions<'a> {
+    fn of(state: &'a RoutingState, request: &RequestState) -> Self {
+        let is_idle = !request.is_completed && request.in_flight.is_none();
+        let is_open = is_idle && request.call.not_after > state.now;
+        Self { state, is_open, scope: repeat_scope(state, request) }
+    }
+
+    fn include(&self, server: &Server) -> bool {
+        self.is_open
+            && server.entry.health == Health::Ready
+            && self.scope.contains(server)
+            && slow_start::allows(self.state, server.role, server.entry.started, &server.slow_start_budget)
+    }
+
+    /// How many servers of a role are included. Counted by exceptions, which are few, where that is possible.
+    fn count(&self, role: Role) -> usize {
+        let fleet = &self.state.fleet;
+        if self.scope != RepeatScope::Everywhere {
+            return fleet.ready(role).filter(|server| self.include(server)).count();
+        }
+        let is_barred = |server: &&SlowStartingServer| {
+            !slow_start::allows(self.state, role, server.started, &server.budget)
+        };
+        fleet.ready_count(role) - fleet.slow_starting(role).iter().filter(is_barred).count()
+    }
+}
+
+/// Whether the rules permit this send now. Every send is held against this, whoever has chosen the server.
 pub(crate) fn is_permitted(state: &RoutingState, request: &RequestState, server: &Server) -> bool {
-    let is_open = !request.is_completed && request.in_flight.is_none() && request.call.not_after > state.now;
-    is_open
-        && server.entry.health == Health::Ready
-        && repeat_scope(state, request).contains(server)
-        && slow_start::allows(state, server.role, server.entry.started, &server.slow_start_budget)
+    Permissions::of(state, request).include(server)
 }
 
 /// Servers of a role that the rules permit for a request and that look healthy. Where too few look so, the
-/// unhealthy ones are in as well; those at which the request has failed are in only where there are no
-/// others.
+/// unhealthy ones are in as well; those at which the request has failed are in only where there are no others.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct CandidatePool {
+pub(crate) struct CandidatePool<'a> {
     pub(crate) role: Role,
+    request: &'a RequestState,
+    permissions: Permissions<'a>,
     includes_unhealthy: bool,
     includes_failed: bool,
 }
 
-impl CandidatePool {
-    /// The pool of a request; `None` where it would be empty. Counted by exceptions, which are few, and not
-    /// by going through all servers of the role.
-    pub(crate) fn of(state: &RoutingState, role: Role, request: &RequestState) -> Option<Self> {
-        let permitted = permitted_count(state, role, request);
-        let unhealthy = state
-            .fleet
-            .ready_suspects(role)
-            .filter(|server| is_permitted(state, request, server))
-            .filter(|server| !health::is_healthy(server, request.call.class, state.now))
-            .count();
-        let includes_unhealthy = health::too_few(permitted - unhealthy, permitted);
-        let size = if includes_unhealthy { permitted } else { permitted - unhealthy };
-        let with_failed = Self { role, includes_unhealthy, includes_failed: true };
+impl<'a> CandidatePool<'a> {
+    /// The pool of a request; `None` where it would be empty.
+    pub(crate) fn of(state: &'a RoutingState, role: Role, request: &'a RequestState) -> Option<Self> {
+        let permissions = Permissions::of(state, request);
+        let permitted = permissions.count(role);
+        let suspects = state.fleet.ready_suspects(role).filter(|server| permissions.include(server));
+        let is_unhealthy = |server: &&Server| !health::is_healthy(server, request.call.class, state.now);
+        let healthy = permitted - suspects.filter(is_unhealthy).count();
+        let includes_unhealthy = health::too_few(healthy, permitted);
+        let size = if includes_unhealthy { permitted } else { healthy };
+        let with_failed = Self { role, request, permissions, includes_unhealthy, includes_failed: true };
         let failed = state.fleet.known_of(&request.failed_at);
-        let failed = failed.filter(|server| with_failed.contains(state, request, server)).count();
+        let failed = failed.filter(|server| with_failed.contains(server)).count();
         (size > 0).then_some(Self { includes_failed: failed == size, ..with_failed })
     }
 
-    /// Whether a server is in the pool of that request.
-    pub(crate) fn contains(&self, state: &RoutingState, request: &RequestState, server: &Server) -> bool {
+    /// Whether a server is in it.
+    pub(crate) fn contains(&self, server: &Server) -> bool {
+        let RequestState { call, failed_at, .. } = self.request;
         server.role == self.role
-            && is_permitted(state, request, server)
-            && (self.includes_unhealthy || health::is_healthy(server, request.call.class, state.now))
-            && (self.includes_failed || !request.failed_at.contains(&server.entry.server))
-    }
-}
-
-/// How many servers of a role the rules permit for a request.
-fn permitted_count(state: &RoutingState, role: Role, request: &RequestState) -> usize {
-    if repeat_scope(state, request) != RepeatScope::Everywhere {
-        return state.fleet.ready(role).filter(|server| is_permitted(state, request, server)).count();
+            && self.permissions.include(server)
+            && (self.includes_unhealthy || health::is_healthy(server, call.class, self.permissions.state.now))
+            && (self.includes_failed || !failed_at.contains(&server.entry.server))
     }
-    let is_barred =
-        |server: &&SlowStartingServer| !slow_start::allows(state, role, server.started, &server.budget);
-    state.fleet.ready_count(role) - state.fleet.slow_starting(role).iter().filter(is_barred).count()
 }
--- a/crates/router/src/placement.rs
+++ b/crates/router/src/placement.rs
@@ -33,7 +33,7 @@
 struct Choice<'a> {
     state: &'a RoutingState,
     request: &'a RequestState,
-    pool: CandidatePool,
+    pool: CandidatePool<'a>,
     /// The stage that the chosen server is to do.
     stage: Stage,
     /// The first server of the ranking.
@@ -69,10 +69,6 @@
 }
 
 impl Choice<'_> {
-    fn contains(&self, server: &Server) -> bool {
-        self.pool.contains(self.state, self.request, server)
-    }
-
     /// Tokens of the prompt that a server is believed to keep. A home counts as keeping the shared prefix.
     fn cached_tokens(&self, server: &Server) -> u64 {
         let call = &self.request.call;
@@ -91,7 +87,7 @@
         let mut ranked = Vec::new();
         for server in holders {
             let cached_tokens = self.cached_tokens(server);
-            if cached_tokens > 0 && self.contains(server) {
+            if cached_tokens > 0 && self.pool.contains(server) {
                 let id = server.entry.server;
                 let rank = (Reverse(cached_tokens), server.unanswered.len(), id != self.home);
                 ranked.push((rank, self.draw_for(id), id));
@@ -114,7 +110,7 @@
             let id = ranking.get(position)?;
             let server = &self.state.fleet[id];
             // Those with a prefix were asked above.
-            if self.cached_tokens(server) > 0 || !self.contains(server) {
+            if self.cached_tokens(server) > 0 || !self.pool.contains(server) {
                 continue;
             }
             if self.is_free(server, 0, unit_interval(rng.next_u64())) {
@@ -150,7 +146,7 @@
     /// fills it the more.
     fn least_loaded(&self) -> Option<ServerId> {
         let state = self.state;
-        let candidates = || state.fleet.ready(self.pool.role).filter(|server| self.contains(server));
+        let candidates = || state.fleet.ready(self.pool.role).filter(|server| self.pool.contains(server));
         let fewest = candidates().map(|server| server.unanswered.len()).min()?;
         let unloaded_us_per_token = state.stage(self.stage).unloaded_us_per_token;
         let done_in_us = |server: &Server| {
--- a/crates/router/src/writers.rs
+++ b/crates/router/src/writers.rs
@@ -40,8 +40,7 @@
 /// Writers that can take a state now. Mixed servers help where no writer is ready.
 struct Candidates<'a> {
     state: &'a RoutingState,
-    request: &'a RequestState,
-    pool: CandidatePool,
+    pool: CandidatePool<'a>,
     /// Own tokens at a server of the role on average; 0 where the memory estimate is not to bar anyone.
     mean_memory_tokens: f64,
     /// Cells that are passed over, unless nobody else is left.
@@ -85,7 +84,7 @@
             let mean_memory_tokens =
                 if is_urgent(state, request) { 0.0 } else { load::mean_memory_tokens(state, role) };
             let pool = CandidatePool::of(state, role, request)?;
-            let candidates = Self { state, request, pool, mean_memory_tokens, congested: Vec::new() };
+            let candidates = Self { state, pool, mean_memory_tokens, congested: Vec::new() };
             candidates.any_ready().then_some(candidates)
         })?;
         let congested = congested_cells(state, unit_interval(mix(!draws.spare)));
@@ -105,7 +104,7 @@
 
     fn contains(&self, server: &Server) -> bool {
         !self.congested.contains(&server.entry.cell)
-            && self.pool.contains(self.state, self.request, server)
+            && self.pool.contains(server)
             && load::has_memory_left(self.state, server, self.mean_memory_tokens)
     }
 
