--- a/crates/router/src/interface.rs
+++ b/crates/router/src/interface.rs
@@ -14,6 +14,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
+/// As log lines name it: sixteen hexadecimal digits, as clients write ids.
+impl std::fmt::Display for RequestId {
+    fn fmt(&self, to: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        write!(to, "{:016x}", self.0)
+    }
+}
+
 /// A server. Says nothing of zone, kind or age.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub u32);
