--- a/src/demo.rs
+++ b/src/demo.rs
@@ -30,10 +30,10 @@
 /// Runs until told to end by Ctrl-C or SIGTERM.
 ///
 /// # Errors
-/// One plain line that says what failed.
-pub async fn run() -> Result<(), String> {
-    let told = |kind| signal(kind).map_err(|error| error.to_string());
-    let (mut interrupt, mut term) = (told(SignalKind::interrupt())?, told(SignalKind::terminate())?);
+/// What failed, as one plain line.
+pub async fn run() -> Result<(), Box<dyn std::error::Error>> {
+    let mut interrupt = signal(SignalKind::interrupt())?;
+    let mut term = signal(SignalKind::terminate())?;
     let shape = Shape {
         readers: 3,
         writers: 3,
@@ -44,13 +44,12 @@
     let fleet =
         Fleet::start(shape).await.map_err(|error| format!("can't start the stand-in fleet: {error}"))?;
     let text = config(fleet.agent.address, &fleet.listing());
-    let config =
-        Config::parse("the demo's configuration", &text, |_| None).map_err(|error| error.to_string())?;
-    let fronts = Fronts::parse("the demo's fronts", FRONTS).map_err(|error| error.to_string())?;
-    let (_tell, discovery) = watch::channel(config.discovery);
+    let config = Config::parse("the demo's configuration", &text, |_| None)?;
+    let fronts = Fronts::parse("the demo's fronts", FRONTS)?;
+    let (_discovery_sender, discovery) = watch::channel(config.discovery);
     let dispatcher = Dispatcher::bind(config, &fronts)?;
     let [platform, chat, agent] = dispatcher.addresses()[..] else {
-        return Err("a listener is missing".to_owned());
+        return Err("a listener is missing".into());
     };
     println!("three readers, three writers and a discovery agent stand in; all ports are on loopback
 
@@ -69,12 +68,12 @@
 
 Ctrl-C ends all.
 ");
-    dispatcher
-        .run(discovery, async move {
-            tokio::select! {
-                _ = interrupt.recv() => {}
-                _ = term.recv() => {}
-            }
-        })
-        .await
+    let end = async move {
+        tokio::select! {
+            _ = interrupt.recv() => {}
+            _ = term.recv() => {}
+        }
+    };
+    dispatcher.run(discovery, end).await?;
+    Ok(())
 }
--- /dev/null
+++ b/src/edge/dispatcher/running.rs
@@ -0,0 +1,206 @@
+//! A dispatcher that runs: its tasks from the start to the last request.
+
+use std::future::Future;
+use std::net::SocketAddr;
+use std::pin::Pin;
+use std::time::Duration;
+
+use log::{error, info};
+use thiserror::Error;
+use tokio::sync::{oneshot, watch};
+use tokio::task::{JoinError, JoinHandle};
+
+use crate::edge::admin::Admin;
+use crate::edge::balancers;
+use crate::edge::clients::connection_limits::ConnectionLimits;
+use crate::edge::clients::listener;
+use crate::edge::cluster::Cluster;
+use crate::edge::dispatcher::listeners::listen_while_running;
+use crate::edge::dispatcher::{Dispatcher, Front};
+use crate::edge::driver::Message;
+use crate::edge::hot_restart::HotRestartTask;
+use crate::edge::list;
+use crate::edge::listing;
+use crate::edge::phase::Phase;
+use crate::edge::stats::Figures;
+use crate::interface::ListUpdateKind;
+use dewladder_hot_restart::{RestartStatus, Stage};
+
+/// After SIGTERM new connections go on coming for up to 0.4 s; only then are idle ones closed.
+const LEAVE_TIME: Duration = Duration::from_millis(600);
+/// Time between two looks at whether anything is still held.
+const DRAIN_POLL: Duration = Duration::from_millis(20);
+
+/// Why a dispatcher ended by itself; one plain line.
+#[derive(Debug, Error, PartialEq, Eq)]
+pub enum RunError {
+    /// The driver ended.
+    #[error("the driver ended: {0}")]
+    DriverEnded(String),
+    /// The watch of the list ended.
+    #[error("the watch of the list ended: {0}")]
+    WatchEnded(String),
+    /// An address that another process has left can't be listened on.
+    #[error("{0}")]
+    Listen(String),
+}
+
+type Status = watch::Receiver<Option<RestartStatus>>;
+
+impl Dispatcher {
+    /// Serves until `end` comes, then finishes what is held. The list is watched at the address that `discovery` holds.
+    ///
+    /// # Errors
+    /// Which part ended by itself.
+    pub async fn run(
+        self,
+        discovery: watch::Receiver<SocketAddr>,
+        end: impl Future<Output = ()>,
+    ) -> Result<(), RunError> {
+        let Self { config, driver, to_driver, figures, phase, .. } = self;
+        let known = listing::entries(&config.known, &config.names);
+        if let Some(admin) = &self.admin {
+            info!("second address: {}", admin.address());
+        }
+        let entries = known.clone();
+        to_driver.send(Message::EndpointsUpdated { how: ListUpdateKind::StaleCopy, entries });
+        let gossip = self.peers.map(|peers| tokio::spawn(peers.hear(to_driver.clone())));
+        let mut driver = tokio::spawn(driver.run());
+        let mut watching = tokio::spawn(list::watch(config.clone(), discovery, to_driver.clone()));
+        let limits = ConnectionLimits::new(config.max_client_connections());
+        let health = self.health;
+        let agent = self.agent.map(|listener| tokio::spawn(balancers::agent_check(listener, health)));
+        let cluster = self.cluster.map(ClusterTask::spawn);
+        let (status_sender, mut status) =
+            watch::channel(self.hot_restart.as_ref().map(HotRestartTask::status));
+        let hot_restart = self.hot_restart.map(|task| {
+            let (limits, to_driver, figures) = (limits.clone(), to_driver.clone(), figures.clone());
+            let phases = phase.subscribe();
+            tokio::spawn(task.run(config.clone(), limits, to_driver, figures, phases, status_sender))
+        });
+        let has_peer_process = hot_restart.is_some();
+
+        let mut end = std::pin::pin!(end);
+        if *phase.borrow() == Phase::Joining {
+            info!(name = config.name.as_str(), address:% = config.listen;
+                "dispatcher: another process serves; waiting for a share of its limits");
+            tokio::select! {
+                () = &mut end => return Ok(()),
+                _ = status.wait_for(|status| status.is_some_and(|now| now.own.stage != Stage::Joining)) => {}
+            }
+        }
+        let shared = Shared { phase: &phase, limits: &limits, figures: &figures };
+        let Some(serving) = serve_fronts(self.fronts, &shared, end.as_mut()).await? else { return Ok(()) };
+        phase.send_replace(Phase::Serving);
+        info!("{}: serving on {}, {} servers known", config.name, config.listen, known.len());
+        tokio::select! {
+            () = &mut end => {}
+            ended = &mut driver => return Err(RunError::DriverEnded(format!("{ended:?}"))),
+            ended = &mut watching => return Err(RunError::WatchEnded(format!("{ended:?}"))),
+        }
+
+        leave(&phase, has_peer_process.then_some(&mut status)).await;
+        finish(serving, &figures).await;
+        for task in [agent, gossip, hot_restart].into_iter().flatten() {
+            task.abort();
+        }
+        watching.abort();
+        // Told last: to the end this instance may hold something at servers.
+        if let Some(cluster) = cluster {
+            cluster.leave().await;
+        }
+        drop::<Option<Admin>>(self.admin); // it answers to the end
+        info!("nothing is held any more: ending");
+        Ok(())
+    }
+}
+
+/// What all fronts go by.
+struct Shared<'a> {
+    phase: &'a watch::Sender<Phase>,
+    limits: &'a ConnectionLimits,
+    figures: &'a Figures,
+}
+
+/// Serves all fronts; `None` where the end comes before another process has left their addresses.
+async fn serve_fronts(
+    fronts: Vec<Front>,
+    shared: &Shared<'_>,
+    mut end: Pin<&mut impl Future<Output = ()>>,
+) -> Result<Option<Vec<JoinHandle<()>>>, RunError> {
+    let mut serving = Vec::new();
+    for front in fronts {
+        let listener = match front.listener {
+            Some(listener) => listener,
+            None => tokio::select! {
+                () = end.as_mut() => return Ok(None),
+                listener = listen_while_running(front.address) => {
+                    listener.map_err(|error| RunError::Listen(error.to_string()))?
+                }
+            },
+        };
+        let (limits, figures) = (shared.limits.clone(), shared.figures.clone());
+        let phases = shared.phase.subscribe();
+        serving.push(tokio::spawn(listener::serve(listener, front.routes, limits, figures, phases)));
+    }
+    Ok(Some(serving))
+}
+
+/// Has clients leave, or leaves new ones to the process that has replaced this one; then listeners close.
+async fn leave(phase: &watch::Sender<Phase>, status: Option<&mut Status>) {
+    phase.send_replace(Phase::Leaving);
+    // The platform tells this one to end as soon as the other says yes: its announcement is looked at once more.
+    let is_replaced = match status {
+        Some(status) => {
+            let is_leaving = |status: &Option<RestartStatus>| {
+                status.is_some_and(|status| status.own.stage == Stage::Leaving)
+            };
+            let seen = status.wait_for(is_leaving).await;
+            seen.is_ok_and(|status| status.is_some_and(|status| status.is_replaced()))
+        }
+        None => false,
+    };
+    if is_replaced {
+        info!("told to end: another process takes new clients");
+        phase.send_replace(Phase::Yielding);
+    } else {
+        info!("told to end: clients are asked to leave");
+    }
+    tokio::time::sleep(LEAVE_TIME).await;
+    phase.send_replace(Phase::Closing);
+}
+
+/// Waits until all fronts have ended and nothing is held for requests.
+async fn finish(serving: Vec<JoinHandle<()>>, figures: &Figures) {
+    for front in serving {
+        report_panic("front", front.await);
+    }
+    while !figures.nothing_held() {
+        tokio::time::sleep(DRAIN_POLL).await;
+    }
+}
+
+/// The cluster's part, while it runs.
+struct ClusterTask {
+    leave: oneshot::Sender<()>,
+    task: JoinHandle<()>,
+}
+
+impl ClusterTask {
+    fn spawn(cluster: Cluster) -> Self {
+        let (leave, left) = oneshot::channel();
+        Self { leave, task: tokio::spawn(cluster.run(left)) }
+    }
+
+    /// Tells the other instances that this one leaves, and waits until that is done.
+    async fn leave(self) {
+        let _ = self.leave.send(()); // it may have ended
+        report_panic("cluster", self.task.await);
+    }
+}
+
+fn report_panic(part: &str, ended: Result<(), JoinError>) {
+    if let Err(panic) = ended {
+        error!(part, reason:% = panic; "dispatcher: a task panicked");
+    }
+}
--- a/src/edge/settings.rs
+++ b/src/edge/settings.rs
@@ -153,14 +153,14 @@
         &self,
         path: &str,
         environment: impl Fn(&str) -> Option<String>,
-    ) -> Result<Retuned, ConfigError> {
+    ) -> Result<ReloadedConfig, ConfigError> {
         let new = Self::read(path, environment)?;
         let bad = |what| ConfigError::Malformed { path: path.to_owned(), what };
         if let Some(key) = missing(&self.file, &new.file, "") {
             return Err(bad(format!("{key} is missing")));
         }
-        let mut takes_restart = Vec::new();
-        let mut fixed = |differs: bool, name| takes_restart.extend(differs.then_some(name));
+        let mut needs_restart = Vec::new();
+        let mut fixed = |differs: bool, name| needs_restart.extend(differs.then_some(name));
         fixed(new.name != self.name, "name");
         fixed(new.listen != self.listen, "listen");
         fixed(new.admin != self.admin, "admin_addr");
@@ -183,14 +183,14 @@
             peers: self.settings.peers,
             ..new.settings
         };
-        Ok(Retuned { discovery: new.discovery, settings, takes_restart, file: new.file })
+        Ok(ReloadedConfig { discovery: new.discovery, settings, needs_restart, file: new.file })
     }
 
     /// Goes by what was read again from now on.
-    pub fn take(&mut self, retuned: &Retuned) {
-        self.discovery = retuned.discovery;
-        self.settings = retuned.settings.clone();
-        self.file = retuned.file.clone();
+    pub fn apply(&mut self, reloaded: &ReloadedConfig) {
+        self.discovery = reloaded.discovery;
+        self.settings = reloaded.settings.clone();
+        self.file = reloaded.file.clone();
     }
 
     /// Reads a configuration's text; `path` is named in errors.
@@ -290,13 +290,13 @@
 
 /// What SIGHUP brings.
 #[derive(Clone, Debug)]
-pub struct Retuned {
+pub struct ReloadedConfig {
     /// Where discovery is from now on.
     pub discovery: SocketAddr,
     /// What the decisions go by from now on.
     pub settings: Settings,
     /// What differs too, but is taken over at a restart only.
-    pub takes_restart: Vec<&'static str>,
+    pub needs_restart: Vec<&'static str>,
     file: Value,
 }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -5,6 +5,8 @@
 mod conform;
 mod demo;
 
+use std::error::Error;
+use std::io;
 use std::process::ExitCode;
 
 use dewladder::edge::clients::chat;
@@ -48,29 +50,22 @@
     }
 }
 
-fn run(mut arguments: Arguments) -> Result<(), String> {
-    let command = arguments.subcommand().map_err(|error| error.to_string())?;
+/// Why a command failed; one plain line, which is printed as it is.
+type CommandError = Box<dyn Error>;
+
+fn run(mut arguments: Arguments) -> Result<(), CommandError> {
+    let command = arguments.subcommand()?;
     match command.as_deref() {
         Some("serve") => {
-            let (path, config, fronts) = config(arguments)?;
-            runtime()?.block_on(serve(path, config, &fronts))
+            let files = read_files(arguments)?;
+            runtime()?.block_on(serve(files))
         }
         Some("demo") => match arguments.finish().first() {
             None => runtime()?.block_on(demo::run()),
-            Some(unknown) => Err(format!("demo takes no arguments: {}", unknown.to_string_lossy())),
+            Some(unknown) => Err(format!("demo takes no arguments: {}", unknown.to_string_lossy()).into()),
         },
-        Some("conform") => {
-            runtime()?.block_on(conform::conform(arguments)).map_err(|error| error.to_string())
-        }
-        Some("check-config") => {
-            let (_, config, fronts) = config(arguments)?;
-            fronts.chat.as_ref().map_or(Ok(()), |chat| chat::check(chat, &config))?;
-            if let Some(cluster) = fronts.cluster.as_ref().filter(|cluster| cluster.enabled) {
-                cluster.check(&config.name).map_err(|error| error.to_string())?;
-            }
-            println!("{} on {}: the configuration can be used", config.name, config.listen);
-            Ok(())
-        }
+        Some("conform") => Ok(runtime()?.block_on(conform::conform(arguments))?),
+        Some("check-config") => check_config(&read_files(arguments)?),
         Some("version") => {
             println!("dewladder {}", env!("CARGO_PKG_VERSION"));
             Ok(())
@@ -79,56 +74,74 @@
             println!("{HELP}");
             Ok(())
         }
-        Some(other) => Err(format!("'{other}' is no command; 'dewladder help' lists them")),
+        Some(other) => Err(format!("'{other}' is no command; 'dewladder help' lists them").into()),
     }
 }
 
-fn runtime() -> Result<tokio::runtime::Runtime, String> {
+fn runtime() -> Result<tokio::runtime::Runtime, CommandError> {
     let build = || tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = outlast("runtime", transient::START, is_transient, build);
-    runtime.map_err(|error| format!("can't start the runtime: {error}"))
+    runtime.map_err(|error: io::Error| format!("can't start the runtime: {error}").into())
 }
 
 fn environment(name: &str) -> Option<String> {
     std::env::var(name).ok()
 }
 
-/// The configuration's path, the configuration and the fronts that the arguments name.
-fn config(mut arguments: Arguments) -> Result<(String, Config, Fronts), String> {
-    let mut option = |name| -> Result<Option<String>, String> {
-        arguments.opt_value_from_str(name).map_err(|error| error.to_string())
-    };
-    let (path, fronts) = (option("--config")?, option("--fronts")?);
+/// The files that a command goes by.
+struct Files {
+    /// Where the configuration was read, to be read there again.
+    config_path: String,
+    config: Config,
+    fronts: Fronts,
+}
+
+/// Reads the files that the arguments name.
+fn read_files(mut arguments: Arguments) -> Result<Files, CommandError> {
+    let config_path: Option<String> = arguments.opt_value_from_str("--config")?;
+    let fronts_path: Option<String> = arguments.opt_value_from_str("--fronts")?;
     if let Some(unknown) = arguments.finish().first() {
-        return Err(format!("{} is not known; 'dewladder help' lists what is", unknown.to_string_lossy()));
+        let unknown = unknown.to_string_lossy();
+        return Err(format!("{unknown} is not known; 'dewladder help' lists what is").into());
+    }
+    let config_path = config_path.or_else(|| environment("ROUTER_CONFIG"));
+    let config_path = config_path.ok_or("no configuration: give --config or set ROUTER_CONFIG")?;
+    let is_transient = ConfigError::is_transient;
+    let read_config = || Config::read(&config_path, environment);
+    let config = outlast("configuration", transient::START, is_transient, read_config)?;
+    let read_fronts = || Fronts::read(fronts_path.as_deref().unwrap_or(FRONTS), fronts_path.is_some());
+    let fronts = outlast("fronts", transient::START, is_transient, read_fronts)?;
+    Ok(Files { config_path, config, fronts })
+}
+
+fn check_config(files: &Files) -> Result<(), CommandError> {
+    let Files { config, fronts, .. } = files;
+    if let Some(chat) = &fronts.chat {
+        chat::check(chat, config)?;
+    }
+    if let Some(cluster) = fronts.cluster.as_ref().filter(|cluster| cluster.enabled) {
+        cluster.check(&config.name)?;
     }
-    let path = path.or_else(|| environment("ROUTER_CONFIG"));
-    let path = path.ok_or("no configuration: give --config or set ROUTER_CONFIG")?;
-    let passes = ConfigError::is_transient;
-    let read = || Config::read(&path, environment);
-    let config =
-        outlast("configuration", transient::START, passes, read).map_err(|error| error.to_string())?;
-    let read = || Fronts::read(fronts.as_deref().unwrap_or(FRONTS), fronts.is_some());
-    let fronts = outlast("fronts", transient::START, passes, read);
-    Ok((path, config, fronts.map_err(|error| error.to_string())?))
+    println!("{} on {}: the configuration can be used", config.name, config.listen);
+    Ok(())
 }
 
-async fn serve(path: String, config: Config, fronts: &Fronts) -> Result<(), String> {
-    let told = |kind| signal(kind).map_err(|error| error.to_string());
-    let mut term = told(SignalKind::terminate())?;
+async fn serve(files: Files) -> Result<(), CommandError> {
+    let Files { config_path, config, fronts } = files;
+    let mut term = signal(SignalKind::terminate())?;
     // In place before anything listens: without it, SIGHUP would end the program.
-    let mut hangup = told(SignalKind::hangup())?;
-    let (tell, discovery) = watch::channel(config.discovery);
-    let dispatcher = Dispatcher::bind(config, fronts)?;
-    let mut retuning = dispatcher.retuning(tell);
+    let mut hangup = signal(SignalKind::hangup())?;
+    let (discovery_sender, discovery) = watch::channel(config.discovery);
+    let dispatcher = Dispatcher::bind(config, &fronts)?;
+    let mut reloader = dispatcher.config_reloader(discovery_sender);
     tokio::spawn(async move {
         while hangup.recv().await.is_some() {
-            retuning.read_again_soon(&path, environment).await;
+            reloader.reload_with_retries(&config_path, environment).await;
         }
     });
-    dispatcher
-        .run(discovery, async move {
-            term.recv().await;
-        })
-        .await
+    let end = async move {
+        term.recv().await;
+    };
+    dispatcher.run(discovery, end).await?;
+    Ok(())
 }
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -131,7 +131,7 @@
     std::fs::write(&path, "{").unwrap();
     tell("-HUP");
     while let Some(line) = lines.next_line().await.unwrap() {
-        if line.contains("configuration not taken over, the old one stands") {
+        if line.contains("configuration: not taken over, the old one stands") {
             break;
         }
     }
--- a/tests/crossing/mod.rs
+++ b/tests/crossing/mod.rs
@@ -137,7 +137,7 @@
     pub platform: SocketAddr,
     pub chat: SocketAddr,
     pub end: Option<oneshot::Sender<()>>,
-    pub running: JoinHandle<Result<(), String>>,
+    pub running: JoinHandle<Result<(), dewladder::edge::dispatcher::RunError>>,
     discovery: watch::Sender<SocketAddr>,
 }
 
--- a/tests/hot_restart_files.rs
+++ b/tests/hot_restart_files.rs
@@ -12,7 +12,7 @@
 use dewladder::edge::clients::connection_limits::ConnectionLimits;
 use dewladder::edge::clock::Clock;
 use dewladder::edge::driver::{Driver, DriverHandle, Message};
-use dewladder::edge::kin::Companion;
+use dewladder::edge::hot_restart::HotRestartTask;
 use dewladder::edge::phase::Phase;
 use dewladder::edge::settings::Config;
 use golden_file::assert_golden;
@@ -59,7 +59,7 @@
     config["listen"] = json!("127.0.0.1:9");
     let config = Config::parse("config.json", &config.to_string(), |_| None).unwrap();
     let clock = Clock::start();
-    let companion = Companion::start(&config, folder.to_str().unwrap(), clock);
+    let companion = HotRestartTask::start(&config, folder.to_str().unwrap(), clock);
     let (driver, sender) = Driver::new(&config, clock);
     let figures = driver.figures();
     let room = ConnectionLimits::new(config.max_client_connections());
--- a/tests/listed/mod.rs
+++ b/tests/listed/mod.rs
@@ -7,7 +7,8 @@
 use std::time::Duration;
 
 use dewladder::edge::balancers::Health;
-use dewladder::edge::dispatcher::{Dispatcher, Retuning};
+use dewladder::edge::config_reload::ConfigReloader;
+use dewladder::edge::dispatcher::Dispatcher;
 use dewladder::edge::settings::{Config, Fronts};
 use dewladder_test_peers::{config, plain, platform, until_close, Does, Line, Message, Peer, Server};
 use serde_json::{json, Value};
@@ -50,8 +51,8 @@
 pub struct Running {
     pub platform: SocketAddr,
     pub health: Health,
-    pub retuning: Retuning,
-    pub running: JoinHandle<Result<(), String>>,
+    pub reloader: ConfigReloader,
+    pub running: JoinHandle<Result<(), dewladder::edge::dispatcher::RunError>>,
     _end: oneshot::Sender<()>,
 }
 
@@ -61,12 +62,12 @@
         let (tell, discovery) = watch::channel(config.discovery);
         let dispatcher = Dispatcher::bind(config, &Fronts::default()).unwrap();
         let (platform, health) = (dispatcher.addresses()[0], dispatcher.health());
-        let retuning = dispatcher.retuning(tell);
+        let reloader = dispatcher.config_reloader(tell);
         let (end, ended) = oneshot::channel();
         let running = tokio::spawn(dispatcher.run(discovery, async {
             let _ = ended.await;
         }));
-        Self { platform, health, retuning, running, _end: end }
+        Self { platform, health, reloader, running, _end: end }
     }
 
     /// Servers that take work, as it holds the list.
@@ -103,7 +104,7 @@
     pub fn hangup(&mut self, name: &str, text: &str) {
         let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.json"));
         std::fs::write(&path, text).unwrap();
-        self.retuning.read_again(path.to_str().unwrap(), |_| None);
+        self.reloader.reload(path.to_str().unwrap(), |_| None);
     }
 }
 
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -534,7 +534,7 @@
     serving.tell("-TERM");
     let (code, log) = serving.ended().await;
     assert_eq!(code, Some(0));
-    assert!(log.iter().any(|line| line.contains("has learnt is taken over")), "{log:?}");
+    assert!(log.iter().any(|line| line.contains("hot restart: learned state imported")), "{log:?}");
     assert!(
         log.iter().any(|line| line.contains("told to end: clients are asked to leave")),
         "alone: {log:?}"
--- a/tests/own_sites.rs
+++ b/tests/own_sites.rs
@@ -435,7 +435,7 @@
 struct Running {
     front: SocketAddr,
     end: oneshot::Sender<()>,
-    running: tokio::task::JoinHandle<Result<(), String>>,
+    running: tokio::task::JoinHandle<Result<(), dewladder::edge::dispatcher::RunError>>,
     _discovery: watch::Sender<SocketAddr>,
     _agent: Agent,
 }
--- a/tests/servers_bed/mod.rs
+++ b/tests/servers_bed/mod.rs
@@ -164,7 +164,7 @@
     pub lines: Arc<Mutex<Vec<(usize, Line)>>>,
     _end: oneshot::Sender<()>,
     _discovery: watch::Sender<SocketAddr>,
-    _running: JoinHandle<Result<(), String>>,
+    _running: JoinHandle<Result<(), dewladder::edge::dispatcher::RunError>>,
 }
 
 impl Bed {
--- a/tests/stable_texts.rs
+++ b/tests/stable_texts.rs
@@ -166,7 +166,7 @@
         put(&mut changed, pointer, value);
         std::fs::write(&path, changed.to_string()).unwrap();
         let said = match config.read_again(path.to_str().unwrap(), |_| None) {
-            Ok(read) => format!("{:?}", read.takes_restart),
+            Ok(read) => format!("{:?}", read.needs_restart),
             Err(error) => error.to_string().replace(path.to_str().unwrap(), "config.json"),
         };
         writeln!(text, "{pointer}: {said}").unwrap();
--- a/tests/stand_in/mod.rs
+++ b/tests/stand_in/mod.rs
@@ -30,7 +30,7 @@
     pub check: SocketAddr,
     pub discovery: watch::Sender<SocketAddr>,
     pub end: Option<oneshot::Sender<()>>,
-    pub running: JoinHandle<Result<(), String>>,
+    pub running: JoinHandle<Result<(), dewladder::edge::dispatcher::RunError>>,
 }
 
 pub const FRONTS: &str = r#"
@@ -99,7 +99,7 @@
     pub platform: SocketAddr,
     pub chat: SocketAddr,
     pub end: Option<oneshot::Sender<()>>,
-    pub running: JoinHandle<Result<(), String>>,
+    pub running: JoinHandle<Result<(), dewladder::edge::dispatcher::RunError>>,
     pub discovery: watch::Sender<SocketAddr>,
 }
 
--- a/tests/streams_in_time.rs
+++ b/tests/streams_in_time.rs
@@ -28,7 +28,7 @@
     writer: TcpListener,
     fronts: [SocketAddr; 2],
     end: Option<oneshot::Sender<()>>,
-    running: JoinHandle<Result<(), String>>,
+    running: JoinHandle<Result<(), dewladder::edge::dispatcher::RunError>>,
     _discovery: watch::Sender<SocketAddr>,
 }
 
