--- /dev/null
+++ b/src/edge/clients/chat/mod.rs
@@ -0,0 +1,165 @@
+//! The chat front: an OpenAI-style API with streamed events, for apps that speak no platform headers. It derives from the
+//! requests what the platform's headers would tell; decisions and rules are the same. What requests may hold, and how
+//! answers are written, is in `crates/chat`; what repeats get, in `crates/idempotency`. It listens where the fronts file
+//! says, and not at all without one.
+//!
+//! Order of the modules, lower ones first: `endpoint` (paths and methods), `state` (what all requests share),
+//! `answer_source`, `choice_stream`, `answer_stream` and `whole_answer` (from servers' streams to a client's answer),
+//! `server_request` (what servers and router are told), `requests` (the way of one request), and this one: routes.
+
+mod answer_source;
+mod answer_stream;
+mod choice_stream;
+mod endpoint;
+mod requests;
+mod resumption;
+mod server_request;
+mod state;
+mod whole_answer;
+
+use std::sync::Arc;
+
+use axum::body::Body;
+use axum::extract::State;
+use axum::http::header::{ACCESS_CONTROL_ALLOW_ORIGIN, ACCESS_CONTROL_EXPOSE_HEADERS, ALLOW, ORIGIN, VARY};
+use axum::http::request::Parts;
+use axum::http::{HeaderMap, HeaderValue, Method, Request, Response, StatusCode};
+use axum::Router;
+use bytes::Bytes;
+use serde_json::{json, Value};
+
+use crate::edge::clients::chat::endpoint::{method_list, preflight, Endpoint, EXPOSED_HEADERS};
+use crate::edge::clients::chat::state::{ChatFront, Tenant};
+use crate::edge::clients::error_response::{json_response, ErrorResponse};
+use crate::edge::clock::Clock;
+use crate::edge::cluster::quorum::Quorum;
+use crate::edge::driver::DriverHandle;
+use crate::edge::settings::{ChatSettings, Config};
+
+/// Whether the settings fit the configuration.
+///
+/// # Errors
+/// A model whose class the configuration does not know, or a bound that can't be used.
+pub fn check(chat: &ChatSettings, config: &Config) -> Result<(), String> {
+    chat.repeats.policy(&config.limits)?;
+    chat.bounds(&config.limits)?;
+    chat.resume.policy()?;
+    let is_known = |class: &String| config.settings.current().any(|known| known.name == *class);
+    match chat.models.iter().find(|(_, class)| !is_known(class)) {
+        Some((name, class)) => Err(format!("chat.models.{name}: no class is named {class}")),
+        None => Ok(()),
+    }
+}
+
+/// The front's routes.
+///
+/// # Errors
+/// See [`check`].
+pub fn front(
+    chat: &ChatSettings,
+    config: &Config,
+    clock: Clock,
+    driver: DriverHandle,
+    quorum: Option<Quorum>,
+) -> Result<Router, String> {
+    check(chat, config)?;
+    let front = ChatFront::new(chat, config, clock, driver, quorum)?;
+    Ok(Router::new().fallback(serve).with_state(Arc::new(front)))
+}
+
+async fn serve(State(front): State<Arc<ChatFront>>, request: Request<Body>) -> Response<Body> {
+    let origin = allowed_origin(&front, request.headers());
+    let (head, body) = request.into_parts();
+    let mut response = match route(&front, &head, body, origin.is_some()).await {
+        Ok(response) => response,
+        Err(error) => error.into_response(),
+    };
+    if let Some(origin) = origin {
+        let headers = response.headers_mut();
+        headers.insert(ACCESS_CONTROL_ALLOW_ORIGIN, origin);
+        headers.insert(ACCESS_CONTROL_EXPOSE_HEADERS, HeaderValue::from_static(EXPOSED_HEADERS));
+        headers.insert(VARY, HeaderValue::from_static("origin"));
+    }
+    response
+}
+
+/// The request's origin, where browser apps of it are let in.
+fn allowed_origin(front: &ChatFront, headers: &HeaderMap) -> Option<HeaderValue> {
+    let origin = headers.get(ORIGIN)?;
+    let text = origin.to_str().ok()?;
+    let is_allowed = front.origins.iter().any(|allowed| allowed == "*" || allowed == text);
+    is_allowed.then(|| origin.clone())
+}
+
+async fn route(
+    front: &Arc<ChatFront>,
+    head: &Parts,
+    body: Body,
+    is_browser: bool,
+) -> Result<Response<Body>, ErrorResponse> {
+    let Some((endpoint, methods)) = Endpoint::at(head.uri.path()) else {
+        return Err(ErrorResponse::new(StatusCode::NOT_FOUND, "not_found", "there is no such path"));
+    };
+    if is_browser && head.method == Method::OPTIONS {
+        return Ok(preflight(methods));
+    }
+    if !methods.contains(&head.method) {
+        return Ok(method_not_allowed(&head.method, methods));
+    }
+    let tenant = front.tenant(&head.headers)?;
+    match endpoint {
+        Endpoint::Create(kind) => front.create(kind, tenant, head, body).await,
+        Endpoint::Models => Ok(ok_json(&model_list(front))),
+        Endpoint::Model(name) => {
+            front.model(name)?;
+            Ok(ok_json(&model_json(name)))
+        }
+        Endpoint::StoredResponse(id) => stored_response(front, tenant, &head.method, id),
+    }
+}
+
+fn method_not_allowed(method: &Method, allowed: &[Method]) -> Response<Body> {
+    let message = format!("{method} is not allowed here");
+    let error = ErrorResponse::new(StatusCode::METHOD_NOT_ALLOWED, "method_not_allowed", message);
+    let mut response = error.into_response();
+    response.headers_mut().insert(ALLOW, method_list(allowed));
+    response
+}
+
+/// A response that is kept: read, or forgotten. Of another tenant's nothing is told, not even that it is.
+fn stored_response(
+    front: &ChatFront,
+    tenant: &Tenant,
+    method: &Method,
+    id: &str,
+) -> Result<Response<Body>, ErrorResponse> {
+    let mut responses = front.responses();
+    let found = if *method == Method::DELETE {
+        let deleted = json!({"id": id, "object": "response", "deleted": true});
+        responses.remove(tenant.number, id).then_some(deleted)
+    } else {
+        responses.get(tenant.number, id).map(|stored| stored.response.clone())
+    };
+    match found {
+        Some(json) => Ok(ok_json(&json)),
+        None => Err(ErrorResponse::new(
+            StatusCode::NOT_FOUND,
+            "response_not_found",
+            "no response with this id is kept",
+        )),
+    }
+}
+
+fn model_list(front: &ChatFront) -> Value {
+    let names = front.models.keys().filter(|name| front.model(name).is_ok());
+    let models: Vec<Value> = names.map(|name| model_json(name)).collect();
+    json!({"object": "list", "data": models})
+}
+
+fn model_json(name: &str) -> Value {
+    json!({"id": name, "object": "model", "created": 0, "owned_by": "dewladder"})
+}
+
+fn ok_json(value: &Value) -> Response<Body> {
+    json_response(StatusCode::OK, Bytes::from(value.to_string()))
+}
--- /dev/null
+++ b/src/edge/clients/chat/requests.rs
@@ -0,0 +1,272 @@
+//! The way of one request: read, admitted, sent to servers, answered.
+
+use std::sync::Arc;
+
+use axum::body::Body;
+use axum::http::header::{CACHE_CONTROL, CONTENT_TYPE};
+use axum::http::request::Parts;
+use axum::http::{HeaderMap, HeaderName, HeaderValue, Response, StatusCode};
+use bytes::Bytes;
+use dewladder_chat::{parse_body, AnswerMetadata, Request, RequestKind, StreamWriter};
+use dewladder_idempotency::{IncomingRequest, Outcome};
+use dewladder_replica::RecordId;
+use serde_json::Value;
+
+use crate::edge::clients::answer_reader::{AnswerReader, AnswerStart};
+use crate::edge::clients::chat::answer_source::{AnswerSource, ResponseKeeper};
+use crate::edge::clients::chat::answer_stream::AnswerStream;
+use crate::edge::clients::chat::choice_stream::ChoiceStreams;
+use crate::edge::clients::chat::server_request::AcceptedRequest;
+use crate::edge::clients::chat::state::{ChatFront, Model, Tenant};
+use crate::edge::clients::chat::whole_answer;
+use crate::edge::clients::error_response::{json_response, not_admitted, set_request_id, ErrorResponse};
+use crate::edge::clients::idempotency::{Decision, Idempotency, TenantRef};
+use crate::edge::clients::platform::body_within;
+use crate::edge::clients::recorder::Run;
+use crate::edge::cluster::quorum::Quorum;
+use crate::edge::driver::Reply;
+use crate::edge::servers::header;
+use crate::interface::{Micros, RequestId};
+
+/// A body may be nested so deep.
+const MAX_DEPTH: usize = 64;
+/// A request whose run is canceled while its repeat waits is submitted again so often at most.
+const MAX_SUBMISSIONS: usize = 8;
+/// Says of an answer that it is that of an earlier request, which this one repeats.
+const REPLAYED: HeaderName = HeaderName::from_static("idempotent-replayed");
+
+/// The servers' side of an answer.
+struct ServerAnswer {
+    /// The id and the start (us) of the request, or of its first choice.
+    id: RequestId,
+    started_us: Micros,
+    /// One for each choice.
+    sources: Vec<AnswerSource>,
+    /// This client's request runs for it: it is not another's answer that it reads.
+    is_own_run: bool,
+}
+
+impl ChatFront {
+    /// Answers a request for an answer.
+    pub(super) async fn create(
+        self: &Arc<Self>,
+        kind: RequestKind,
+        tenant: &Tenant,
+        head: &Parts,
+        body: Body,
+    ) -> Result<Response<Body>, ErrorResponse> {
+        check_media_type(&head.headers)?;
+        let body = body_within(body, &head.extensions).await;
+        let arrived_us = self.clock.now();
+        let body =
+            body.map_err(|(status, what)| ErrorResponse::new(status, "invalid_request_error", what))?;
+        let mut request = self.read(kind, body)?;
+        let model = &self.model(&request.model)?;
+        check_single_answer(&request, model)?;
+        self.prepend_previous(&mut request, tenant)?;
+        let accepted = AcceptedRequest { request: &request, model, tenant, arrived_us };
+        let Some(idempotency) = self.idempotency.as_ref().filter(|_| request.choice_count() == 1) else {
+            return self.run_unrecorded(&accepted).await;
+        };
+        let whose = TenantRef { number: tenant.number, name: &tenant.name };
+        let described = idempotency.describe(&head.headers, whose, kind, model.at_most_once, &request.body);
+        let incoming = described.map_err(|error| {
+            ErrorResponse::bad_request("invalid_value", error.to_string()).with_param("Idempotency-Key")
+        })?;
+        let record = Idempotency::record_id(&head.headers, &tenant.name).filter(|_| model.at_most_once);
+        let replica = self.quorum.clone().zip(record);
+        self.run_idempotently(idempotency, &incoming, &accepted, replica).await
+    }
+
+    fn read(&self, kind: RequestKind, body: Bytes) -> Result<Request, ErrorResponse> {
+        let value = parse_body(&body, MAX_DEPTH)?;
+        drop(body); // not held beside what was read of it
+        let request = match kind {
+            RequestKind::Chat => Request::chat(value, &self.limits),
+            RequestKind::Completion => Request::completion(value, &self.limits),
+            RequestKind::Response => Request::response(value, &self.limits),
+        };
+        Ok(request?)
+    }
+
+    /// Puts the response that a request goes on from before its input.
+    fn prepend_previous(&self, request: &mut Request, tenant: &Tenant) -> Result<(), ErrorResponse> {
+        let Some(previous) = request.previous_response_id.clone() else { return Ok(()) };
+        let mut responses = self.responses();
+        let stored = responses.get(tenant.number, &previous).ok_or_else(|| {
+            ErrorResponse::bad_request("previous_response_not_found", "no response with this id is kept")
+                .with_param("previous_response_id")
+        })?;
+        request.prepend_items(&stored.items);
+        Ok(())
+    }
+
+    /// Has a request run of which nothing is remembered: each choice as a request of its own.
+    async fn run_unrecorded(
+        self: &Arc<Self>,
+        accepted: &AcceptedRequest<'_>,
+    ) -> Result<Response<Body>, ErrorResponse> {
+        let mut waiting = Vec::new();
+        for choice in 0..accepted.request.choice_count() {
+            let permit = self.permit(accepted.tenant)?;
+            let (info, payload) = self.server_request(accepted, choice);
+            waiting.push((info.id, permit, Box::pin(self.driver.begin(info, payload).0)));
+        }
+        let id = waiting[0].0;
+        let mut sources = Vec::new();
+        for (_, permit, reply) in waiting {
+            // Where one is refused or fails, the other choices, open or streaming, go with it.
+            match reply.await {
+                Reply::Stream(relay) => {
+                    sources.push(AnswerSource::Relay { relay: Box::new(relay), _permit: permit })
+                }
+                Reply::Rejected { retry_in } => return Err(ErrorResponse::refused(retry_in)),
+                Reply::Failed { may_have_run } => {
+                    return Err(ErrorResponse::failed(accepted.model.at_most_once && may_have_run));
+                }
+                Reply::DuplicateId => {
+                    return Err(ErrorResponse::new(StatusCode::CONFLICT, "conflict", "the id is taken"));
+                }
+            }
+        }
+        let started_us = self.clock.now();
+        self.answer(accepted, ServerAnswer { id, started_us, sources, is_own_run: true }).await
+    }
+
+    /// Does with a request what is decided of it: it may be a repeat.
+    async fn run_idempotently(
+        self: &Arc<Self>,
+        idempotency: &Idempotency,
+        incoming: &IncomingRequest,
+        accepted: &AcceptedRequest<'_>,
+        replica: Option<(Quorum, RecordId)>,
+    ) -> Result<Response<Body>, ErrorResponse> {
+        for _ in 0..MAX_SUBMISSIONS {
+            let (mut reader, is_own_run) = match idempotency.admit(incoming) {
+                Decision::Run(reader) => {
+                    self.start_run(idempotency, &reader, accepted, replica.clone())?;
+                    (reader, true)
+                }
+                Decision::Join(reader) => (reader, false),
+                Decision::RunUnrecorded => return self.run_unrecorded(accepted).await,
+                Decision::NotAdmitted(admission) => return Err(not_admitted(admission)),
+            };
+            match reader.start().await {
+                AnswerStart::Streaming => return self.answer_recorded(accepted, reader, is_own_run).await,
+                AnswerStart::Ended(Outcome::Refused { retry_after_us }) => {
+                    return Err(ErrorResponse::refused(retry_after_us));
+                }
+                AnswerStart::Ended(
+                    Outcome::Failed { may_have_executed } | Outcome::Canceled { may_have_executed },
+                ) => {
+                    return Err(ErrorResponse::failed(accepted.model.at_most_once && may_have_executed));
+                }
+                AnswerStart::Ended(_) | AnswerStart::SubmitAgain => {}
+            }
+        }
+        Err(ErrorResponse::refused(self.driver.settings().max_retry_after))
+    }
+
+    /// Starts the run of a request that was admitted.
+    fn start_run(
+        &self,
+        idempotency: &Idempotency,
+        reader: &AnswerReader,
+        accepted: &AcceptedRequest<'_>,
+        replica: Option<(Quorum, RecordId)>,
+    ) -> Result<(), ErrorResponse> {
+        let permit = self.permit(accepted.tenant).inspect_err(|_| {
+            idempotency.refuse(reader, self.driver.settings().max_retry_after);
+        })?;
+        let (request, payload) = self.server_request(accepted, 0);
+        idempotency.run(reader, &self.driver, Run { request, payload, replica }, permit);
+        Ok(())
+    }
+
+    async fn answer_recorded(
+        self: &Arc<Self>,
+        accepted: &AcceptedRequest<'_>,
+        reader: AnswerReader,
+        is_own_run: bool,
+    ) -> Result<Response<Body>, ErrorResponse> {
+        let (id, started_us) = reader.request();
+        let sources = vec![AnswerSource::Recorded(reader)];
+        let mut response =
+            self.answer(accepted, ServerAnswer { id, started_us, sources, is_own_run }).await?;
+        if !is_own_run {
+            response.headers_mut().insert(REPLAYED, HeaderValue::from_static("true"));
+        }
+        Ok(response)
+    }
+
+    /// The HTTP response to a client.
+    async fn answer(
+        self: &Arc<Self>,
+        accepted: &AcceptedRequest<'_>,
+        answer: ServerAnswer,
+    ) -> Result<Response<Body>, ErrorResponse> {
+        let request = accepted.request;
+        let id = answer.id;
+        // Clients that joined another's run must not each request its rest. And a long prompt is not held for as long as
+        // its stream lasts: it would add up over all of them.
+        let prompt_bytes: usize = request.prompts.iter().flatten().map(|message| message.text.len()).sum();
+        let resumption = self
+            .resume_policy
+            .filter(|policy| answer.is_own_run && prompt_bytes <= policy.max_text_bytes)
+            .map(|policy| self.resumption(accepted, policy));
+        let metadata = AnswerMetadata {
+            id: format!("{:016x}", id.0),
+            model: request.model.clone(),
+            created_unix_s: answer.started_us / 1_000_000,
+        };
+        let keeper = request.store.then(|| ResponseKeeper {
+            store: self.response_store.clone(),
+            tenant: accepted.tenant.number,
+            id: format!("resp_{}", metadata.id),
+            input_items: request.input_items.clone(),
+        });
+        let mut response = if request.stream {
+            let writer = StreamWriter::new(request, metadata);
+            let stream = AnswerStream::new(answer.sources, writer, keeper, resumption, self.keepalive);
+            event_stream_response(Body::new(stream))
+        } else {
+            let choices = ChoiceStreams::new(answer.sources, resumption);
+            let whole = whole_answer::collect(choices, request, metadata, keeper).await;
+            let whole: Value = whole.map_err(|error| ErrorResponse {
+                never_retry: accepted.model.at_most_once,
+                ..ErrorResponse::new(StatusCode::BAD_GATEWAY, "server_error", error.to_string())
+            })?;
+            json_response(StatusCode::OK, Bytes::from(whole.to_string()))
+        };
+        set_request_id(response.headers_mut(), id);
+        Ok(response)
+    }
+}
+
+fn event_stream_response(body: Body) -> Response<Body> {
+    let mut response = Response::new(body);
+    let headers = response.headers_mut();
+    headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
+    headers.insert(CACHE_CONTROL, HeaderValue::from_static("no-cache"));
+    response
+}
+
+fn check_media_type(headers: &HeaderMap) -> Result<(), ErrorResponse> {
+    let Some(media_type) = header(headers, CONTENT_TYPE.as_str()) else { return Ok(()) };
+    let media_type = media_type.split(';').next().unwrap_or("").trim();
+    if media_type.eq_ignore_ascii_case("application/json") {
+        return Ok(());
+    }
+    let message = "the body must be application/json";
+    Err(ErrorResponse::new(StatusCode::UNSUPPORTED_MEDIA_TYPE, "unsupported_media_type", message))
+}
+
+/// Refuses several answers of a model whose requests must not run twice.
+fn check_single_answer(request: &Request, model: &Model) -> Result<(), ErrorResponse> {
+    if !model.at_most_once || request.choice_count() == 1 {
+        return Ok(());
+    }
+    let param = if request.choices_per_prompt > 1 { "n" } else { "prompt" };
+    let message = format!("{param}: a request of this model runs once, for one answer");
+    Err(ErrorResponse::bad_request("unsupported_value", message).with_param(param))
+}
--- a/tests/written_errors.rs
+++ b/tests/written_errors.rs
@@ -7,7 +7,7 @@
 
 use axum::body::Body;
 use axum::http::{HeaderMap, Response, StatusCode};
-use dewladder::edge::clients::problem::{json_answer, told, with_id, Problem};
+use dewladder::edge::clients::error_response::{json_response, not_admitted, set_request_id, ErrorResponse};
 use dewladder::interface::RequestId;
 use dewladder_idempotency::{Admission, DeferReason, RejectReason};
 use golden_file::assert_golden;
@@ -30,42 +30,47 @@
 #[tokio::test]
 async fn each_error_of_the_chat_api_has_its_status_headers_and_body() {
     let mut text = String::new();
-    let field =
-        |status: StatusCode| Problem { param: Some("n".to_owned()), ..Problem::new(status, "code", "what") };
+    let field = |status: StatusCode| ErrorResponse {
+        param: Some("n".to_owned()),
+        ..ErrorResponse::new(status, "code", "what")
+    };
     let errors = [
         ("a bad request", field(StatusCode::BAD_REQUEST)),
         ("unauthorized", field(StatusCode::UNAUTHORIZED)),
         ("too many", field(StatusCode::TOO_MANY_REQUESTS)),
         ("a server's", field(StatusCode::BAD_GATEWAY)),
-        ("refused, 0 us", Problem::refused(0)),
-        ("refused, 1 us", Problem::refused(1)),
-        ("refused, 1.5 s", Problem::refused(1_500_000)),
-        ("failed", Problem::failed(false)),
-        ("failed, never again", Problem::failed(true)),
-        ("Mismatch", told(Admission::KeyReused)),
-        ("Never Answered", told(Admission::Reject(RejectReason::AlreadyAnswered))),
-        ("Never MayHaveRun", told(Admission::Reject(RejectReason::MayHaveExecuted))),
-        ("Never JustStarted", told(Admission::Reject(RejectReason::RecentStart))),
+        ("refused, 0 us", ErrorResponse::refused(0)),
+        ("refused, 1 us", ErrorResponse::refused(1)),
+        ("refused, 1.5 s", ErrorResponse::refused(1_500_000)),
+        ("failed", ErrorResponse::failed(false)),
+        ("failed, never again", ErrorResponse::failed(true)),
+        ("Mismatch", not_admitted(Admission::KeyReused)),
+        ("Never Answered", not_admitted(Admission::Reject(RejectReason::AlreadyAnswered))),
+        ("Never MayHaveRun", not_admitted(Admission::Reject(RejectReason::MayHaveExecuted))),
+        ("Never JustStarted", not_admitted(Admission::Reject(RejectReason::RecentStart))),
         (
             "Later Budget",
-            told(Admission::Defer { retry_after_us: 2_000_001, reason: DeferReason::RetryBudget }),
+            not_admitted(Admission::Defer { retry_after_us: 2_000_001, reason: DeferReason::RetryBudget }),
         ),
-        ("Later Full", told(Admission::Defer { retry_after_us: 999, reason: DeferReason::Capacity })),
+        ("Later Full", not_admitted(Admission::Defer { retry_after_us: 999, reason: DeferReason::Capacity })),
         (
             "Later Readers",
-            told(Admission::Defer { retry_after_us: 30_000_000, reason: DeferReason::TooManyReaders }),
+            not_admitted(Admission::Defer {
+                retry_after_us: 30_000_000,
+                reason: DeferReason::TooManyReaders,
+            }),
         ),
-        ("Unrecorded", told(Admission::RunUnrecorded)),
+        ("Unrecorded", not_admitted(Admission::RunUnrecorded)),
     ];
     for (what, error) in errors {
-        text += &format!("{what}\n{}", written(error.answer()).await);
+        text += &format!("{what}\n{}", written(error.into_response()).await);
     }
     let refused = dewladder_chat::parse_body(b"[", 4).expect_err("no JSON");
-    text += &format!("unreadable\n{}", written(Problem::from(refused).answer()).await);
-    let whole = json_answer(StatusCode::OK, bytes::Bytes::from(json!({"a": 1}).to_string()));
+    text += &format!("unreadable\n{}", written(ErrorResponse::from(refused).into_response()).await);
+    let whole = json_response(StatusCode::OK, bytes::Bytes::from(json!({"a": 1}).to_string()));
     text += &format!("an answer\n{}", written(whole).await);
     let mut headers = HeaderMap::new();
-    with_id(&mut headers, RequestId(0xff));
+    set_request_id(&mut headers, RequestId(0xff));
     writeln!(text, "{headers:?}").expect("a string");
     assert_golden("chat_errors.txt", &text);
 }
