--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -527,7 +527,7 @@
         assert_eq!(code, Some(0), "{log:?}");
         let said = |text: &str| log.iter().any(|line| line.contains(text));
         assert!(said("told to end: another process takes new clients"), "{log:?}");
-        assert!(said("what was learnt is handed over"), "{log:?}");
+        assert!(said("hot restart: learned state exported"), "{log:?}");
         assert_eq!(status(&until_close(at, &platform(&format!("d{turn}"), "ask", "0.9")).await), 200);
         serving = next;
     }
