--- a/src/edge/clients/chat/mod.rs
+++ b/src/edge/clients/chat/mod.rs
@@ -34,19 +34,19 @@
 use crate::edge::clock::Clock;
 use crate::edge::cluster::quorum::Quorum;
 use crate::edge::driver::DriverHandle;
-use crate::edge::settings::{ChatSettings, Config};
+use crate::edge::settings::{ChatSettings, Config, FieldError};
 
 /// Whether the settings fit the configuration.
 ///
 /// # Errors
 /// A model whose class the configuration does not know, or a bound that can't be used.
-pub fn check(chat: &ChatSettings, config: &Config) -> Result<(), String> {
+pub fn check(chat: &ChatSettings, config: &Config) -> Result<(), FieldError> {
     chat.repeats.policy(&config.limits)?;
     chat.bounds(&config.limits)?;
     chat.resume.policy()?;
     let is_known = |class: &String| config.settings.current().any(|known| known.name == *class);
     match chat.models.iter().find(|(_, class)| !is_known(class)) {
-        Some((name, class)) => Err(format!("chat.models.{name}: no class is named {class}")),
+        Some((model, class)) => Err(FieldError::UnknownClass { model: model.clone(), class: class.clone() }),
         None => Ok(()),
     }
 }
@@ -61,7 +61,7 @@
     clock: Clock,
     driver: DriverHandle,
     quorum: Option<Quorum>,
-) -> Result<Router, String> {
+) -> Result<Router, FieldError> {
     check(chat, config)?;
     let front = ChatFront::new(chat, config, clock, driver, quorum)?;
     Ok(Router::new().fallback(serve).with_state(Arc::new(front)))
--- a/src/edge/clients/chat/state.rs
+++ b/src/edge/clients/chat/state.rs
@@ -19,7 +19,7 @@
 use crate::edge::cluster::quorum::Quorum;
 use crate::edge::driver::DriverHandle;
 use crate::edge::servers::header;
-use crate::edge::settings::{ChatSettings, Config};
+use crate::edge::settings::{ChatSettings, Config, FieldError};
 use crate::interface::{Class, Effect, RequestId};
 
 /// A model that clients can name, as its class is now.
@@ -92,7 +92,7 @@
         clock: Clock,
         driver: DriverHandle,
         quorum: Option<Quorum>,
-    ) -> Result<Self, String> {
+    ) -> Result<Self, FieldError> {
         let policy = chat.repeats.policy(&config.limits)?;
         let (store_bytes, tenant_bytes) = chat.bounds(&config.limits)?;
         let resume_policy = chat.resume.policy()?;
--- a/src/edge/dispatcher.rs
+++ b/src/edge/dispatcher.rs
@@ -28,7 +28,7 @@
 use crate::edge::hot_restart::HotRestartTask;
 use crate::edge::peers::Peers;
 use crate::edge::phase::Phase;
-use crate::edge::settings::{Config, Fronts};
+use crate::edge::settings::{Config, FieldError, Fronts};
 use crate::edge::stats::Figures;
 use crate::edge::transient::{self, is_transient, outlast};
 use dewladder_hot_restart::Stage;
@@ -40,8 +40,8 @@
     #[error(transparent)]
     Listen(#[from] ListenError),
     /// The settings of the chat front can't be used.
-    #[error("{0}")]
-    Chat(String),
+    #[error(transparent)]
+    Chat(#[from] FieldError),
     /// The cluster table can't be used, or its address is taken.
     #[error(transparent)]
     Cluster(#[from] BindError),
@@ -101,8 +101,7 @@
         let mut fronts = vec![Front { address, listener: listen_now(address)?, routes: platform_routes }];
         if let Some(chat) = settings.chat.as_ref().filter(|chat| chat.enabled) {
             let quorum = cluster.as_ref().and_then(Cluster::quorum);
-            let routes = chat::front(chat, &config, clock, to_driver.clone(), quorum)
-                .map_err(|error| StartError::Chat(error.to_string()))?;
+            let routes = chat::front(chat, &config, clock, to_driver.clone(), quorum)?;
             let routes = routes.merge(balancers::routes(health.clone()));
             let address = chat.listen;
             fronts.push(Front { address, listener: listen_now(address)?, routes });
