--- a/src/edge/clients/chat/requests.rs
+++ b/src/edge/clients/chat/requests.rs
@@ -21,8 +21,8 @@
 use crate::edge::clients::chat::whole_answer;
 use crate::edge::clients::error_response::{json_response, not_admitted, set_request_id, ErrorResponse};
 use crate::edge::clients::idempotency::{Decision, Idempotency, TenantRef};
-use crate::edge::clients::platform::body_within;
 use crate::edge::clients::recorder::Run;
+use crate::edge::clients::request_body::read_body;
 use crate::edge::cluster::quorum::Quorum;
 use crate::edge::driver::Reply;
 use crate::edge::servers::header;
@@ -56,10 +56,10 @@
         body: Body,
     ) -> Result<Response<Body>, ErrorResponse> {
         check_media_type(&head.headers)?;
-        let body = body_within(body, &head.extensions).await;
+        let body = read_body(body, &head.extensions).await;
         let arrived_us = self.clock.now();
-        let body =
-            body.map_err(|(status, what)| ErrorResponse::new(status, "invalid_request_error", what))?;
+        let body = body
+            .map_err(|error| ErrorResponse::new(error.status(), "invalid_request_error", error.message()))?;
         let mut request = self.read(kind, body)?;
         let model = &self.model(&request.model)?;
         check_single_answer(&request, model)?;
--- a/src/edge/clients/mod.rs
+++ b/src/edge/clients/mod.rs
@@ -21,5 +21,6 @@
 pub mod platform;
 mod read_ahead;
 pub mod recorder;
+pub mod request_body;
 pub mod request_timing;
 mod shared_store;
