--- a/crates/scale/src/hollow/replicas.rs
+++ b/crates/scale/src/hollow/replicas.rs
@@ -96,7 +96,7 @@
     lost: watch::Sender<Vec<u32>>,
 }
 
-/// See the [module](self).
+/// The hollow replicas, see the [module](self).
 #[derive(Clone, Debug)]
 pub struct HollowReplicas {
     shared: Arc<Shared>,
@@ -147,7 +147,7 @@
         let listeners = listen_all(options.servers)?;
         let addresses = listeners.iter().map(TcpListener::local_addr).collect::<io::Result<_>>()?;
         for (server, listener) in (0..).zip(listeners) {
-            tokio::spawn(accepts(listener, server, shared.clone()));
+            tokio::spawn(accept(listener, server, shared.clone()));
         }
         Ok(Self { shared, addresses })
     }
@@ -207,9 +207,9 @@
         }
         calls.push(now);
         let window = Duration::from_millis(options.fall_window_ms);
-        let lately = calls.iter().rev().take_while(|at| now - **at < window).count();
+        let recent = calls.iter().rev().take_while(|at| now - **at < window).count();
         state.ledger.cold_calls += 1;
-        state.ledger.over_budget += u64::from(lately as f64 > self.cold_limit(age));
+        state.ledger.over_budget += u64::from(recent as f64 > self.cold_limit(age));
     }
 
     fn accepted(&self, server: u32) {
@@ -236,7 +236,7 @@
     }
 }
 
-async fn accepts(listener: TcpListener, server: u32, shared: Arc<Shared>) {
+async fn accept(listener: TcpListener, server: u32, shared: Arc<Shared>) {
     while let Ok((stream, _)) = listener.accept().await {
         let shared = shared.clone();
         tokio::spawn(async move {
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -23,14 +23,16 @@
 use crate::results::{RunEvent, RunSample};
 use client::{Clients, Tally};
 pub use limits::LimitError;
-use process::{Real, Usage};
+use process::{Addresses, RealDispatcher, Usage};
 
-/// The zone that is lost in [`RunEvent::Zone`], and for how long.
+/// The zone that is lost in [`RunEvent::Zone`].
 const LOST_ZONE: u32 = 1;
+/// How long it is lost.
 const LOST_FOR: Duration = Duration::from_secs(5);
-/// Figures of processes are looked at so often; progress is said after so many looks.
-const LOOK: Duration = Duration::from_millis(500);
-const LOOKS_TO_SAY: u32 = 10;
+/// How often the resources of processes are looked at.
+const LOOK_INTERVAL: Duration = Duration::from_millis(500);
+/// Progress is reported after so many looks.
+const LOOKS_PER_MESSAGE: u32 = 10;
 /// Load at the target's peak, as a part of what servers bear.
 const PEAK_LOAD: f64 = 0.7;
 /// Clients are waited for so long beyond the longest answer.
@@ -165,114 +167,207 @@
 }
 
 async fn play(options: RunOptions, programs: &Programs, say: &impl Fn(&str)) -> Result<Report, RunError> {
-    let mut replicas = ReplicasHandle::start(&programs.hollow, &options.replicas()).await?;
-    say(&format!("{} hollow replicas listen", replicas.addresses.len()));
-    let mut list = platform::List::new(replicas.addresses.clone());
-    let agent = Agent::start(list.whole()).await;
-    let places = process::places(options.real).map_err(failed("ports"))?;
-    let hollow = DispatcherOptions {
-        dispatchers: options.dispatchers - options.real,
-        real: places.iter().map(|place| place.peers).collect(),
-        servers: (0..options.servers).map(platform::server_id).collect(),
-    };
-    let mut dispatchers = DispatchersHandle::start(&programs.hollow, &hollow).await?;
-    let mut real = Vec::new();
-    for (number, place) in (0..).zip(places) {
-        let config = platform::config(&options, number, &place, agent.address, dispatchers.address, &list);
-        real.push(Real::start(programs, number, place, &config).await?);
-    }
-    say(&format!("{} real dispatchers are ready among {} hollow ones", real.len(), hollow.dispatchers));
-    let clients: Vec<Arc<Clients>> =
-        real.iter().map(|real| Arc::new(Clients::new(options, real.number, real.place.listen))).collect();
+    let mut run = Run::start(options, programs, say).await?;
     let mut load = JoinSet::new();
-    for clients in &clients {
+    for clients in &run.clients {
         load.spawn(clients.clone().load());
     }
-    let gossip_before = dispatchers.ledger().await?;
-    let start = Instant::now();
-    let steady = start + options.stream().min(Duration::from_secs(options.seconds / 2));
-    let end = start + Duration::from_secs(options.seconds);
-    let (lost, back) = (start + Duration::from_secs(options.seconds) / 3, LOST_FOR);
-    let mut event = (options.event == RunEvent::Zone).then_some(false);
-    let mut used: Vec<Option<Usage>> = vec![None; real.len()];
-    let mut looks = 0;
-    let mut ticks = interval(LOOK);
-    while Instant::now() < end {
-        ticks.tick().await;
-        let now = Instant::now();
-        if event == Some(false) && now >= lost {
-            event = Some(true);
-            agent.tells(Some(list.without(LOST_ZONE)));
-            replicas.lose(LOST_ZONE).await?;
-            say("a zone is lost");
-        } else if event == Some(true) && now >= lost + back {
-            event = None;
-            replicas.return_cold(LOST_ZONE).await?;
-            agent.tells(Some(list.restarted(LOST_ZONE)));
-            say("the zone is back, in slow start");
+    let observed = run.observe(say).await?;
+    let grace = options.stream() + GRACE;
+    tokio::select! {
+        () = async { while load.join_next().await.is_some() {} } => {}
+        () = sleep(grace) => say("some requests had no end in time"),
+    }
+    let ledger = run.replicas.ledger().await?;
+    Ok(run.report(&observed, ledger))
+}
+
+/// All that a run has started.
+struct Run {
+    options: RunOptions,
+    replicas: ReplicasHandle,
+    list: platform::List,
+    agent: Agent,
+    dispatchers: DispatchersHandle,
+    real: Vec<RealDispatcher>,
+    /// Of each real dispatcher.
+    clients: Vec<Arc<Clients>>,
+}
+
+/// What was seen while load lasted.
+struct Observed {
+    gossip_before: GossipLedger,
+    gossip_after: GossipLedger,
+    /// Processor time of each real dispatcher once the first streams had ended, where that came to be.
+    usage_before: Vec<Option<Usage>>,
+    usage_after: Vec<Usage>,
+    /// How long the load was steady.
+    steady_for: Duration,
+}
+
+/// The loss of a zone in a run, and its return.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ZoneLoss {
+    /// None is played, or it is over.
+    None,
+    /// The zone will be lost.
+    Ahead,
+    /// The zone is lost.
+    Lost,
+}
+
+impl Run {
+    /// Starts replicas, agent and dispatchers, and waits until all are ready.
+    async fn start(options: RunOptions, programs: &Programs, say: &impl Fn(&str)) -> Result<Self, RunError> {
+        let replicas = ReplicasHandle::start(&programs.hollow, &options.replicas()).await?;
+        say(&format!("{} hollow replicas listen", replicas.addresses.len()));
+        let list = platform::List::new(replicas.addresses.clone());
+        let agent = Agent::start(list.whole()).await;
+        let addresses = process::reserve_addresses(options.real).map_err(failed("ports"))?;
+        let hollow = DispatcherOptions {
+            dispatchers: options.dispatchers - options.real,
+            real: addresses.iter().map(|addresses| addresses.peers).collect(),
+            servers: (0..options.servers).map(platform::server_id).collect(),
+        };
+        let dispatchers = DispatchersHandle::start(&programs.hollow, &hollow).await?;
+        let mut real = Vec::new();
+        for (number, own) in (0..).zip(addresses) {
+            let config = platform::config(&options, number, &own, agent.address, dispatchers.address, &list);
+            real.push(RealDispatcher::start(programs, number, own, &config).await?);
+        }
+        say(&format!("{} real dispatchers are ready among {} hollow ones", real.len(), hollow.dispatchers));
+        let clients = real
+            .iter()
+            .map(|real| Arc::new(Clients::new(options, real.number, real.addresses.listen)))
+            .collect();
+        Ok(Self { options, replicas, list, agent, dispatchers, real, clients })
+    }
+
+    /// Looks at the real dispatchers while load lasts, and plays the run's event.
+    async fn observe(&mut self, say: &impl Fn(&str)) -> Result<Observed, RunError> {
+        let gossip_before = self.dispatchers.ledger().await?;
+        let start = Instant::now();
+        let seconds = Duration::from_secs(self.options.seconds);
+        let steady = start + self.options.stream().min(seconds / 2);
+        let end = start + seconds;
+        let lost_at = start + seconds / 3;
+        let mut zone = match self.options.event {
+            RunEvent::Zone => ZoneLoss::Ahead,
+            RunEvent::None => ZoneLoss::None,
+        };
+        let mut usage_before: Vec<Option<Usage>> = vec![None; self.real.len()];
+        let mut looks = 0;
+        let mut ticks = interval(LOOK_INTERVAL);
+        while Instant::now() < end {
+            ticks.tick().await;
+            let now = Instant::now();
+            zone = self.advance_zone_loss(zone, lost_at, now, say).await?;
+            for (real, usage) in self.real.iter_mut().zip(&mut usage_before) {
+                real.look()?;
+                if now >= steady && usage.is_none() {
+                    *usage = Some(real.usage()?);
+                }
+            }
+            looks += 1;
+            if looks % LOOKS_PER_MESSAGE == 0 {
+                let open: u64 = self.clients.iter().map(|clients| clients.open()).sum();
+                say(&format!("{} s: {open} requests open", (now - start).as_secs()));
+            }
+        }
+        let mut usage_after = Vec::new();
+        for real in &self.real {
+            usage_after.push(real.usage()?);
         }
-        for (real, used) in real.iter_mut().zip(&mut used) {
-            real.look()?;
-            if now >= steady && used.is_none() {
-                *used = Some(real.usage()?);
+        let gossip_after = self.dispatchers.ledger().await?;
+        Ok(Observed { gossip_before, gossip_after, usage_before, usage_after, steady_for: end - steady })
+    }
+
+    /// Has the zone lost, or come back, where that is due; how it stands then.
+    async fn advance_zone_loss(
+        &mut self,
+        zone: ZoneLoss,
+        lost_at: Instant,
+        now: Instant,
+        say: &impl Fn(&str),
+    ) -> Result<ZoneLoss, RunError> {
+        match zone {
+            ZoneLoss::Ahead if now >= lost_at => {
+                self.agent.tells(Some(self.list.without(LOST_ZONE)));
+                self.replicas.lose(LOST_ZONE).await?;
+                say("a zone is lost");
+                Ok(ZoneLoss::Lost)
+            }
+            ZoneLoss::Lost if now >= lost_at + LOST_FOR => {
+                self.replicas.return_cold(LOST_ZONE).await?;
+                self.agent.tells(Some(self.list.restarted(LOST_ZONE)));
+                say("the zone is back, in slow start");
+                Ok(ZoneLoss::None)
             }
+            _ => Ok(zone),
         }
-        looks += 1;
-        if looks % LOOKS_TO_SAY == 0 {
-            let open: u64 = clients.iter().map(|clients| clients.open()).sum();
-            say(&format!("{} s: {open} requests open", (now - start).as_secs()));
+    }
+
+    fn report(&self, observed: &Observed, ledger: ReplicaLedger) -> Report {
+        let tallies: Vec<Tally> = self.clients.iter().map(|clients| clients.tally()).collect();
+        let mut samples = Vec::new();
+        for (at, tally) in tallies.iter().enumerate() {
+            samples.push(self.sample(at, tally, observed, &ledger));
+        }
+        let events: u64 = tallies.iter().map(|tally| tally.events_steady).sum();
+        let open: f64 = tallies.iter().map(|tally| tally.mean_open).sum();
+        let real = f64::from(self.options.real);
+        let steady_s = observed.steady_for.as_secs_f64().max(1e-3);
+        Report {
+            samples,
+            replicas: ledger,
+            gossip: observed.gossip_after.clone(),
+            events: events as f64 / (steady_s * real),
+            streams: open / real,
         }
     }
-    let mut at_end = Vec::new();
-    for real in &real {
-        at_end.push(real.usage()?);
+
+    /// The sample of a real dispatcher, by its position.
+    fn sample(&self, at: usize, tally: &Tally, observed: &Observed, ledger: &ReplicaLedger) -> RunSample {
+        let (options, real) = (&self.options, &self.real[at]);
+        let (before, after) = (observed.usage_before[at], &observed.usage_after[at]);
+        let times = first_attempts(tally, ledger);
+        let seconds = options.seconds as f64;
+        let datagrams = observed.datagrams(real.number as usize);
+        RunSample {
+            servers: options.servers,
+            dispatchers: options.dispatchers,
+            real: options.real,
+            event: options.event,
+            seconds: options.seconds,
+            number: real.number,
+            ends: tally.ends,
+            processor: before.map_or(0.0, |before| after.share_since(&before)),
+            memory: real.max_memory_bytes,
+            descriptors: real.max_descriptors,
+            datagrams_out: datagrams.sent as f64 / seconds,
+            datagrams_in: datagrams.received as f64 / seconds,
+            first_attempt_p50: times.value_at_quantile(0.5) as f64 / 1_000.0,
+            first_attempt_p99: times.value_at_quantile(0.99) as f64 / 1_000.0,
+            over_budget: ledger.over_budget,
+            ran_twice: ledger.ran_twice,
+        }
     }
-    let gossip = dispatchers.ledger().await?;
-    let grace = options.stream() + GRACE;
-    tokio::select! {
-        () = async { while load.join_next().await.is_some() {} } => {}
-        () = sleep(grace) => say("some requests had no end in time"),
+}
+
+/// Load gossip of one real dispatcher.
+struct Datagrams {
+    sent: u64,
+    received: u64,
+}
+
+impl Observed {
+    fn datagrams(&self, number: usize) -> Datagrams {
+        let (before, after) = (&self.gossip_before, &self.gossip_after);
+        let sent = after.sent_by_real[number] - before.sent_by_real[number];
+        let by_others: u64 = after.sent_by_real.iter().sum::<u64>() - after.sent_by_real[number];
+        let received = after.sent_to_each - before.sent_to_each + by_others;
+        Datagrams { sent, received }
     }
-    let ledger = replicas.ledger().await?;
-    let tallies: Vec<Tally> = clients.iter().map(|clients| clients.tally()).collect();
-    let seconds = options.seconds as f64;
-    let samples = (real.iter().zip(&tallies).zip(used.iter().zip(&at_end)))
-        .map(|((real, tally), (before, after))| {
-            let times = first_attempts(tally, &ledger);
-            let number = real.number as usize;
-            let sent = gossip.sent_by_real[number] - gossip_before.sent_by_real[number];
-            let others: u64 = gossip.sent_by_real.iter().sum::<u64>() - gossip.sent_by_real[number];
-            let heard = gossip.sent_to_each - gossip_before.sent_to_each + others;
-            RunSample {
-                servers: options.servers,
-                dispatchers: options.dispatchers,
-                real: options.real,
-                event: options.event,
-                seconds: options.seconds,
-                number: real.number,
-                ends: tally.ends,
-                processor: before.map_or(0.0, |before| after.share_since(&before)),
-                memory: real.most_memory,
-                descriptors: real.most_descriptors,
-                datagrams_out: sent as f64 / seconds,
-                datagrams_in: heard as f64 / seconds,
-                first_attempt_p50: times.value_at_quantile(0.5) as f64 / 1_000.0,
-                first_attempt_p99: times.value_at_quantile(0.99) as f64 / 1_000.0,
-                over_budget: ledger.over_budget,
-                ran_twice: ledger.ran_twice,
-            }
-        })
-        .collect();
-    let events: u64 = tallies.iter().map(|tally| tally.events_steady).sum();
-    let open: f64 = tallies.iter().map(|tally| tally.mean_open).sum();
-    let steady_for = (end - steady).as_secs_f64().max(1e-3) * f64::from(options.real);
-    Ok(Report {
-        samples,
-        replicas: ledger,
-        gossip,
-        events: events as f64 / steady_for,
-        streams: open / f64::from(options.real),
-    })
 }
 
 /// From each request's last byte to its first attempt's (us).
@@ -318,6 +413,6 @@
         memory_mb: 256,
         event: RunEvent::None,
     };
-    let place = process::Place { listen: address(0), peers: address(1) };
-    platform::config(&options, 0, &place, address(2), address(3), &list).to_string()
+    let own = Addresses { listen: address(0), peers: address(1) };
+    platform::config(&options, 0, &own, address(2), address(3), &list).to_string()
 }
--- a/crates/scale/src/run/client.rs
+++ b/crates/scale/src/run/client.rs
@@ -17,10 +17,11 @@
 use crate::results::Ends;
 
 /// A client waits so long for its first token.
-const PATIENCE: Duration = Duration::from_millis(5_000);
-/// Sessions, and the beginnings that they share.
+const FIRST_TOKEN_TIMEOUT: Duration = Duration::from_millis(5_000);
+/// Sessions of users.
 const SESSIONS: u64 = 4_000;
-const BEGINNINGS: u64 = 200;
+/// Prefixes of prompts that sessions share.
+const SHARED_PREFIXES: u64 = 200;
 /// The end of a chunked answer.
 const END: &[u8] = b"0\r\n\r\n";
 
@@ -36,7 +37,7 @@
     pub(super) mean_open: f64,
 }
 
-/// See the [module](self).
+/// The clients of one real dispatcher, see the [module](self).
 #[derive(Debug)]
 pub(super) struct Clients {
     options: RunOptions,
@@ -91,7 +92,7 @@
 
     /// Sends all requests, and waits until each has its end.
     pub(super) async fn load(self: Arc<Self>) {
-        let mut lots = Pcg64Mcg::seed_from_u64(100 + u64::from(self.number));
+        let mut rng = Pcg64Mcg::seed_from_u64(100 + u64::from(self.number));
         let gap = Duration::from_secs(1) / self.options.requests;
         let start = Instant::now();
         let (steady, end) = (
@@ -107,10 +108,10 @@
                 (open, looks) = (open + self.open(), looks + 1);
             }
             let clients = self.clone();
-            let lot = lots.next_u64();
-            requests.spawn(async move { clients.request(number, lot).await });
+            let draw = rng.next_u64();
+            requests.spawn(async move { clients.request(number, draw).await });
             number += 1;
-            due = start + gap * number + gap.mul_f64((lots.next_u64() % 1_000) as f64 / 1_000.0);
+            due = start + gap * number + gap.mul_f64((rng.next_u64() % 1_000) as f64 / 1_000.0);
         }
         {
             let mut tally = lock(&self.tally);
@@ -120,13 +121,13 @@
         while requests.join_next().await.is_some() {}
     }
 
-    async fn request(&self, number: u32, lot: u64) {
+    async fn request(&self, number: u32, draw: u64) {
         let class = number % self.options.classes;
         let first = if platform::runs_once(class) { RUNS_ONCE } else { 'a' };
         let id = format!("{first}{:03x}{number:012x}", self.number);
-        let text = self.text(&id, class, lot);
+        let text = self.text(&id, class, draw);
         self.open.fetch_add(1, Ordering::Relaxed);
-        let longest = PATIENCE + self.options.stream() + Duration::from_secs(2);
+        let longest = FIRST_TOKEN_TIMEOUT + self.options.stream() + Duration::from_secs(2);
         let end = timeout(longest, self.ask(&id, &text)).await.unwrap_or(End::Unanswered);
         self.open.fetch_sub(1, Ordering::Relaxed);
         let mut tally = lock(&self.tally);
@@ -140,9 +141,9 @@
         } += 1;
     }
 
-    fn text(&self, id: &str, class: u32, lot: u64) -> String {
-        let session = lot % SESSIONS;
-        let (prompt, shared) = (2_000 + (lot >> 20) % 6_000, session % BEGINNINGS);
+    fn text(&self, id: &str, class: u32, draw: u64) -> String {
+        let session = draw % SESSIONS;
+        let (prompt, shared) = (2_000 + (draw >> 20) % 6_000, session % SHARED_PREFIXES);
         let body = "{\"stream\":true,\"max_tokens\":250,\"messages\":[{\"role\":\"user\",\"content\":\"fire the kiln\"}]}";
         format!(
             "POST /v1/chat/completions HTTP/1.1\r\nHost: backend.local\r\nX-Txn: {id}\r\nX-Lane: {}\r\n\
@@ -150,7 +151,7 @@
              X-Labels: prefix={shared:016x},prompt_len={prompt},prefix_len=1500,max_out=250\r\n\
              Content-Type: application/json\r\nContent-Length: {}\r\n\r\n{body}",
             platform::class_name(class),
-            PATIENCE.as_secs_f64(),
+            FIRST_TOKEN_TIMEOUT.as_secs_f64(),
             body.len()
         )
     }
--- a/crates/scale/src/run/limits.rs
+++ b/crates/scale/src/run/limits.rs
@@ -5,19 +5,19 @@
 use super::RunOptions;
 
 /// Processes of a run at the most.
-const MOST_PROCESSES: u32 = 100;
+const MAX_PROCESSES: u32 = 100;
 /// A hollow replica takes about so much (bytes): a listener, and a task for each connection.
-const REPLICA: u64 = 40_000;
+const REPLICA_BYTES: u64 = 40_000;
 /// The process of the clients and that of the replicas, each without its load (bytes).
-const PROCESS: u64 = 200 << 20;
+const PROCESS_BYTES: u64 = 200 << 20;
 /// Descriptors that a process has besides those of its load.
-const SPARE: u64 = 200;
+const SPARE_DESCRIPTORS: u64 = 200;
 
 /// Why the machine is too small for a run; one plain line.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum LimitError {
     /// Too many processes.
-    #[error("--real: {wanted} processes, of {MOST_PROCESSES} at the most")]
+    #[error("--real: {wanted} processes, of {MAX_PROCESSES} at the most")]
     Processes {
         /// How many there would be.
         wanted: u32,
@@ -55,17 +55,18 @@
 
 pub(super) fn check(options: &RunOptions) -> Result<(), LimitError> {
     let processes = options.real + 3;
-    if processes > MOST_PROCESSES {
+    if processes > MAX_PROCESSES {
         return Err(LimitError::Processes { wanted: processes });
     }
     let real = u64::from(options.real);
-    let wanted = real * (options.memory_mb << 20) + u64::from(options.servers) * REPLICA + 2 * PROCESS;
+    let wanted =
+        real * (options.memory_mb << 20) + u64::from(options.servers) * REPLICA_BYTES + 2 * PROCESS_BYTES;
     let most = number_of("/proc/meminfo", "MemTotal:").map_or(u64::MAX, |kilobytes| kilobytes * 1_024 / 2);
     if wanted > most {
         return Err(LimitError::Memory { wanted: wanted >> 20, most: most >> 20 });
     }
     // Those that wait for a connection of its own are few beside the open ones; twice is ample.
-    let wanted = u64::from(options.servers) + 2 * real * open(options) + SPARE;
+    let wanted = u64::from(options.servers) + 2 * real * open(options) + SPARE_DESCRIPTORS;
     let wanted = wanted.max(u64::from(options.descriptors));
     match number_of("/proc/self/limits", "Max open files") {
         Some(most) if wanted > most => Err(LimitError::Descriptors { wanted, most }),
--- a/crates/scale/src/run/platform.rs
+++ b/crates/scale/src/run/platform.rs
@@ -5,7 +5,7 @@
 
 use serde_json::{json, Value};
 
-use super::process::Place;
+use super::process::Addresses;
 use super::RunOptions;
 use crate::shape;
 
@@ -13,8 +13,8 @@
 pub(super) const COLD_S: u64 = 14;
 pub(super) const FALL_MULTIPLE: f64 = 2.5;
 pub(super) const FALL_WINDOW_S: u64 = 1;
-/// Requests with this number of a class and each multiple of it may run once only.
-const ONCE: u32 = 4;
+/// Requests of each fourth class may run once only.
+const RUNS_ONCE_EVERY: u32 = 4;
 
 /// A server's id as the list tells it, as a number.
 pub(super) fn server_id(server: u32) -> u32 {
@@ -28,7 +28,7 @@
 
 /// Whether requests of a class may run once only.
 pub(super) fn runs_once(class: u32) -> bool {
-    class % ONCE == ONCE - 1
+    class % RUNS_ONCE_EVERY == RUNS_ONCE_EVERY - 1
 }
 
 fn zone_name(zone: u32) -> String {
@@ -58,12 +58,12 @@
     }
 
     pub(super) fn whole(&self) -> Value {
-        self.but(|_| false)
+        self.except(|_| false)
     }
 
-    fn but(&self, left_out: impl Fn(u32) -> bool) -> Value {
+    fn except(&self, is_left_out: impl Fn(u32) -> bool) -> Value {
         let all = (0..).zip(self.addresses.iter().zip(&self.started));
-        let listed = all.filter(|(server, _)| !left_out(*server));
+        let listed = all.filter(|(server, _)| !is_left_out(*server));
         let members: Vec<Value> =
             listed.map(|(server, (address, started))| member(server, *address, *started)).collect();
         json!({"revision": self.revision, "complete": true, "members": members})
@@ -72,7 +72,7 @@
     /// A zone has gone.
     pub(super) fn without(&mut self, zone: u32) -> Value {
         self.revision += 1;
-        self.but(|server| shape::zone(server) == zone)
+        self.except(|server| shape::zone(server) == zone)
     }
 
     /// All are there, and a zone has just started.
@@ -92,21 +92,21 @@
 pub(super) fn config(
     options: &RunOptions,
     number: u32,
-    place: &Place,
+    own: &Addresses,
     agent: SocketAddr,
-    all: SocketAddr,
+    peers_all: SocketAddr,
     list: &List,
 ) -> Value {
-    let lane = |class: u32| {
+    let class = |class: u32| {
         let effect = if runs_once(class) { "at_most_once" } else { "idempotent" };
         json!({"name": class_name(class), "aim_s": 0.61, "give_up_s": 5.0, "effect": effect, "group": "all",
             "worth": 2.0, "streaming": true})
     };
-    let lanes: Vec<Value> = (0..options.classes).map(lane).collect();
+    let classes: Vec<Value> = (0..options.classes).map(class).collect();
     let zones: Vec<String> = (0..shape::ZONES).map(zone_name).collect();
     let settings = json!({
         "balancers": options.dispatchers, "locality": number % shape::ZONES, "failure_domains": zones,
-        "kinds": ["prefill", "decode"], "my_number": number, "lanes": lanes, "resolution_s": 0.002,
+        "kinds": ["prefill", "decode"], "my_number": number, "lanes": classes, "resolution_s": 0.002,
         "domain": {"role_by_kind": ["read", "write"], "kind_memory_tokens": [2_000_000, 2_000_000],
             "release_within_s": 0.5, "resume": false, "token_aim_s": [0.032, 0.032]},
         "limits": {"cancel": true, "connect_timeout_s": 0.25, "keepalive_s": 30.0, "max_attempts": 5,
@@ -116,8 +116,8 @@
             "fall_s": FALL_WINDOW_S, "must_ask_in_s": 10.0, "stop_sending_within_s": 0.25},
     });
     json!({
-        "name": format!("n{number}"), "listen": place.listen, "discovery": agent,
-        "peer_listen": place.peers, "peers_all": all, "seed": format!("{:016x}", 0x5ca1_e000 + u64::from(number)),
+        "name": format!("n{number}"), "listen": own.listen, "discovery": agent,
+        "peer_listen": own.peers, "peers_all": peers_all, "seed": format!("{:016x}", 0x5ca1_e000 + u64::from(number)),
         "limits": {"cores": 1.0, "memory_mb": options.memory_mb, "sockets": options.descriptors},
         "known": list.whole(), "settings": settings,
     })
