--- a/crates/replica/src/message.rs
+++ b/crates/replica/src/message.rs
@@ -6,6 +6,12 @@
 use crate::record::{AttemptId, Record, RecordId};
 use crate::{Copies, Micros};
 
+/// Space for records in one message, so that it fits into a datagram.
+const MAX_RECORDS_BYTES: usize = 1_200;
+/// Upper bounds of the encoded size of a record and of each of its attempts.
+const MAX_RECORD_BYTES: usize = 16 + 1 + 10;
+const MAX_ATTEMPT_BYTES: usize = 3 * 10 + 1 + 1 + 10;
+
 /// A message between instances.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
@@ -74,3 +80,21 @@
     /// Notes about servers.
     Notes(Vec<Note>),
 }
+
+/// Records in parts that each fit into a datagram.
+pub(crate) fn split_into_messages(records: Copies) -> Vec<Copies> {
+    let mut parts: Vec<Copies> = Vec::new();
+    let mut room_bytes = 0;
+    for (id, record) in records {
+        let bytes = MAX_RECORD_BYTES + record.attempts() * MAX_ATTEMPT_BYTES;
+        if bytes > room_bytes {
+            parts.push(Vec::new());
+            room_bytes = MAX_RECORDS_BYTES;
+        }
+        room_bytes = room_bytes.saturating_sub(bytes);
+        if let Some(part) = parts.last_mut() {
+            part.push((id, record));
+        }
+    }
+    parts
+}
--- a/crates/replica/src/replica.rs
+++ b/crates/replica/src/replica.rs
@@ -8,7 +8,7 @@
 use crate::coordinator::{Answer, Coordinator, Decision, Offer};
 use crate::events::{Counters, Denial, Effect, Event, OfferId};
 use crate::hinted_handoff::HintedHandoff;
-use crate::message::Message;
+use crate::message::{split_into_messages, Message};
 use crate::notes::{Note, NoteStore, ServerStatus};
 use crate::placement::Placement;
 use crate::record::{AttemptId, Record, RecordId, Stage};
@@ -17,11 +17,6 @@
 use crate::storage::{RecordStore, BUCKETS};
 use crate::{Copies, Micros};
 
-/// Space for records in one message, so that it fits into a datagram.
-const MAX_RECORDS_BYTES: usize = 1_200;
-/// Upper bounds of the encoded size of a record and of each of its attempts.
-const MAX_RECORD_BYTES: usize = 16 + 1 + 10;
-const MAX_ATTEMPT_BYTES: usize = 3 * 10 + 1 + 1 + 10;
 const NOTES_IN_MESSAGE: usize = 16;
 /// The number of a write that wants no acknowledgement.
 const NO_ACKNOWLEDGEMENT: u64 = 0;
@@ -403,21 +398,3 @@
         self.compare(effects);
     }
 }
-
-/// Records in parts that each fit into a datagram.
-fn split_into_messages(records: Copies) -> Vec<Copies> {
-    let mut parts: Vec<Copies> = Vec::new();
-    let mut room_bytes = 0;
-    for (id, record) in records {
-        let bytes = MAX_RECORD_BYTES + record.attempts() * MAX_ATTEMPT_BYTES;
-        if bytes > room_bytes {
-            parts.push(Vec::new());
-            room_bytes = MAX_RECORDS_BYTES;
-        }
-        room_bytes = room_bytes.saturating_sub(bytes);
-        if let Some(part) = parts.last_mut() {
-            part.push((id, record));
-        }
-    }
-    parts
-}
