--- a/crates/router/src/admission.rs
+++ b/crates/router/src/admission.rs
@@ -46,7 +46,7 @@
 
 /// Why a request can have no further attempt, if that is so.
 fn ends_now(state: &RoutingState, request: &RequestState) -> Option<EndReason> {
-    if request.call.not_after <= state.now {
+    if request.info.not_after <= state.now {
         return Some(EndReason::Deadline);
     }
     if eligibility::attempts_exhausted(state, request) {
@@ -70,7 +70,7 @@
     let release_at = held.since + state.settings.max_hold_time;
     match select_writer(state, request, held.reader, rng) {
         Some(server) if state.now < release_at => NextStep::Send { server, stage: Stage::Write },
-        None if can_wait_for_sweep(state, release_at.min(request.call.not_after)) => NextStep::AwaitWriter,
+        None if can_wait_for_sweep(state, release_at.min(request.info.not_after)) => NextStep::AwaitWriter,
         _ => NextStep::Answer(EndReason::NoWriter),
     }
 }
@@ -82,7 +82,7 @@
 }
 
 fn step_to_reader(state: &RoutingState, request: &RequestState, rng: &mut impl RngCore) -> NextStep {
-    let (class, session) = (request.call.class, request.call.session);
+    let (class, session) = (request.info.class, request.info.session);
     let draw = unit_interval(rng.next_u64());
     let is_jammed =
         is_overloaded(state, class, Stage::Read, draw) || is_overloaded(state, class, Stage::Write, draw);
@@ -125,8 +125,8 @@
 /// The answer that ends a request without a stream: rejected where a new try is harmless and in time, else
 /// failed. The client's wait is drawn at random, so that clients do not come back at once.
 pub(crate) fn final_answer(state: &RoutingState, request: &RequestState, rng: &mut impl RngCore) -> Action {
-    let id = request.call.id;
-    if !is_retry_harmless(state, request) || request.call.not_after <= state.now {
+    let id = request.info.id;
+    if !is_retry_harmless(state, request) || request.info.not_after <= state.now {
         return Action::Fail(id);
     }
     let half_us = state.settings.max_retry_after / 2;
@@ -137,7 +137,7 @@
     if request.may_have_executed.is_none() {
         return true;
     }
-    let Some(class) = state.class(request.call.class) else { return true };
+    let Some(class) = state.class(request.info.class) else { return true };
     match class.effect {
         Effect::Idempotent => true,
         Effect::Deduplicated => class.dedup_group == DedupGroup::All,
--- a/crates/router/src/attempts.rs
+++ b/crates/router/src/attempts.rs
@@ -34,13 +34,13 @@
     server: &Server,
     stage: Stage,
 ) -> PlannedAttempt {
-    let call = &request.call;
-    let cached = server.prefixes.longest_match(call, state.now);
-    let work = work::estimate(state, call, stage, cached.map_or(0, |prefix| prefix.tokens));
+    let info = &request.info;
+    let cached = server.prefixes.longest_match(info, state.now);
+    let work = work::estimate(state, info, stage, cached.map_or(0, |prefix| prefix.tokens));
     let reader = request.held_state.and_then(|held| state.fleet.get(held.reader));
     let crosses_cells = reader.is_some_and(|reader| reader.entry.cell != server.entry.cell);
     let objective_us =
-        state.class(call.class).map_or(0.0, |class| class.latency_objective_for(call.prompt_tokens));
+        state.class(info.class).map_or(0.0, |class| class.latency_objective_for(info.prompt_tokens));
     let failures = request.failed_at.len();
     let timeout_us = attempt_timeout_us(state, server, stage, work.work_tokens, failures, objective_us);
     let timeout_us = if crosses_cells { timeout_us * REMOTE_TIMEOUT_MULTIPLE } else { timeout_us };
@@ -52,14 +52,14 @@
         memory_tokens: work.memory_tokens,
         work_tokens: work.work_tokens,
         expected_queueing_us: state.gossip.believed_us(server.entry.server, state.now),
-        class: call.class,
+        class: info.class,
         expected_prefix: cached.filter(|_| stage != Stage::Write),
         is_streaming: false,
         crosses_cells,
     };
     PlannedAttempt {
         attempt,
-        timeout_us: timeout_us.min(call.not_after - state.now).max(1),
+        timeout_us: timeout_us.min(info.not_after - state.now).max(1),
         slow_start_per_window: slow_start::requests_per_window(state, server.role, server.entry.started),
     }
 }
@@ -67,7 +67,7 @@
 /// An attempt of a request is sent: counts it for its server, and in the request.
 pub(crate) fn record_sent(state: &mut RoutingState, request: &mut RequestState, planned: PlannedAttempt) {
     let PlannedAttempt { attempt, slow_start_per_window, .. } = planned;
-    let id: RequestId = request.call.id;
+    let id: RequestId = request.info.id;
     let (now, window_us) = (state.now, state.settings.overload_window);
     let unloaded_us_per_token = state.stage(attempt.stage).unloaded_us_per_token;
     if attempt.stage != Stage::Write {
@@ -80,7 +80,7 @@
         server.add_attempt(id, &attempt);
     });
     if attempt.stage != Stage::Write {
-        state.fleet.record_prefixes(attempt.server, &request.call);
+        state.fleet.record_prefixes(attempt.server, &request.info);
     }
     request.attempts += 1;
     request.in_flight = Some(attempt);
--- a/crates/router/src/eligibility.rs
+++ b/crates/router/src/eligibility.rs
@@ -34,7 +34,7 @@
 /// as its class says.
 pub(crate) fn repeat_scope(state: &RoutingState, request: &RequestState) -> RepeatScope {
     let Some(first) = request.may_have_executed else { return RepeatScope::Everywhere };
-    let Some(class) = state.class(request.call.class) else { return RepeatScope::Nowhere };
+    let Some(class) = state.class(request.info.class) else { return RepeatScope::Nowhere };
     match class.effect {
         Effect::Idempotent => return RepeatScope::Everywhere,
         Effect::AtMostOnce => return RepeatScope::Nowhere,
@@ -54,7 +54,7 @@
 
 /// Whether a request has had all the attempts that its class allows.
 pub(crate) fn attempts_exhausted(state: &RoutingState, request: &RequestState) -> bool {
-    state.class(request.call.class).is_some_and(|class| request.attempts >= class.max_attempts)
+    state.class(request.info.class).is_some_and(|class| request.attempts >= class.max_attempts)
 }
 
 /// What the rules permit for a request now: (1) it is open and in time; (2) nothing else is in flight and no
@@ -71,7 +71,7 @@
 impl<'a> Permissions<'a> {
     fn of(state: &'a RoutingState, request: &RequestState) -> Self {
         let is_idle = !request.is_completed && request.in_flight.is_none();
-        let is_open = is_idle && request.call.not_after > state.now;
+        let is_open = is_idle && request.info.not_after > state.now;
         Self { state, is_open, scope: repeat_scope(state, request) }
     }
 
@@ -101,7 +101,8 @@
 }
 
 /// Servers of a role that the rules permit for a request and that look healthy. Where too few look so, the
-/// unhealthy ones are in as well; those at which the request has failed are in only where there are no others.
+/// unhealthy ones are in as well; those at which the request has failed are in only where there are no
+/// others.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CandidatePool<'a> {
     pub(crate) role: Role,
@@ -117,7 +118,7 @@
         let permissions = Permissions::of(state, request);
         let permitted = permissions.count(role);
         let suspects = state.fleet.ready_suspects(role).filter(|server| permissions.include(server));
-        let is_unhealthy = |server: &&Server| !health::is_healthy(server, request.call.class, state.now);
+        let is_unhealthy = |server: &&Server| !health::is_healthy(server, request.info.class, state.now);
         let healthy = permitted - suspects.filter(is_unhealthy).count();
         let includes_unhealthy = health::too_few(healthy, permitted);
         let size = if includes_unhealthy { permitted } else { healthy };
@@ -129,10 +130,10 @@
 
     /// Whether a server is in it.
     pub(crate) fn contains(&self, server: &Server) -> bool {
-        let RequestState { call, failed_at, .. } = self.request;
+        let RequestState { info, failed_at, .. } = self.request;
         server.role == self.role
             && self.permissions.include(server)
-            && (self.includes_unhealthy || health::is_healthy(server, call.class, self.permissions.state.now))
+            && (self.includes_unhealthy || health::is_healthy(server, info.class, self.permissions.state.now))
             && (self.includes_failed || !failed_at.contains(&server.entry.server))
     }
 }
--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -158,10 +158,10 @@
     }
 
     /// A server is sent the prompt of a request.
-    pub(crate) fn record_prefixes(&mut self, id: ServerId, call: &RequestInfo) {
+    pub(crate) fn record_prefixes(&mut self, id: ServerId, info: &RequestInfo) {
         let Some(server) = self.servers.get_mut(&id) else { return };
-        let dropped = server.prefixes.record(call, self.now);
-        for key in call.session.into_iter().chain(call.shared) {
+        let dropped = server.prefixes.record(info, self.now);
+        for key in info.session.into_iter().chain(info.shared) {
             self.holders.insert(key, id, self.now);
         }
         for key in dropped {
@@ -246,9 +246,9 @@
     pub(crate) fn prefix_holders_and(
         &self,
         one_more: ServerId,
-        call: &RequestInfo,
+        info: &RequestInfo,
     ) -> impl Iterator<Item = &Server> {
-        let keys = call.session.into_iter().chain(call.shared);
+        let keys = info.session.into_iter().chain(info.shared);
         let holders: Vec<ServerId> =
             keys.flat_map(|key| self.holders.servers(key)).chain([one_more]).collect();
         self.known_of(&holders)
--- a/crates/router/src/learning.rs
+++ b/crates/router/src/learning.rs
@@ -35,13 +35,13 @@
 const MIN_REQUEST_RATE: f64 = 1e-3;
 
 /// A request has come in.
-pub(crate) fn record_request(state: &mut RoutingState, call: &RequestInfo) {
+pub(crate) fn record_request(state: &mut RoutingState, info: &RequestInfo) {
     let now = state.now;
     state.request_rate.add(1.0, now, RATE_TIME_CONSTANT_US);
     let window_us = popularity::window_us(state);
     state.recent_request_rate.add(1.0, now, window_us);
     state.gossip.add_credit();
-    let Some(key) = call.shared else { return };
+    let Some(key) = info.shared else { return };
     state.shared_prefixes.get_or_insert_mut(key, DecayingRate::default).add(1.0, now, window_us);
     if state.shared_prefixes.len() > PREFIX_KEYS {
         state.shared_prefixes.pop_lru();
--- a/crates/router/src/placement.rs
+++ b/crates/router/src/placement.rs
@@ -55,7 +55,7 @@
 ) -> Option<ServerId> {
     let salt = rng.next_u64();
     let pool = CandidatePool::of(state, role, request)?;
-    let mut ranking = rank_by_rendezvous(state, role, &request.call);
+    let mut ranking = rank_by_rendezvous(state, role, &request.info);
     let home = ranking.get(0)?;
     let stage = if role == Role::Reader { Stage::Read } else { Stage::ReadAndWrite };
     let mean_memory_tokens = load::mean_memory_tokens(state, role);
@@ -71,9 +71,9 @@
 impl Choice<'_> {
     /// Tokens of the prompt that a server is believed to keep. A home counts as keeping the shared prefix.
     fn cached_tokens(&self, server: &Server) -> u64 {
-        let call = &self.request.call;
-        let believed = server.prefixes.longest_match(call, self.state.now).map_or(0, |prefix| prefix.tokens);
-        let at_home = if server.entry.server == self.home { call.shared_tokens } else { 0 };
+        let info = &self.request.info;
+        let believed = server.prefixes.longest_match(info, self.state.now).map_or(0, |prefix| prefix.tokens);
+        let at_home = if server.entry.server == self.home { info.shared_tokens } else { 0 };
         believed.max(at_home)
     }
 
@@ -83,7 +83,7 @@
 
     /// Servers that are believed to keep a prefix, the best first.
     fn matches(&self) -> Vec<ServerId> {
-        let holders = self.state.fleet.prefix_holders_and(self.home, &self.request.call);
+        let holders = self.state.fleet.prefix_holders_and(self.home, &self.request.info);
         let mut ranked = Vec::new();
         for server in holders {
             let cached_tokens = self.cached_tokens(server);
@@ -139,7 +139,7 @@
         let queueing_us = seen_us.max(state.gossip.believed_us(server.entry.server, state.now));
         !load::is_at_capacity(state, server, self.stage, reread_us)
             && queueing_us <= reread_us + CAPACITY_SHARE_OF_OBJECTIVE * state.shortest_objective_us
-            && !remote_fetch::is_stranded(state, server, self.request.call.class)
+            && !remote_fetch::is_stranded(state, server, self.request.info.class)
     }
 
     /// Of the servers with the fewest own attempts, the one that is done first: text read anew by a full pool
@@ -167,12 +167,12 @@
 /// stands in for it, and a change of the list moves only what lay there. A zone's own servers come first, for
 /// as many keys as they can take. Of several homes of a shared prefix the session picks one, and it counts as
 /// kept there: turns must find it, so nothing here may depend on how long the prompt has grown.
-fn rank_by_rendezvous(state: &RoutingState, role: Role, call: &RequestInfo) -> Ranking {
-    let key = call.shared.or(call.session).unwrap_or(Key(0));
+fn rank_by_rendezvous(state: &RoutingState, role: Role, info: &RequestInfo) -> Ranking {
+    let key = info.shared.or(info.session).unwrap_or(Key(0));
     let ready = state.fleet.ready_count(role);
     let own_zone_first = prefers_own_zone(state, role, key);
     // What is kept costs little to read, but all of it has to move: it belongs beside writers.
-    let weighs_cells = role == Role::Reader && call.shared.is_some();
+    let weighs_cells = role == Role::Reader && info.shared.is_some();
     let mut ranks = Vec::with_capacity(ready);
     for (cell, members) in state.fleet.ready_by_cell(role) {
         let weight = state.cells.get(&cell).filter(|_| weighs_cells).map(|cell| cell.reader_weight);
@@ -184,9 +184,9 @@
             Rank { tier: 1 + u8::from(is_own_zone != own_zone_first), key: rank_key, server: member.id }
         }));
     }
-    let session = call.session.unwrap_or(key).0;
+    let session = info.session.unwrap_or(key).0;
     let mut ranking = Ranking::new(ranks);
-    let homes = popularity::home_count(state, call, key, ready);
+    let homes = popularity::home_count(state, info, key, ready);
     ranking.rerank_first(homes, |id| !mix(session ^ mix(u64::from(id.0) + 1)));
     ranking
 }
--- a/crates/router/src/popularity.rs
+++ b/crates/router/src/popularity.rs
@@ -29,13 +29,13 @@
 }
 
 /// How many of `ready` servers are homes of a request's prefix, which has that key.
-pub(crate) fn home_count(state: &RoutingState, call: &RequestInfo, key: Key, ready: usize) -> usize {
+pub(crate) fn home_count(state: &RoutingState, info: &RequestInfo, key: Key, ready: usize) -> usize {
     let window_us = window_us(state);
     let seen = state.shared_prefixes.peek(&key).map_or(0.0, |rate| rate.count_at(state.now, window_us));
     let requests = state.recent_request_rate.count_at(state.now, window_us);
     // One sighting proves nothing.
     let share = (seen - 1.0).max(0.0) / (requests + PRIOR_REQUESTS);
-    let parallel_reads = FIRST_GUESS_TOKENS / call.shared_tokens.max(1) as f64;
+    let parallel_reads = FIRST_GUESS_TOKENS / info.shared_tokens.max(1) as f64;
     let min_homes = parallel_reads.ceil().min(ready.div_ceil(READERS_PER_HOME) as f64);
     (HOMES_PER_SHARE * share * ready as f64).ceil().max(min_homes) as usize
 }
--- a/crates/router/src/prefix_table.rs
+++ b/crates/router/src/prefix_table.rs
@@ -38,19 +38,19 @@
     }
 
     /// The longest prefix of the request that is believed to be there, at most the prompt.
-    pub(crate) fn longest_match(&self, call: &RequestInfo, now: Micros) -> Option<CachedPrefix> {
+    pub(crate) fn longest_match(&self, info: &RequestInfo, now: Micros) -> Option<CachedPrefix> {
         let believed = |key: Option<Key>| {
             let &CachedPrefix { tokens, sent_at } = self.sent.peek(&key?)?;
             let valid = sent_at + PREFIX_EXPIRY_US > now && sent_at > self.invalid_until;
-            valid.then_some(CachedPrefix { tokens: tokens.min(call.prompt_tokens), sent_at })
+            valid.then_some(CachedPrefix { tokens: tokens.min(info.prompt_tokens), sent_at })
         };
-        believed(call.session).max(believed(call.shared)).filter(|prefix| prefix.tokens > 0)
+        believed(info.session).max(believed(info.shared)).filter(|prefix| prefix.tokens > 0)
     }
 
     /// Records what a server is sent now. Returns the keys that had to make room for it or have expired.
-    pub(crate) fn record(&mut self, call: &RequestInfo, now: Micros) -> Vec<Key> {
-        let session = call.session.map(|key| (key, call.prompt_tokens));
-        let shared = call.shared.map(|key| (key, call.shared_tokens.min(call.prompt_tokens)));
+    pub(crate) fn record(&mut self, info: &RequestInfo, now: Micros) -> Vec<Key> {
+        let session = info.session.map(|key| (key, info.prompt_tokens));
+        let shared = info.shared.map(|key| (key, info.shared_tokens.min(info.prompt_tokens)));
         for (key, tokens) in session.into_iter().chain(shared) {
             self.sent.put(key, CachedPrefix { tokens, sent_at: now });
         }
--- a/crates/router/src/records/request.rs
+++ b/crates/router/src/records/request.rs
@@ -46,7 +46,7 @@
 /// An open request. It is removed once it is completed and nothing is in flight.
 #[derive(Debug)]
 pub(crate) struct RequestState {
-    pub(crate) call: RequestInfo,
+    pub(crate) info: RequestInfo,
     /// Attempts that have been sent.
     pub(crate) attempts: u32,
     pub(crate) in_flight: Option<Attempt>,
@@ -61,9 +61,9 @@
 
 impl RequestState {
     /// One that has just come in.
-    pub(crate) fn new(call: RequestInfo) -> Self {
+    pub(crate) fn new(info: RequestInfo) -> Self {
         Self {
-            call,
+            info,
             attempts: 0,
             in_flight: None,
             is_completed: false,
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -89,7 +89,7 @@
         }
         match event {
             Event::EndpointsUpdated { how, entries } => self.take_list(how, entries),
-            Event::RequestArrived(call) => self.take_request(call, actions),
+            Event::RequestArrived(info) => self.take_request(info, actions),
             Event::FirstToken { id, attempt, taken } => self.take_first_token(id, attempt, taken),
             Event::AttemptFinished(ended) => self.take_end(ended, actions),
             Event::ClientDisconnected(id) => self.take_disconnect(id, actions),
@@ -150,13 +150,13 @@
     }
 
     /// A client asks. An id that is open already is ignored.
-    fn take_request(&mut self, call: RequestInfo, actions: &mut Vec<Action>) {
-        let id = call.id;
+    fn take_request(&mut self, info: RequestInfo, actions: &mut Vec<Action>) {
+        let id = info.id;
         if self.requests.contains_key(&id) {
             return;
         }
-        learning::record_request(&mut self.state, &call);
-        self.requests.insert(id, RequestState::new(call));
+        learning::record_request(&mut self.state, &info);
+        self.requests.insert(id, RequestState::new(info));
         self.advance(id, actions);
     }
 
@@ -186,7 +186,7 @@
         if change == HeldStateChange::Release {
             actions.push(Action::ReleaseHeldState(id));
         }
-        let (prompt_tokens, is_completed) = (request.call.prompt_tokens, request.is_completed);
+        let (prompt_tokens, is_completed) = (request.info.prompt_tokens, request.is_completed);
         learning::record_end(&mut self.state, attempt, &ended, prompt_tokens, &mut self.rng);
         if is_completed {
             self.close(id, actions);
--- a/crates/router/src/work.rs
+++ b/crates/router/src/work.rs
@@ -21,26 +21,26 @@
 /// The work of a stage of a request at a server that keeps so many tokens of its prompt.
 pub(crate) fn estimate(
     state: &RoutingState,
-    call: &RequestInfo,
+    info: &RequestInfo,
     stage: Stage,
     cached_tokens: u64,
 ) -> WorkEstimate {
-    let unread_tokens = call.prompt_tokens - cached_tokens;
+    let unread_tokens = info.prompt_tokens - cached_tokens;
     let read_tokens = unread_tokens as f64 + READ_OVERHEAD_TOKENS;
-    let whole_tokens = call.prompt_tokens + answer_tokens(state, call);
+    let whole_tokens = info.prompt_tokens + answer_tokens(state, info);
     let (memory_tokens, work_tokens) = match stage {
         Stage::Read => (unread_tokens, read_tokens),
-        Stage::Write => (whole_tokens, call.prompt_tokens as f64 + WRITE_OVERHEAD_TOKENS),
+        Stage::Write => (whole_tokens, info.prompt_tokens as f64 + WRITE_OVERHEAD_TOKENS),
         Stage::ReadAndWrite => (whole_tokens, read_tokens),
     };
     WorkEstimate { memory_tokens, work_tokens }
 }
 
 /// The likely length of an answer in tokens: as the client hints, else half of what it allows.
-fn answer_tokens(state: &RoutingState, call: &RequestInfo) -> u64 {
-    let token_objective_us = state.class(call.class).map_or(0, |class| class.token_interval_objective);
-    match call.hint {
+fn answer_tokens(state: &RoutingState, info: &RequestInfo) -> u64 {
+    let token_objective_us = state.class(info.class).map_or(0, |class| class.token_interval_objective);
+    match info.hint {
         Some(hint_us) if token_objective_us > 0 => hint_us / token_objective_us,
-        _ => call.max_tokens / 2,
+        _ => info.max_tokens / 2,
     }
 }
--- a/crates/router/tests/bounds.rs
+++ b/crates/router/tests/bounds.rs
@@ -41,9 +41,9 @@
     }
 
     /// A request is read, written and served at once.
-    fn serves(&mut self, call: RequestInfo) {
-        let id = call.id;
-        let mut out = self.tell(Event::RequestArrived(call));
+    fn serves(&mut self, info: RequestInfo) {
+        let id = info.id;
+        let mut out = self.tell(Event::RequestArrived(info));
         for attempt in 0..2 {
             let sent = out.iter().find_map(|action| match action {
                 Action::Assign { server, .. } => Some(*server),
@@ -87,7 +87,12 @@
             before = held();
         }
         let (session, shared) = (Some(Key(id)), Some(Key(1 << 40 | id)));
-        front.serves(RequestInfo { session, shared, shared_tokens: 300, ..common::call(id, front.now) });
+        front.serves(RequestInfo {
+            session,
+            shared,
+            shared_tokens: 300,
+            ..common::request_info(id, front.now)
+        });
         if id.is_multiple_of(20) {
             front.tell(Event::TimerFired(TimerToken(1)));
         }
@@ -112,7 +117,7 @@
     let mut front = Front::new(common::fleet(false));
     for id in 1..=3_000u64 {
         front.now += 200_000;
-        front.serves(RequestInfo { session: Some(Key(id)), ..common::call(id, front.now) });
+        front.serves(RequestInfo { session: Some(Key(id)), ..common::request_info(id, front.now) });
     }
     let learnt = front.hands_over();
     let servers = learnt["servers"].as_array().expect("servers");
@@ -153,8 +158,10 @@
             id += 1;
             front.now += 50_000;
             let now = front.now;
-            let out =
-                front.tell(Event::RequestArrived(RequestInfo { class: fails % 4, ..common::call(id, now) }));
+            let out = front.tell(Event::RequestArrived(RequestInfo {
+                class: fails % 4,
+                ..common::request_info(id, now)
+            }));
             let sent = out.iter().find_map(|action| match action {
                 Action::Assign { server, .. } => Some(*server),
                 _ => None,
@@ -189,7 +196,7 @@
     let _alone = ALONE.lock();
     let mut front = Front::new(common::fleet(false));
     let now = front.now;
-    let out = front.tell(Event::RequestArrived(common::call(1, now)));
+    let out = front.tell(Event::RequestArrived(common::request_info(1, now)));
     let Some(Action::Assign { server, .. }) =
         out.iter().find(|action| matches!(action, Action::Assign { .. }))
     else {
@@ -233,7 +240,8 @@
             class_renumbering: BTreeMap::new(),
         });
         let (id, now) = (u64::from(round) + 1, front.now);
-        let out = front.tell(Event::RequestArrived(RequestInfo { class: round, ..common::call(id, now) }));
+        let out =
+            front.tell(Event::RequestArrived(RequestInfo { class: round, ..common::request_info(id, now) }));
         if let Some(Action::Assign { server, .. }) =
             out.iter().find(|action| matches!(action, Action::Assign { .. }))
         {
--- a/crates/router/tests/classes.rs
+++ b/crates/router/tests/classes.rs
@@ -82,7 +82,7 @@
     world.tell(Event::SettingsReloaded { settings: Box::new(settings), class_renumbering: [(4, 0)].into() });
     world.end(id, Outcome::ConnectFailed);
     assert_eq!(world.known[&id].attempts, 2, "the old number may be sent five times");
-    let mut new = call(2, world.now);
+    let mut new = request_info(2, world.now);
     new.class = 4;
     world.ask(new);
     world.end(RequestId(2), Outcome::ConnectFailed);
--- a/crates/router/tests/cold_fleet.rs
+++ b/crates/router/tests/cold_fleet.rs
@@ -108,8 +108,8 @@
         let session = model.lots.next_u64() % 400;
         let shared = (!session.is_multiple_of(4)).then(|| Key(9_000 + session % 13));
         let (shared_tokens, session) = (if shared.is_some() { 500 } else { 0 }, Some(Key(session)));
-        let call = RequestInfo { session, shared, shared_tokens, ..common::call(id, now) };
-        model.ask(front.unwrap_or(0), call);
+        let info = RequestInfo { session, shared, shared_tokens, ..common::request_info(id, now) };
+        model.ask(front.unwrap_or(0), info);
     }
     let mut worst = Worst { colds: cold.len(), limit: 1.0, ..Worst::default() };
     for server in cold {
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -83,7 +83,7 @@
     list
 }
 
-pub fn call(id: u64, now: Micros) -> RequestInfo {
+pub fn request_info(id: u64, now: Micros) -> RequestInfo {
     RequestInfo {
         id: RequestId(id),
         class: 0,
@@ -109,7 +109,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Known {
-    pub call: RequestInfo,
+    pub info: RequestInfo,
     pub attempts: u32,
     pub out: Option<Sent>,
     pub ended: bool,
@@ -181,16 +181,16 @@
         self.roster(ListUpdateKind::StaleCopy, list);
     }
 
-    pub fn ask(&mut self, call: RequestInfo) {
-        let id = call.id;
-        let known = Known { call: call.clone(), attempts: 0, out: None, ended: false, ran: None, held: None };
+    pub fn ask(&mut self, info: RequestInfo) {
+        let id = info.id;
+        let known = Known { info: info.clone(), attempts: 0, out: None, ended: false, ran: None, held: None };
         self.known.insert(id, known);
-        self.tell(Event::RequestArrived(call));
+        self.tell(Event::RequestArrived(info));
     }
 
     pub fn simple(&mut self, id: u64) -> RequestId {
-        let call = call(id, self.now);
-        self.ask(call);
+        let info = request_info(id, self.now);
+        self.ask(info);
         RequestId(id)
     }
 
@@ -287,7 +287,7 @@
             let begun = known.out.as_ref().is_some_and(|out| out.begun);
             let slack = 4 * self.settings.resolution;
             assert!(
-                known.ended || begun || self.now <= known.call.not_after + slack,
+                known.ended || begun || self.now <= known.info.not_after + slack,
                 "rule 1: {id:?} not answered"
             );
             if let (None, Some((_, since))) = (&known.out, known.held) {
@@ -311,7 +311,7 @@
                 let known = self.known.get_mut(id).expect("a known request");
                 assert!(!known.ended, "rule 1: {id:?} answered twice");
                 assert!(known.out.is_none(), "refused while an attempt is out");
-                let class = &self.settings.classes[&known.call.class];
+                let class = &self.settings.classes[&known.info.class];
                 let harmless = known.ran.is_none()
                     || class.effect == Effect::Idempotent
                     || (class.effect == Effect::Deduplicated && class.dedup_group == DedupGroup::All);
@@ -345,11 +345,11 @@
         let entry = self.list.get(&server).expect("a server of the list").clone();
         let reads = self.is_reader(server);
         let known = self.known.get_mut(&id).expect("a known request");
-        assert!(!known.ended && self.now <= known.call.not_after, "rule 1: {id:?} sent after its end");
+        assert!(!known.ended && self.now <= known.info.not_after, "rule 1: {id:?} sent after its end");
         assert!(known.out.is_none(), "rule 2: {id:?} has two attempts out");
         assert_eq!(entry.health, Health::Ready, "rule 3: {id:?} sent to a server that drains or is gone");
         if let Some((first, sent)) = known.ran {
-            let class = &self.settings.classes[&known.call.class];
+            let class = &self.settings.classes[&known.info.class];
             assert_ne!(class.effect, Effect::AtMostOnce, "rule 2: {id:?} sent again");
             if class.effect == Effect::Deduplicated {
                 assert!(self.now <= sent + class.dedup_window, "rule 2: {id:?} sent after the window");
@@ -360,12 +360,12 @@
                 );
             }
         }
-        let until = (self.now + attempt_timeout.max(1)).min(known.call.not_after);
+        let until = (self.now + attempt_timeout.max(1)).min(known.info.not_after);
         let number = known.attempts;
         known.out = Some(Sent { number, server, at: self.now, until, begun: false, reads });
         known.attempts += 1;
         assert!(
-            known.attempts <= self.settings.classes[&known.call.class].max_attempts,
+            known.attempts <= self.settings.classes[&known.info.class].max_attempts,
             "{id:?} sent too often"
         );
         let cold = entry.started.is_some_and(|at| self.now < at + self.settings.slow_start_window);
--- a/crates/router/tests/decisions.rs
+++ b/crates/router/tests/decisions.rs
@@ -93,15 +93,15 @@
         let dispatcher = (model.lot() * f64::from(of.dispatchers)) as usize;
         let (session, class) = ((model.lot() * 40.0) as u64, (model.lot() * 4.0) as u32);
         let prompt_tokens = 400 + (model.lot() * 9_000.0) as u64;
-        let call = RequestInfo {
+        let info = RequestInfo {
             class,
             session: Some(Key(session)),
             shared: (!session.is_multiple_of(3)).then_some(Key(900 + session % 4)),
             shared_tokens: 1_200,
             prompt_tokens,
-            ..common::call(id, model.now)
+            ..common::request_info(id, model.now)
         };
-        model.ask(dispatcher, call);
+        model.ask(dispatcher, info);
     }
     model.until(end + 8 * S);
     let mut decisions: DecisionHash = model.decisions.clone();
--- a/crates/router/tests/failures.rs
+++ b/crates/router/tests/failures.rs
@@ -7,9 +7,9 @@
 
 /// Serves a request at once, both stages; says where it was read.
 fn serve(world: &mut World, id: u64, session: u64) -> ServerId {
-    let mut call = call(id, world.now);
-    call.session = Some(Key(session));
-    world.ask(call);
+    let mut info = request_info(id, world.now);
+    info.session = Some(Key(session));
+    world.ask(info);
     let reader = world.out(RequestId(id)).expect("sent to a reader").server;
     world.pass(40_000);
     world.end_with(RequestId(id), Outcome::Read, 1_000);
@@ -63,9 +63,9 @@
 fn a_silent_reader_is_passed_before_its_time_out_and_rested_after_it() {
     let mut world = World::new(settings(), fleet(false));
     let silent = serve(&mut world, 1, 5);
-    let mut call = call(2, world.now);
-    call.session = Some(Key(5));
-    world.ask(call);
+    let mut info = request_info(2, world.now);
+    info.session = Some(Key(5));
+    world.ask(info);
     assert_eq!(world.out(RequestId(2)).unwrap().server, silent);
     world.pass(600_000);
     assert_ne!(serve(&mut world, 3, 5), silent, "the oldest attempt there has been silent for too long");
@@ -103,7 +103,7 @@
         session: Some(Key(session)),
         shared: Some(Key(shared)),
         shared_tokens: 100,
-        ..call(id, now)
+        ..request_info(id, now)
     };
     // Sessions 0 and `other` were read at one reader, the shared beginning at another.
     let reader = serve(&mut world, 1, 0);
@@ -121,9 +121,9 @@
         .unwrap();
     for id in 2..4 {
         world.pass(SECOND);
-        let mut call = call(id, world.now);
-        call.session = Some(Key(0));
-        world.ask(call);
+        let mut info = request_info(id, world.now);
+        info.session = Some(Key(0));
+        world.ask(info);
         assert_eq!(world.out(RequestId(id)).unwrap().server, reader);
         world.pass(40_000);
         world.end_with(RequestId(id), Outcome::Read, 0);
@@ -178,7 +178,7 @@
     let near = (100..120).filter(|&session| serve(&mut world, session, session) == ServerId(2)).count();
     assert!(near > 2, "moves within the cell are the yardstick");
     let far = (0..99).find(|&session| serve(&mut world, session, session) == ServerId(0)).unwrap();
-    let mut again = call(500, world.now);
+    let mut again = request_info(500, world.now);
     again.session = Some(Key(far));
     world.ask(again.clone());
     assert_eq!(world.out(RequestId(500)).unwrap().server, ServerId(0), "its match is there");
@@ -198,10 +198,10 @@
     crowd.dispatcher_count = 200;
     let mut world = World::new(crowd, fleet(false));
     let reader = serve(&mut world, 1, 5);
-    let mut first = call(2, world.now);
+    let mut first = request_info(2, world.now);
     first.session = Some(Key(5));
     world.ask(first);
-    let mut second = call(3, world.now);
+    let mut second = request_info(3, world.now);
     second.session = Some(Key(5));
     world.ask(second);
     assert_eq!(world.out(RequestId(2)).unwrap().server, reader);
@@ -213,7 +213,7 @@
     let second_choice = |seed: u64| {
         let mut world = World::new(settings(), fleet(false));
         world.restart(seed);
-        let mut asked = call(1, world.now);
+        let mut asked = request_info(1, world.now);
         asked.shared = Some(Key(77));
         asked.shared_tokens = 800;
         world.ask(asked);
@@ -231,7 +231,7 @@
     let mut world = World::new(settings(), list.into());
     let sick = ServerId(10);
     let write = |world: &mut World, id: u64, class: u32| {
-        let mut asked = call(id, world.now);
+        let mut asked = request_info(id, world.now);
         asked.class = class;
         world.ask(asked);
         world.end(RequestId(id), Outcome::Read);
@@ -356,7 +356,7 @@
     let mut world = World::new(settings(), fleet(false));
     let mut used = std::collections::BTreeSet::new();
     for id in 1..60 {
-        let mut asked = call(id, world.now);
+        let mut asked = request_info(id, world.now);
         asked.shared = Some(Key(77));
         asked.shared_tokens = 900;
         world.ask(asked);
@@ -377,7 +377,8 @@
     let mut used = std::collections::BTreeSet::new();
     for session in 0..40 {
         let mut world = World::new(settings(), list.clone());
-        let shared = RequestInfo { shared: Some(Key(77)), shared_tokens: 900, ..call(session, world.now) };
+        let shared =
+            RequestInfo { shared: Some(Key(77)), shared_tokens: 900, ..request_info(session, world.now) };
         world.ask(shared);
         used.insert(world.out(RequestId(session)).unwrap().server);
     }
@@ -461,7 +462,7 @@
     let mut world = World::new(settings(), list);
     let mut used = std::collections::BTreeSet::new();
     for id in 0..840 {
-        let mut asked = call(id, world.now);
+        let mut asked = request_info(id, world.now);
         let hot = id >= 720 && id % 5 < 2;
         asked.shared = Some(Key(if hot { 77 } else { 10_000 + id }));
         asked.shared_tokens = 900;
@@ -499,8 +500,11 @@
         world.end(id, Outcome::Read);
         leave(&mut world, id);
     }
-    let again =
-        |id: u64, now: Micros| RequestInfo { session: Some(Key(5)), prompt_tokens: 6_000, ..call(id, now) };
+    let again = |id: u64, now: Micros| RequestInfo {
+        session: Some(Key(5)),
+        prompt_tokens: 6_000,
+        ..request_info(id, now)
+    };
     world.ask(again(200, world.now));
     world.ask(again(201, world.now));
     assert_eq!(world.out(RequestId(200)).map(|out| out.server), Some(reader));
@@ -530,7 +534,7 @@
     assert_eq!(stuck.len(), 4, "a read is out at each");
     world.pass(700_000);
     for &(session, reader) in kept.iter().take(8) {
-        world.ask(RequestInfo { session: Some(Key(session)), ..call(300 + session, world.now) });
+        world.ask(RequestInfo { session: Some(Key(session)), ..request_info(300 + session, world.now) });
         let id = RequestId(300 + session);
         assert_eq!(world.out(id).map(|out| out.server), Some(reader), "session {session}");
         leave(&mut world, id);
--- a/crates/router/tests/fairness.rs
+++ b/crates/router/tests/fairness.rs
@@ -55,8 +55,8 @@
 /// The share of a class's requests that were answered, and of the tenth of it (under 400 requests: the quarter) with the
 /// longest prompts.
 fn shares(model: &Model, class: u32) -> (f64, f64) {
-    let mut all: Vec<_> = model.records.values().filter(|record| record.call.class == class).collect();
-    all.sort_by_key(|record| std::cmp::Reverse(record.call.prompt_tokens));
+    let mut all: Vec<_> = model.records.values().filter(|record| record.info.class == class).collect();
+    all.sort_by_key(|record| std::cmp::Reverse(record.info.prompt_tokens));
     let longest = all.len() / if all.len() < 400 { 4 } else { 10 };
     let share = |of: &[&fleet_model::Record]| {
         of.iter().filter(|record| record.answered.is_some()).count() as f64 / of.len() as f64
@@ -76,8 +76,9 @@
         id += 1;
         let (class, front) = (u32::from(model.lot() < 0.3), (model.lot() * 4.0) as usize);
         let (prompt_tokens, now) = (prompt(&mut model), model.now);
-        let call = RequestInfo { class, prompt_tokens, not_after: now + 6 * S, ..common::call(id, now) };
-        model.ask(front, call);
+        let info =
+            RequestInfo { class, prompt_tokens, not_after: now + 6 * S, ..common::request_info(id, now) };
+        model.ask(front, info);
     }
     model.until(end + 10 * S);
     model
@@ -138,24 +139,24 @@
         let (class, session) =
             ((session % u64::from(classes)) as u32, Some(Key::from_text(&format!("s{session}"))));
         let not_after = at + 6 * S;
-        let call = RequestInfo {
+        let info = RequestInfo {
             class,
             session,
             shared,
             shared_tokens,
             prompt_tokens,
             not_after,
-            ..common::call(id as u64 + 1, at)
+            ..common::request_info(id as u64 + 1, at)
         };
         let front = (model.lot() * 4.0) as usize;
-        model.ask(front, call);
+        model.ask(front, info);
     }
     model.until(model.now + 10 * S);
     (0..classes)
         .map(|class| {
             let mut refused: BTreeMap<Key, (usize, usize)> = BTreeMap::new();
-            for record in model.records.values().filter(|record| record.call.class == class) {
-                let of_session = refused.entry(record.call.session.expect("one")).or_default();
+            for record in model.records.values().filter(|record| record.info.class == class) {
+                let of_session = refused.entry(record.info.session.expect("one")).or_default();
                 of_session.0 += usize::from(record.refused);
                 of_session.1 += 1;
             }
@@ -234,14 +235,14 @@
                 let prompt_tokens = prompt(&mut model);
                 let class = (model.lot() * f64::from(classes)) as u32;
                 let session = Some(Key::from_text(&format!("s{}", id % 40)));
-                let call = RequestInfo {
+                let info = RequestInfo {
                     class,
                     session,
                     prompt_tokens,
                     not_after: at + 6 * S,
-                    ..common::call(id + 1, at)
+                    ..common::request_info(id + 1, at)
                 };
-                model.ask(0, call);
+                model.ask(0, info);
             }
             model.until(model.now + 10 * S);
             let met =
--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -136,8 +136,8 @@
 
     /// Where a front sends a request of the one session that all ask for; it is not answered.
     fn ask(&mut self, front: usize, id: u64) -> Option<ServerId> {
-        let call = RequestInfo { session: Some(Key(7)), ..common::call(id, self.now) };
-        let out = self.tell(front, Event::RequestArrived(call));
+        let info = RequestInfo { session: Some(Key(7)), ..common::request_info(id, self.now) };
+        let out = self.tell(front, Event::RequestArrived(info));
         out.iter().find_map(|action| match action {
             Action::Assign { server, .. } => Some(*server),
             _ => None,
--- a/crates/router/tests/fleet_model/mod.rs
+++ b/crates/router/tests/fleet_model/mod.rs
@@ -47,7 +47,7 @@
 /// What became of a request.
 #[derive(Clone, Debug)]
 pub struct Record {
-    pub call: RequestInfo,
+    pub info: RequestInfo,
     pub front: usize,
     pub at: Micros,
     pub attempts: u32,
@@ -190,10 +190,10 @@
         (self.settings.slow_start_min_share + (1.0 - self.settings.slow_start_min_share) * age).min(1.0)
     }
 
-    pub fn ask(&mut self, front: usize, call: RequestInfo) {
-        let (id, at, not_after) = (call.id, self.now, call.not_after);
+    pub fn ask(&mut self, front: usize, info: RequestInfo) {
+        let (id, at, not_after) = (info.id, self.now, info.not_after);
         let record = Record {
-            call: call.clone(),
+            info: info.clone(),
             front,
             at,
             attempts: 0,
@@ -203,7 +203,7 @@
         };
         self.records.insert(id, record);
         self.plan(not_after, front, Step::Leaves(id));
-        self.tell(front, Event::RequestArrived(call));
+        self.tell(front, Event::RequestArrived(info));
     }
 
     fn plan(&mut self, at: Micros, front: usize, step: Step) {
@@ -303,8 +303,8 @@
         let record = self.records.get_mut(&id).expect("known");
         let attempt = record.attempts;
         record.attempts += 1;
-        let until = (now + attempt_timeout.max(1)).min(record.call.not_after);
-        let tokens = record.call.prompt_tokens as f64;
+        let until = (now + attempt_timeout.max(1)).min(record.info.not_after);
+        let tokens = record.info.prompt_tokens as f64;
         self.fronts[front].out.insert(id, (attempt, server, now));
         let mut model = self.servers.remove(&server).expect("a server");
         let of_role = || self.servers.values().filter(|other| other.role == model.role);
--- a/crates/router/tests/full_scan.rs
+++ b/crates/router/tests/full_scan.rs
@@ -207,7 +207,7 @@
         self.next += 1;
         let session = u64::from(lot >> 4) % 23;
         let shared = (!lot.is_multiple_of(3)).then(|| Key(500 + session % 5));
-        let call = RequestInfo {
+        let info = RequestInfo {
             id: RequestId(self.next),
             class: lot % 5,
             session: (!lot.is_multiple_of(7)).then_some(Key(session)),
@@ -218,7 +218,7 @@
             hint: None,
             not_after: self.now + SECOND + u64::from(lot >> 12) % (4 * SECOND),
         };
-        self.tell(Event::RequestArrived(call));
+        self.tell(Event::RequestArrived(info));
     }
 
     fn change(&mut self, server: ServerId, change: impl FnOnce(&mut ServerEntry, Micros)) {
--- a/crates/router/tests/full_scan/control.rs
+++ b/crates/router/tests/full_scan/control.rs
@@ -159,7 +159,7 @@
         }
         match event {
             Event::EndpointsUpdated { how, entries } => self.roster(how, entries),
-            Event::RequestArrived(call) => self.call(call, out),
+            Event::RequestArrived(info) => self.take_request(info, out),
             Event::FirstToken { id, attempt, taken } => self.begun(id, attempt, taken),
             Event::AttemptFinished(ended) => self.ended(ended, out),
             Event::ClientDisconnected(id) => self.hangup(id, out),
@@ -190,8 +190,8 @@
 
     // ---- A request's life ----
 
-    fn call(&mut self, call: RequestInfo, out: &mut Vec<Action>) {
-        let id = call.id;
+    fn take_request(&mut self, info: RequestInfo, out: &mut Vec<Action>) {
+        let id = info.id;
         if self.requests.contains_key(&id) {
             return;
         }
@@ -199,13 +199,13 @@
         let time = self.share_time();
         self.calls_lately.add(1.0, self.now, time);
         self.gossip.add_credit();
-        if let Some(key) = call.shared {
+        if let Some(key) = info.shared {
             self.beginnings.get_or_insert_mut(key, DecayingRate::default).add(1.0, self.now, time);
             if self.beginnings.len() > PREFIX_KEYS {
                 self.beginnings.pop_lru();
             }
         }
-        self.requests.insert(id, RequestState::new(call));
+        self.requests.insert(id, RequestState::new(info));
         self.route(id, out);
     }
 
@@ -213,13 +213,13 @@
     /// else whole to whatever can do it, else an answer at once.
     fn route(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
-        if request.call.not_after <= self.now
+        if request.info.not_after <= self.now
             || self.spent(request)
             || !self.servers.values().any(|server| self.effect_allows(request, server))
         {
             return self.answer(id, out);
         }
-        let &RequestInfo { not_after, class, session, .. } = &request.call;
+        let &RequestInfo { not_after, class, session, .. } = &request.info;
         if let Some(HeldState { reader, since }) = request.held_state {
             match self.pick_writer(id, reader) {
                 Some(writer) if self.now < since + self.settings.max_hold_time => {
@@ -259,14 +259,14 @@
     /// Ends a request at once: refused where a new try is harmless, else failed. Lets go of its state.
     fn answer(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let class = self.settings.classes.get(&request.call.class);
+        let class = self.settings.classes.get(&request.info.class);
         let harmless = request.may_have_executed.is_none()
             || class.is_none_or(|class| match class.effect {
                 Effect::Idempotent => true,
                 Effect::Deduplicated => class.dedup_group == DedupGroup::All,
                 Effect::AtMostOnce => false,
             });
-        if harmless && request.call.not_after > self.now {
+        if harmless && request.info.not_after > self.now {
             let spread = self.rng.next_u64() % (self.settings.max_retry_after / 2).max(1);
             out.push(Action::Reject { id, retry_in: self.settings.max_retry_after / 2 + spread });
         } else {
@@ -308,7 +308,7 @@
         }
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(mut attempt) = request.in_flight.take_if(|out| out.number == ended.attempt) else { return };
-        let prompt = request.call.prompt_tokens;
+        let prompt = request.info.prompt_tokens;
         request.is_completed |= ended.last;
         let worked = matches!(outcome, Outcome::Read | Outcome::Served);
         match outcome {
@@ -369,7 +369,7 @@
     /// effect can happen twice; (3) the list has the server as ready; (4) a cold server's budget allows it.
     fn allowed(&self, request: &RequestState, server: &Server) -> bool {
         let window = self.settings.overload_window;
-        let open = !request.is_completed && request.in_flight.is_none() && request.call.not_after > self.now;
+        let open = !request.is_completed && request.in_flight.is_none() && request.info.not_after > self.now;
         open && server.entry.health == Health::Ready
             && self.effect_allows(request, server)
             && self
@@ -378,13 +378,13 @@
     }
 
     fn spent(&self, request: &RequestState) -> bool {
-        let class = self.settings.classes.get(&request.call.class);
+        let class = self.settings.classes.get(&request.info.class);
         class.is_some_and(|class| request.attempts >= class.max_attempts)
     }
 
     fn effect_allows(&self, request: &RequestState, server: &Server) -> bool {
         let Some(Execution { server: first, sent_at: sent }) = request.may_have_executed else { return true };
-        let Some(class) = self.settings.classes.get(&request.call.class) else { return false };
+        let Some(class) = self.settings.classes.get(&request.info.class) else { return false };
         let same_group = || {
             let first = self.servers.get(&first).map(|first| &first.entry);
             first.is_some_and(|first| match class.dedup_group {
@@ -407,26 +407,26 @@
         if !self.allowed(request, server) || self.spent(request) {
             return self.answer(id, out);
         }
-        let call = &request.call;
-        let held = server.prefixes.longest_match(call, self.now);
-        let unread = call.prompt_tokens - held.map_or(0, |prefix| prefix.tokens);
-        let answer = self.answer_tokens(call);
+        let info = &request.info;
+        let held = server.prefixes.longest_match(info, self.now);
+        let unread = info.prompt_tokens - held.map_or(0, |prefix| prefix.tokens);
+        let answer = self.answer_tokens(info);
         let (tokens, effort) = match stage {
             Stage::Read => (unread, unread as f64 + READ_OVERHEAD),
-            Stage::Write => (call.prompt_tokens + answer, call.prompt_tokens as f64 + WRITE_OVERHEAD),
-            Stage::ReadAndWrite => (call.prompt_tokens + answer, unread as f64 + READ_OVERHEAD),
+            Stage::Write => (info.prompt_tokens + answer, info.prompt_tokens as f64 + WRITE_OVERHEAD),
+            Stage::ReadAndWrite => (info.prompt_tokens + answer, unread as f64 + READ_OVERHEAD),
         };
         let reader = request.held_state.and_then(|held| self.servers.get(&held.reader));
         let far = reader.is_some_and(|reader| reader.entry.cell != server.entry.cell);
         let latency_objective = self
             .settings
             .classes
-            .get(&call.class)
-            .map_or(0.0, |class| class.latency_objective_for(call.prompt_tokens));
+            .get(&info.class)
+            .map_or(0.0, |class| class.latency_objective_for(info.prompt_tokens));
         let attempt_timeout =
             self.attempt_timeout(server, stage, effort, request.failed_at.len(), latency_objective);
         let attempt_timeout =
-            (attempt_timeout * if far { FAR_PATIENCE } else { 1 }).min(call.not_after - self.now).max(1);
+            (attempt_timeout * if far { FAR_PATIENCE } else { 1 }).min(info.not_after - self.now).max(1);
         let permit = self.cold_permit(server);
         let expected = self.gossip.believed_us(to, self.now);
         if stage != Stage::Write {
@@ -442,9 +442,9 @@
         server.unanswered_tokens[stage as usize] += effort;
         server.memory_tokens_in_flight += tokens;
         if stage != Stage::Write {
-            let _ = server.prefixes.record(&request.call, self.now);
+            let _ = server.prefixes.record(&request.info, self.now);
         }
-        let class = request.call.class;
+        let class = request.info.class;
         let attempt = Attempt {
             number: request.attempts,
             server: to,
@@ -496,13 +496,13 @@
         let salt = self.rng.next_u64();
         let request = self.requests.get(&id)?;
         let pool = self.usable(role, request);
-        let call = &request.call;
-        let class = call.class;
+        let info = &request.info;
+        let class = info.class;
         let mut ranking: Vec<_> = Vec::with_capacity(pool.len());
-        for (at, id) in self.homes(role, call).into_iter().enumerate().filter(|(_, id)| pool.contains(id)) {
+        for (at, id) in self.homes(role, info).into_iter().enumerate().filter(|(_, id)| pool.contains(id)) {
             let server = &self.servers[&id];
-            let held = server.prefixes.longest_match(call, self.now).map_or(0, |prefix| prefix.tokens);
-            let held = if at == 0 { held.max(call.shared_tokens) } else { held };
+            let held = server.prefixes.longest_match(info, self.now).map_or(0, |prefix| prefix.tokens);
+            let held = if at == 0 { held.max(info.shared_tokens) } else { held };
             let in_flight = server.unanswered.len();
             let (first, then) = if held > 0 { (in_flight, usize::from(at > 0)) } else { (0, at) };
             ranking.push((Reverse(held), first, then, in_flight, mix(salt ^ mix(u64::from(id.0))), id));
@@ -538,9 +538,9 @@
     /// and a change of the list moves only what lay there. A zone's own servers come first, for as many
     /// keys as they can take. Of several homes of a beginning the session picks one, and it counts as kept
     /// there: turns must find it, so nothing here may depend on how long the prompt has grown.
-    fn homes(&self, role: Role, call: &RequestInfo) -> Vec<ServerId> {
-        let key = call.shared.or(call.session).unwrap_or(Key(0));
-        let moves = role == Role::Reader && call.shared.is_some();
+    fn homes(&self, role: Role, info: &RequestInfo) -> Vec<ServerId> {
+        let key = info.shared.or(info.session).unwrap_or(Key(0));
+        let moves = role == Role::Reader && info.shared.is_some();
         let score = |e: &Server| {
             let lot = unit_interval(mix(key.0 ^ mix(u64::from(e.entry.server.0))));
             // What is kept costs little to read, but all of it has to move: it belongs beside writers.
@@ -560,11 +560,11 @@
         let seen = self.beginnings.peek(&key).map_or(0.0, |rate| rate.count_at(self.now, time));
         let calls = self.calls_lately.count_at(self.now, time);
         let share = (seen - 1.0).max(0.0) / (calls + PRIOR_CALLS); // one sighting proves nothing
-        let reads = FIRST_GUESS_TOKENS / call.shared_tokens.max(1) as f64;
+        let reads = FIRST_GUESS_TOKENS / info.shared_tokens.max(1) as f64;
         let least = reads.ceil().min(order.len().div_ceil(READERS_PER_HOME) as f64);
         let homes = (HOMES_PER_SHARE * share * order.len() as f64).ceil().max(least) as usize;
         let homes = homes.min(order.len());
-        let session = call.session.unwrap_or(key).0;
+        let session = info.session.unwrap_or(key).0;
         order[..homes].sort_by_key(|rank| Reverse(mix(session ^ mix(u64::from(rank.2 .0) + 1))));
         order.into_iter().map(|rank| rank.2).collect()
     }
@@ -674,7 +674,7 @@
 
     /// Servers of a role that the rules allow and that look well; where too few do, all that are allowed.
     fn usable(&self, role: Role, request: &RequestState) -> Vec<ServerId> {
-        let class = request.call.class;
+        let class = request.info.class;
         let allowed = |e: &&Server| e.role == role && self.allowed(request, e);
         let pool = most(self.servers.values().filter(allowed).collect(), |e| self.well(e, class));
         let untried = |e: &&Server| !request.failed_at.contains(&e.entry.server);
@@ -802,12 +802,12 @@
         )
     }
 
-    fn answer_tokens(&self, call: &RequestInfo) -> u64 {
+    fn answer_tokens(&self, info: &RequestInfo) -> u64 {
         let token_interval_objective =
-            self.settings.classes.get(&call.class).map_or(0, |class| class.token_interval_objective);
-        match call.hint {
+            self.settings.classes.get(&info.class).map_or(0, |class| class.token_interval_objective);
+        match info.hint {
             Some(hint) if token_interval_objective > 0 => hint / token_interval_objective,
-            _ => call.max_tokens / 2,
+            _ => info.max_tokens / 2,
         }
     }
 
--- a/crates/router/tests/handover.rs
+++ b/crates/router/tests/handover.rs
@@ -23,9 +23,9 @@
 
 /// Where a front sends the next turn of a session.
 fn reader_of(world: &mut World, session: u64, id: u64) -> ServerId {
-    let mut call = call(id, world.now);
-    call.session = Some(Key(session));
-    world.ask(call);
+    let mut info = request_info(id, world.now);
+    info.session = Some(Key(session));
+    world.ask(info);
     let to = world.out(RequestId(id)).expect("it is sent").server;
     world.pass(30_000);
     world.end_with(RequestId(id), Outcome::Read, 1_000);
--- a/crates/router/tests/list_orders.rs
+++ b/crates/router/tests/list_orders.rs
@@ -41,7 +41,7 @@
     assert_eq!(asking.failed(4, 0, u64::MAX / 2), first);
 }
 
-fn call(id: u64) -> RequestInfo {
+fn request_info(id: u64) -> RequestInfo {
     RequestInfo {
         id: RequestId(id),
         class: 0,
@@ -58,7 +58,7 @@
 /// To whom a call goes at that time.
 fn goes_to(router: &mut Router, now: Micros, id: u64) -> Option<ServerId> {
     let mut out = Vec::new();
-    router.handle(now, Event::RequestArrived(call(id)), &mut out);
+    router.handle(now, Event::RequestArrived(request_info(id)), &mut out);
     out.into_iter().find_map(|action| match action {
         Action::Assign { server, .. } => Some(server),
         _ => None,
--- a/crates/router/tests/placement.rs
+++ b/crates/router/tests/placement.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeSet;
 
-use common::{call, settings, World, SECOND};
+use common::{request_info, settings, World, SECOND};
 use dewladder_router::interface::*;
 use dewladder_router::{tag, Load, LoadUpdate};
 
@@ -26,7 +26,7 @@
 /// A call of a session that begins with a shared text of 4,000 tokens.
 fn turn(world: &World, id: u64, session: u64, prompt_tokens: u64) -> RequestInfo {
     let (session, shared) = (Some(Key(session)), Some(Key(77)));
-    RequestInfo { session, shared, shared_tokens: 4_000, prompt_tokens, ..call(id, world.now) }
+    RequestInfo { session, shared, shared_tokens: 4_000, prompt_tokens, ..request_info(id, world.now) }
 }
 
 fn reader_of(world: &World, id: u64) -> ServerId {
@@ -50,7 +50,7 @@
     world.roster(ListUpdateKind::Full, readers.chain(writers).collect());
     for id in 1..=6 {
         let prompt_tokens = 9_000;
-        world.ask(RequestInfo { prompt_tokens, ..call(id, world.now) });
+        world.ask(RequestInfo { prompt_tokens, ..request_info(id, world.now) });
         world.end(RequestId(id), Outcome::Read);
         let out = world.out(RequestId(id)).expect("sent on at once");
         assert!(!out.reads, "{id}: {out:?}");
@@ -200,7 +200,7 @@
     world.simple(1);
     assert_eq!(tells(&world), 0, "a short prompt is no news");
     for id in 2..=21 {
-        let giant = RequestInfo { prompt_tokens: 30_000, ..call(id, world.now) };
+        let giant = RequestInfo { prompt_tokens: 30_000, ..request_info(id, world.now) };
         world.ask(giant);
     }
     // Five bytes to 299 others at 0.0025 for 256 bytes: 0.0146 of a request each; a call pays 0.01.
@@ -216,7 +216,7 @@
         world.settings.classes.get_mut(&0).expect("a class").latency_objective_per_1000_tokens = 400_000;
         let settings = Box::new(world.settings.clone());
         world.tell(Event::SettingsReloaded { settings, class_renumbering: Default::default() });
-        world.ask(RequestInfo { prompt_tokens, ..call(1, world.now) });
+        world.ask(RequestInfo { prompt_tokens, ..request_info(1, world.now) });
         let out = world.out(RequestId(1)).expect("sent");
         out.until - out.at
     };
--- a/crates/router/tests/properties.rs
+++ b/crates/router/tests/properties.rs
@@ -33,15 +33,15 @@
         let any = waiting.get(first as usize % waiting.len().max(1)).copied();
         match what {
             0..=5 => {
-                let mut call = call(next_id, world.now);
+                let mut info = request_info(next_id, world.now);
                 next_id += 1;
-                call.class = first % 4;
-                call.session = (second % 5 > 0).then_some(Key(u64::from(second % 7)));
-                call.shared = (first % 3 > 0).then_some(Key(100 + u64::from(first % 4)));
-                call.shared_tokens = 700;
-                call.prompt_tokens = u64::from(second % 9_000);
-                call.not_after = world.now + u64::from(first % 4_000) * 1_000;
-                world.ask(call);
+                info.class = first % 4;
+                info.session = (second % 5 > 0).then_some(Key(u64::from(second % 7)));
+                info.shared = (first % 3 > 0).then_some(Key(100 + u64::from(first % 4)));
+                info.shared_tokens = 700;
+                info.prompt_tokens = u64::from(second % 9_000);
+                info.not_after = world.now + u64::from(first % 4_000) * 1_000;
+                world.ask(info);
             }
             6..=10 => {
                 if let Some(id) = any {
--- a/crates/router/tests/rules.rs
+++ b/crates/router/tests/rules.rs
@@ -10,9 +10,9 @@
     let mut settings = settings();
     settings.writers_can_read = false;
     let mut world = World::new(settings, vec![entry(0, 0)]);
-    let mut call = call(1, world.now);
-    call.not_after = world.now + 100_000;
-    world.ask(call);
+    let mut info = request_info(1, world.now);
+    info.not_after = world.now + 100_000;
+    world.ask(info);
     world.pass(60_000);
     world.end(RequestId(1), Outcome::Read);
     world.pass(SECOND);
@@ -33,9 +33,9 @@
 #[test]
 fn rule_2_an_unsafe_request_that_may_have_run_is_failed_and_not_sent_again() {
     let mut world = World::new(settings(), fleet(false));
-    let mut call = call(1, world.now);
-    call.class = 1;
-    world.ask(call);
+    let mut info = request_info(1, world.now);
+    info.class = 1;
+    world.ask(info);
     world.end(RequestId(1), Outcome::Timeout);
     assert!(world.out(RequestId(1)).is_some(), "a read has no effect");
     world.end(RequestId(1), Outcome::Read);
--- a/crates/router/tests/written_forms.rs
+++ b/crates/router/tests/written_forms.rs
@@ -22,11 +22,11 @@
 
 /// One turn of a session that shares a beginning, read and answered.
 fn turn(world: &mut World, id: u64, cached_tokens: u64) {
-    let mut call = call(id, world.now);
-    call.session = Some(Key(id % 5));
-    call.shared = (!id.is_multiple_of(3)).then_some(Key(70 + id % 2));
-    call.shared_tokens = 600;
-    world.ask(call);
+    let mut info = request_info(id, world.now);
+    info.session = Some(Key(id % 5));
+    info.shared = (!id.is_multiple_of(3)).then_some(Key(70 + id % 2));
+    info.shared_tokens = 600;
+    world.ask(info);
     world.pass(30_000 + 1_000 * (id % 7));
     world.end_with(RequestId(id), Outcome::Read, cached_tokens);
     world.pass(40_000);
