--- a/src/edge/driver.rs
+++ b/src/edge/driver.rs
@@ -29,7 +29,7 @@
 use crate::edge::driver::releases::Releases;
 use crate::edge::driver::summary::Summary;
 use crate::edge::peers::Peers;
-use crate::edge::servers::{self, Servers};
+use crate::edge::servers::{Attempt, Servers};
 use crate::edge::settings::Config;
 use crate::edge::stats::{End, Figures};
 use crate::interface::{Micros, Outcome, RequestId, ServerId, Settings};
@@ -252,7 +252,7 @@
                 };
                 let (address, payload) = (address.clone(), payload.clone());
                 let (until, begin_by) = (self.clock.instant(until), self.clock.instant(begin_by));
-                let request = servers::Attempt { address, payload, reads, until, begin_by, new_connection };
+                let request = Attempt { address, payload, reads, until, begin_by, new_connection };
                 self.attempts.send(id, attempt, request);
             }
             Effect::CancelUnwritten { id, attempt } => return self.attempts.cancel_unwritten(id, attempt),
--- a/src/edge/driver/attempts.rs
+++ b/src/edge/driver/attempts.rs
@@ -8,7 +8,7 @@
 use crate::edge::core::Input;
 use crate::edge::driver::handle::DriverHandle;
 use crate::edge::driver::messages::Message;
-use crate::edge::servers::{self, Opened, Progress, Servers, StreamEnd as _};
+use crate::edge::servers::{Attempt, AttemptOutcome, Opened, Progress, Servers, StreamEnd as _};
 use crate::interface::RequestId;
 
 struct InFlight {
@@ -32,21 +32,21 @@
     }
 
     /// Sends a request to a server.
-    pub(super) fn send(&mut self, id: RequestId, number: u32, attempt: servers::Attempt) {
+    pub(super) fn send(&mut self, id: RequestId, number: u32, attempt: Attempt) {
         let progress = Arc::new(Progress::default());
         let (stop, stopped) = oneshot::channel();
         let (servers, driver, marks) = (self.servers.clone(), self.driver.clone(), progress.clone());
         tokio::spawn(async move {
             match servers.attempt(attempt, marks, stopped).await {
-                servers::Result::Opened(opened) => {
+                AttemptOutcome::Opened(opened) => {
                     driver.send(Message::StreamOpened { id, attempt: number, opened });
                 }
-                servers::Result::Ended(result) => driver.finished(id, number, result),
-                servers::Result::Stopped { written } => {
+                AttemptOutcome::Ended(result) => driver.finished(id, number, result),
+                AttemptOutcome::Stopped { written } => {
                     driver.send(Message::Input(Input::AttemptStopped { id, attempt: number, written }));
                 }
                 // Told already: by now the request may be over, and another have its id.
-                servers::Result::CalledOff => {}
+                AttemptOutcome::CalledOff => {}
             }
         });
         self.in_flight.insert((id, number), InFlight { progress, stop: Some(stop), opened: None });
--- a/tests/crossings_shutdown.rs
+++ b/tests/crossings_shutdown.rs
@@ -630,7 +630,7 @@
     let mut second = folder.start();
     second.says("serving on").await;
     let mut third = folder.start();
-    third.says("waiting for a part").await;
+    third.says("waiting for a share of its limits").await;
     third.tell("-TERM");
     assert_eq!(third.ended().await.0, Some(0));
     for at in 0..4 {
--- a/tests/local_connect_failures.rs
+++ b/tests/local_connect_failures.rs
@@ -49,7 +49,7 @@
     };
     let (_keep, stopped) = oneshot::channel();
     match servers.attempt(attempt, std::sync::Arc::default(), stopped).await {
-        servers::Result::Ended(ending) => ending.outcome,
+        servers::AttemptOutcome::Ended(ending) => ending.outcome,
         other => panic!("{other:?}"),
     }
 }
--- a/tests/silent_releases.rs
+++ b/tests/silent_releases.rs
@@ -73,7 +73,7 @@
     };
     let (_keep, stopped) = oneshot::channel();
     let result = servers.attempt(attempt, Arc::default(), stopped).await;
-    assert!(matches!(result, servers::Result::Ended(_)), "{result:?}");
+    assert!(matches!(result, servers::AttemptOutcome::Ended(_)), "{result:?}");
 }
 
 /// A release that its holder does not answer is asked over a new connection next: what else is open may be as silent.
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -150,7 +150,7 @@
     };
     // Joined, not spawned: nothing else runs between the end of the attempt and the look at the peer.
     let (result, ()) = tokio::join!(attempt(&listener, stopped), reading);
-    assert!(matches!(result, servers::Result::Stopped { written: true }));
+    assert!(matches!(result, servers::AttemptOutcome::Stopped { written: true }));
     assert_eq!(peer.unwrap().read(&mut [0; 8]).ok(), Some(0), "the end has come, without any wait");
 }
 
@@ -169,7 +169,7 @@
     let mut peer = accept(&listener).await;
     read_request(&mut peer).await;
     peer.write_all(b"HTTP/1.1 202 Accepted\r\nContent-Length: 2\r\n\r\n{}").unwrap();
-    assert!(matches!(first.await.unwrap(), servers::Result::Ended(_)));
+    assert!(matches!(first.await.unwrap(), servers::AttemptOutcome::Ended(_)));
     sleep(Duration::from_millis(100)).await; // it takes the next request once it has been quiet for a while
                                              // Both in one turn of the runtime: the word to send, and the end of the connection that lies idle.
     let word = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -186,7 +186,7 @@
     drop(peer);
     let soon = tokio::time::Instant::now() + Duration::from_secs(1);
     let ended = tokio::time::timeout_at(soon, second).await.expect("an end, and no wait for a repeat");
-    let servers::Result::Ended(ending) = ended.unwrap() else { panic!("it has ended") };
+    let servers::AttemptOutcome::Ended(ending) = ended.unwrap() else { panic!("it has ended") };
     assert_eq!(ending.outcome, Outcome::ConnectFailed, "it was never written");
     sleep(Duration::from_millis(50)).await;
     listener.set_nonblocking(true).unwrap();
@@ -196,7 +196,7 @@
 fn attempt(
     listener: &std::net::TcpListener,
     stop: oneshot::Receiver<()>,
-) -> impl Future<Output = servers::Result> + use<> {
+) -> impl Future<Output = servers::AttemptOutcome> + use<> {
     let address = listener.local_addr().unwrap();
     let config = Config::parse("config", &config(address, &json!({})), |_| None).unwrap();
     attempt_with(Servers::new(&config, Figures::default()), listener, stop)
@@ -206,7 +206,7 @@
     servers: Servers,
     listener: &std::net::TcpListener,
     stop: oneshot::Receiver<()>,
-) -> impl Future<Output = servers::Result> + use<> {
+) -> impl Future<Output = servers::AttemptOutcome> + use<> {
     let payload = Payload { txn: ID.to_owned(), target: "/".to_owned(), key: None, body: "{}".into() };
     let until = tokio::time::Instant::now() + Duration::from_secs(1);
     let address = listener.local_addr().unwrap().to_string();
