--- a/src/bin/dewladder-benchlink.rs
+++ b/src/bin/dewladder-simulator-adapter.rs
@@ -7,14 +7,14 @@
 use std::process::ExitCode;
 
 use dewladder::interface::{Action, Micros};
-use dewladder::wire::{write_reply, Batch, BatchReader, Message, WireError};
+use dewladder::simulator_adapter::{write_reply, Batch, BatchReader, Message, WireError};
 use dewladder::Router;
 
 fn main() -> ExitCode {
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("dewladder-benchlink: {error}");
+            eprintln!("dewladder-simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
@@ -30,41 +30,41 @@
     while input.read(&mut batch)? {
         actions.clear();
         owners.clear();
-        for (front, message) in batch.messages.drain(..) {
-            if message == Message::Down {
-                forget_actions(front, &mut actions, &mut owners);
+        for (dispatcher, message) in batch.messages.drain(..) {
+            if message == Message::Killed {
+                forget_actions(dispatcher, &mut actions, &mut owners);
             }
-            deliver(&mut routers, front, batch.now, message, &mut actions);
-            owners.resize(actions.len(), front);
+            deliver(&mut routers, dispatcher, batch.now, message, &mut actions);
+            owners.resize(actions.len(), dispatcher);
         }
         write_reply(&mut output, &batch.number, owners.iter().copied().zip(&actions))?;
     }
     Ok(())
 }
 
-/// A front killed in this batch says nothing more: what it wanted a moment ago goes with it.
-fn forget_actions(front: u32, actions: &mut Vec<Action>, owners: &mut Vec<u32>) {
+/// A dispatcher killed in this batch says nothing more: what it wanted a moment ago goes with it.
+fn forget_actions(dispatcher: u32, actions: &mut Vec<Action>, owners: &mut Vec<u32>) {
     let mut owner = owners.iter();
-    actions.retain(|_| owner.next() != Some(&front));
-    owners.retain(|&owner| owner != front);
+    actions.retain(|_| owner.next() != Some(&dispatcher));
+    owners.retain(|&owner| owner != dispatcher);
 }
 
 fn deliver(
     routers: &mut BTreeMap<u32, Router>,
-    front: u32,
+    dispatcher: u32,
     now: Micros,
     message: Message,
     actions: &mut Vec<Action>,
 ) {
     match message {
-        Message::Born { seed, settings } => {
-            routers.insert(front, Router::new(*settings, seed, now));
+        Message::Started { seed, settings } => {
+            routers.insert(dispatcher, Router::new(*settings, seed, now));
         }
-        Message::Down => {
-            routers.remove(&front);
+        Message::Killed => {
+            routers.remove(&dispatcher);
         }
         Message::Event(event) => {
-            if let Some(router) = routers.get_mut(&front) {
+            if let Some(router) = routers.get_mut(&dispatcher) {
                 router.handle(now, event, actions);
             }
         }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,6 +3,6 @@
 #![warn(missing_docs)]
 
 pub mod edge;
-pub mod wire;
+pub mod simulator_adapter;
 
 pub use dewladder_router::{interface, Router};
--- /dev/null
+++ b/src/simulator_adapter/fields.rs
@@ -0,0 +1,72 @@
+//! The fields of a line.
+
+use std::str::FromStr;
+
+use dewladder_router::interface::{Micros, RequestId};
+use dewladder_router::pairs::micros;
+
+use crate::simulator_adapter::WireError;
+
+/// A line's fields, taken one after the other; errors name the line and the field.
+pub(super) struct Fields<'a> {
+    rest: std::str::Split<'a, char>,
+    pub(super) line: u64,
+}
+
+impl<'a> Fields<'a> {
+    pub(super) fn new(text: &'a str, line: u64) -> Self {
+        Self { rest: text.split('\t'), line }
+    }
+
+    /// The error that a field of this line can't be read.
+    pub(super) fn malformed(&self, field: &str, what: &str) -> WireError {
+        WireError::Malformed { line: self.line, field: field.to_owned(), what: what.to_owned() }
+    }
+
+    /// The next field as it stands; `None` at the end of the line.
+    pub(super) fn next(&mut self) -> Option<&'a str> {
+        self.rest.next()
+    }
+
+    /// A text that is not empty.
+    pub(super) fn word(&mut self, field: &str) -> Result<&'a str, WireError> {
+        self.next().filter(|text| !text.is_empty()).ok_or_else(|| self.malformed(field, "missing"))
+    }
+
+    /// A value that may be absent: `-`, or the end of the line.
+    pub(super) fn optional<T: FromStr>(&mut self, field: &str) -> Result<Option<T>, WireError> {
+        match self.next() {
+            None | Some("-") => Ok(None),
+            Some(text) => {
+                text.parse().map(Some).map_err(|_| self.malformed(field, &format!("can't read '{text}'")))
+            }
+        }
+    }
+
+    /// A number.
+    pub(super) fn number<T: FromStr>(&mut self, field: &str) -> Result<T, WireError> {
+        self.optional(field)?.ok_or_else(|| self.malformed(field, "missing"))
+    }
+
+    /// A time in seconds that may be absent, in microseconds.
+    pub(super) fn optional_time(&mut self, field: &str) -> Result<Option<Micros>, WireError> {
+        match self.next() {
+            None | Some("-") => Ok(None),
+            Some(text) => {
+                micros(text).map(Some).ok_or_else(|| self.malformed(field, &format!("'{text}' is no time")))
+            }
+        }
+    }
+
+    /// A time in seconds, in microseconds.
+    pub(super) fn time(&mut self, field: &str) -> Result<Micros, WireError> {
+        self.optional_time(field)?.ok_or_else(|| self.malformed(field, "missing"))
+    }
+
+    /// The id of a request: sixteen hexadecimal digits.
+    pub(super) fn request_id(&mut self, field: &str) -> Result<RequestId, WireError> {
+        let text = self.word(field)?;
+        let id = u64::from_str_radix(text, 16).ok().filter(|_| text.len() == 16);
+        id.map(RequestId).ok_or_else(|| self.malformed(field, &format!("'{text}' is no request id")))
+    }
+}
--- a/tests/wire.rs
+++ b/tests/simulator_adapter.rs
@@ -3,7 +3,7 @@
 use std::io::Cursor;
 
 use dewladder::interface::*;
-use dewladder::wire::{write_reply, Batch, BatchReader, Message};
+use dewladder::simulator_adapter::{write_reply, Batch, BatchReader, Message};
 
 fn read(text: &str) -> Result<Vec<(u32, Message)>, String> {
     let mut batch = Batch::default();
@@ -79,7 +79,7 @@
 fn the_memory_field_of_reports_is_the_one_that_the_settings_name() {
     let born = |pairs: &str| {
         let line = format!("born\t3\t51\tbalancers=2\tlanes.count=0{pairs}");
-        let Ok(Message::Born { settings, .. }) = read_one(&line) else { panic!("settings") };
+        let Ok(Message::Started { settings, .. }) = read_one(&line) else { panic!("settings") };
         settings.memory_field
     };
     let held = "share_of_memory_that_is_held";
@@ -98,7 +98,7 @@
                 domain.kind_memory_tokens=1000,2000\tlanes.count=1\tlanes.0.aim_s=1.2\t\
                 lanes.0.effect=deduplicated\tlanes.0.group=cell\tdomain.token_aim_s=0.06\tnew.key=1\t\
                 orgs.count=1\torgs.0.quota_rps=4.5\tdiscovery=subscribe\trules.cold_from=0.26";
-    let Ok(Message::Born { seed, settings }) = read_one(line) else { panic!("a start") };
+    let Ok(Message::Started { seed, settings }) = read_one(line) else { panic!("a start") };
     assert_eq!(
         (seed, settings.dispatcher_count, settings.writers_can_read, settings.must_subscribe),
         (51, 3, true, true)
