--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -232,7 +232,8 @@
 
 #[test]
 fn settings_of_a_fleet_that_can_not_be_are_told_by_name() {
-    let read = |path, value| dewladder_router::pairs::from_pairs([(path, value)].into_iter().collect());
+    let read =
+        |path, value| dewladder_router::settings::from_key_values([(path, value)].into_iter().collect());
     for value in ["0", "-3", "4000000000", "99999999999", "many", "2.5"] {
         let error = read("balancers", value).expect_err(value);
         assert_eq!(error.path, "balancers");
--- a/crates/router/tests/written_forms.rs
+++ b/crates/router/tests/written_forms.rs
@@ -5,7 +5,7 @@
 
 use common::*;
 use dewladder_router::interface::*;
-use dewladder_router::pairs::{from_pairs, SettingsError};
+use dewladder_router::settings::{from_key_values, SettingsError};
 use dewladder_router::{EndReason, Handover, Load, LoadUpdate};
 
 /// Written by the program as it stood before names in its code changed: it keeps the names on record.
@@ -136,7 +136,7 @@
 
 fn error(path: &'static str, value: &'static str) -> SettingsError {
     let pairs = [("lanes.count", "1"), ("limits.max_retry_after_s", "1"), (path, value)];
-    from_pairs(pairs.into_iter().collect()).expect_err(path)
+    from_key_values(pairs.into_iter().collect()).expect_err(path)
 }
 
 #[test]
@@ -174,8 +174,9 @@
         assert_eq!(error(path, value).to_string(), text);
         assert_eq!(error(path, value).path, path);
     }
-    let kind =
-        |memory| from_pairs([("kinds", "a"), ("domain.kind_memory_tokens", memory)].into_iter().collect());
+    let kind = |memory| {
+        from_key_values([("kinds", "a"), ("domain.kind_memory_tokens", memory)].into_iter().collect())
+    };
     let text = "settings domain.kind_memory_tokens: 0 of kind 0 is not a positive number";
     assert_eq!(kind("0").unwrap_err().to_string(), text);
     let text = "settings domain.kind_memory_tokens: '1e12' is no number";
--- a/src/edge/settings/config.rs
+++ b/src/edge/settings/config.rs
@@ -13,7 +13,7 @@
 use crate::edge::settings::key_values::flatten;
 use crate::edge::settings::rules::{self, MAX_VALUE};
 use crate::interface::{Key, Settings};
-use dewladder_router::pairs::from_pairs;
+use dewladder_router::settings::from_key_values;
 
 const NAME_VARIABLE: &str = "ROUTER_NAME";
 const LISTEN_VARIABLE: &str = "ROUTER_LISTEN";
@@ -208,7 +208,7 @@
     fn read(settings: &Value) -> Result<Self, Problem> {
         let values = flatten(settings);
         let pairs = values.iter().map(|(path, value)| (path.as_str(), value.as_str())).collect();
-        let settings = from_pairs(pairs)?;
+        let settings = from_key_values(pairs)?;
         if settings.classes.is_empty() || settings.kinds.is_empty() {
             return Err(Problem::NoClassesOrKinds);
         }
--- a/src/edge/settings/error.rs
+++ b/src/edge/settings/error.rs
@@ -6,7 +6,7 @@
 use thiserror::Error;
 
 use crate::edge::transient::is_transient;
-use dewladder_router::pairs::SettingsError;
+use dewladder_router::settings::SettingsError;
 
 /// Why a configuration can't be used; one plain line.
 #[derive(Debug, Error)]
--- a/src/simulator_adapter/fields.rs
+++ b/src/simulator_adapter/fields.rs
@@ -3,7 +3,7 @@
 use std::str::FromStr;
 
 use dewladder_router::interface::{Micros, RequestId};
-use dewladder_router::pairs::micros;
+use dewladder_router::settings::parse_micros;
 
 use crate::simulator_adapter::WireError;
 
@@ -52,9 +52,9 @@
     pub(super) fn optional_time(&mut self, field: &str) -> Result<Option<Micros>, WireError> {
         match self.next() {
             None | Some("-") => Ok(None),
-            Some(text) => {
-                micros(text).map(Some).ok_or_else(|| self.malformed(field, &format!("'{text}' is no time")))
-            }
+            Some(text) => parse_micros(text)
+                .map(Some)
+                .ok_or_else(|| self.malformed(field, &format!("'{text}' is no time"))),
         }
     }
 
--- a/src/simulator_adapter/messages.rs
+++ b/src/simulator_adapter/messages.rs
@@ -7,7 +7,7 @@
     AttemptFinished, CellId, Event, Health, Key, Outcome, Report, RequestInfo, ServerEntry, ServerId,
     Settings, TimerToken, ZoneId,
 };
-use dewladder_router::pairs::{from_pairs, SettingsError};
+use dewladder_router::settings::{from_key_values, SettingsError};
 
 use crate::simulator_adapter::fields::Fields;
 use crate::simulator_adapter::{Message, WireError};
@@ -171,7 +171,7 @@
     let named = |error: SettingsError| WireError::Malformed {
         line: fields.line,
         field: format!("settings {}", error.path),
-        what: error.what,
+        what: error.problem.to_string(),
     };
-    from_pairs(values).map_err(named)
+    from_key_values(values).map_err(named)
 }
--- a/tests/reducer.rs
+++ b/tests/reducer.rs
@@ -9,11 +9,11 @@
     AttemptFinished, CellId, Event, Health, ListUpdateKind, Outcome, RequestId, RequestInfo, ServerEntry,
     ServerId, Settings, ZoneId,
 };
-use dewladder_router::pairs::from_pairs;
+use dewladder_router::settings::from_key_values;
 
 fn settings() -> Settings {
     let pairs = [("lanes.count", "1"), ("limits.max_retry_after_s", "1")].into_iter().collect();
-    from_pairs(pairs).expect("settings")
+    from_key_values(pairs).expect("settings")
 }
 
 fn request(id: RequestId) -> RequestInfo {
--- a/tests/transitions.rs
+++ b/tests/transitions.rs
@@ -5,7 +5,7 @@
 use dewladder::edge::stats::Record;
 use dewladder::edge::transitions::OUTCOMES;
 use dewladder::interface::*;
-use dewladder_router::pairs::from_pairs;
+use dewladder_router::settings::from_key_values;
 use dewladder_router::EndReason;
 
 const SECOND: Micros = 1_000_000;
@@ -13,7 +13,7 @@
 
 fn core(most_open: usize) -> Core {
     let pairs = [("lanes.count", "1"), ("limits.max_retry_after_s", "1")].into_iter().collect();
-    Core::new(from_pairs(pairs).expect("settings"), 1, SECOND, most_open)
+    Core::new(from_key_values(pairs).expect("settings"), 1, SECOND, most_open)
 }
 
 fn call(class: u32, not_after: Micros) -> Input {
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -2,7 +2,7 @@
 
 use dewladder::edge::core::{Core, Effect as Asks, Input};
 use dewladder::interface::*;
-use dewladder_router::pairs::from_pairs;
+use dewladder_router::settings::from_key_values;
 
 const SECOND: Micros = 1_000_000;
 const HOUR: Micros = 3_600 * SECOND;
@@ -30,7 +30,7 @@
         ("rules.fall_s", "1.5"),
         ("resolution_s", "0.002"),
     ];
-    from_pairs(pairs.into_iter().collect()).unwrap()
+    from_key_values(pairs.into_iter().collect()).unwrap()
 }
 
 fn entry(server: u32, started: Option<Micros>) -> ServerEntry {
