--- a/benches/load.rs
+++ b/benches/load.rs
@@ -180,7 +180,7 @@
             }
         }
     }
-    let (memory, begun) = (status(&child, "VmHWM") / 1_024, fleet.begun());
+    let (memory, begun) = (status(&child, "VmHWM") / 1_024, fleet.started());
     let book =
         |number: usize| begun.iter().filter(|b| b.body.contains(&format!("request {number}\""))).count() > 1;
     let doubled = (0..ROUNDS * STREAMS).filter(|number| number.is_multiple_of(4) && book(*number)).count();
@@ -196,7 +196,7 @@
         firsts.value_at_quantile(0.99) as f64 / 1e3,
         memory,
         most,
-        fleet.most_open()
+        fleet.max_open()
     );
     child.start_kill().expect("it can be ended");
     let _ = child.wait().await;
--- a/crates/test-peers/src/net.rs
+++ b/crates/test-peers/src/net.rs
@@ -1,8 +1,8 @@
-//! A network between instances that harms what passes: datagrams are lost, delayed, or cut off in one direction.
+//! A faulty network between instances: datagrams are lost, delayed, or blocked in one direction.
 //!
 //! Each instance is reached by the others at an address of this network ([`Net::address`]), which it gives as its own.
 //! A datagram's sender is known by the socket that it was sent from ([`Net::attach`]), and what is passed on comes from
-//! the sender's address in this network: so each way from one to another can be harmed alone.
+//! the sender's address in this network: so each direction from one to another can be faulty by itself.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -17,19 +17,20 @@
 #[derive(Debug)]
 struct Rules {
     /// Where each instance's own socket is.
-    own: BTreeMap<usize, SocketAddr>,
+    sockets: BTreeMap<usize, SocketAddr>,
     /// Share of datagrams that is lost.
     loss: f64,
     delay: Duration,
-    cuts: BTreeSet<(usize, usize)>,
+    /// Directions in which nothing passes.
+    blocked: BTreeSet<(usize, usize)>,
     passed: u64,
     lost: u64,
     rng: Pcg64Mcg,
 }
 
-/// See the module.
+/// A faulty network, see the module.
 #[derive(Debug)]
-pub struct Net {
+pub struct FaultyNetwork {
     addresses: Vec<SocketAddr>,
     rules: Arc<Mutex<Rules>>,
     tasks: Vec<JoinHandle<()>>,
@@ -39,8 +40,8 @@
     rules.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Net {
-    /// A network for so many instances; the lots for what is lost come from `seed`.
+impl FaultyNetwork {
+    /// A network for so many instances; the draws for what is lost come from `seed`.
     ///
     /// # Errors
     /// What the system says.
@@ -51,10 +52,10 @@
         }
         let addresses = sockets.iter().map(|socket| socket.local_addr()).collect::<Result<Vec<_>, _>>()?;
         let rules = Arc::new(Mutex::new(Rules {
-            own: BTreeMap::new(),
+            sockets: BTreeMap::new(),
             loss: 0.0,
             delay: Duration::ZERO,
-            cuts: BTreeSet::new(),
+            blocked: BTreeSet::new(),
             passed: 0,
             lost: 0,
             rng: Pcg64Mcg::seed_from_u64(seed),
@@ -71,40 +72,40 @@
 
     /// Where that instance's own socket is; after a restart it is another.
     pub fn attach(&self, at: usize, own: SocketAddr) {
-        locked(&self.rules).own.insert(at, own);
+        locked(&self.rules).sockets.insert(at, own);
     }
 
-    /// The share of datagrams that is lost from now on, on all ways.
+    /// The share of datagrams that is lost from now on, in all directions.
     pub fn lose(&self, share: f64) {
         locked(&self.rules).loss = share;
     }
 
-    /// How long each datagram is under way from now on.
+    /// The delay of each datagram from now on.
     pub fn delay(&self, delay: Duration) {
         locked(&self.rules).delay = delay;
     }
 
-    /// Cuts one way, or mends it.
-    pub fn cut(&self, from: usize, to: usize, cut: bool) {
+    /// Blocks one direction, or opens it again.
+    pub fn block(&self, from: usize, to: usize, blocked: bool) {
         let mut rules = locked(&self.rules);
-        if cut {
-            rules.cuts.insert((from, to));
+        if blocked {
+            rules.blocked.insert((from, to));
         } else {
-            rules.cuts.remove(&(from, to));
+            rules.blocked.remove(&(from, to));
         }
     }
 
-    /// Cuts all ways between these and the others, or mends them.
-    pub fn partition(&self, side: &[usize], cut: bool) {
+    /// Blocks all directions between these and the others, or opens them again.
+    pub fn partition(&self, side: &[usize], blocked: bool) {
         for &a in side {
             for b in (0..self.addresses.len()).filter(|b| !side.contains(b)) {
-                self.cut(a, b, cut);
-                self.cut(b, a, cut);
+                self.block(a, b, blocked);
+                self.block(b, a, blocked);
             }
         }
     }
 
-    /// Datagrams that were passed on, and those that were lost or cut off.
+    /// Datagrams that were passed on, and those that were lost or blocked.
     #[must_use]
     pub fn counts(&self) -> (u64, u64) {
         let rules = locked(&self.rules);
@@ -112,7 +113,7 @@
     }
 }
 
-impl Drop for Net {
+impl Drop for FaultyNetwork {
     fn drop(&mut self) {
         for task in &self.tasks {
             task.abort();
@@ -120,32 +121,44 @@
     }
 }
 
+impl Rules {
+    /// From whom, and to which socket, a datagram for an instance is passed on; `None` where it is lost.
+    fn route(&mut self, source: SocketAddr, to: usize) -> Option<(usize, SocketAddr)> {
+        let from = self.sockets.iter().find(|(_, socket)| **socket == source).map(|(&from, _)| from);
+        let draw = self.rng.next_u64() as f64 / u64::MAX as f64;
+        let passes = from.is_some_and(|from| draw >= self.loss && !self.blocked.contains(&(from, to)));
+        match (from, self.sockets.get(&to)) {
+            (Some(from), Some(&socket)) if passes => {
+                self.passed += 1;
+                Some((from, socket))
+            }
+            _ => {
+                self.lost += 1;
+                None
+            }
+        }
+    }
+}
+
 /// Passes on what comes for one instance.
 async fn pass_on(to: usize, sockets: Vec<Arc<UdpSocket>>, rules: Arc<Mutex<Rules>>) {
-    let mut bytes = vec![0; 65_536];
+    let mut buffer = vec![0; 65_536];
     loop {
-        let Ok((length, source)) = sockets[to].recv_from(&mut bytes).await else { continue };
-        let (from, own, delay) = {
+        let Ok((length, source)) = sockets[to].recv_from(&mut buffer).await else { continue };
+        let (route, delay) = {
             let mut rules = locked(&rules);
-            let from = rules.own.iter().find(|(_, own)| **own == source).map(|(&at, _)| at);
-            let lot = rules.rng.next_u64() as f64 / u64::MAX as f64;
-            let passes = from.is_some_and(|from| lot >= rules.loss && !rules.cuts.contains(&(from, to)));
-            let (Some(from), Some(&own), true) = (from, rules.own.get(&to), passes) else {
-                rules.lost += 1;
-                continue;
-            };
-            rules.passed += 1;
-            (from, own, rules.delay)
+            (rules.route(source, to), rules.delay)
         };
+        let Some((from, destination)) = route else { continue };
         let socket = sockets[from].clone();
+        // An instance that has died receives nothing, as on any network.
         if delay.is_zero() {
-            // One that has died hears nothing, as on any network.
-            let _ = socket.try_send_to(&bytes[..length], own);
+            let _ = socket.try_send_to(&buffer[..length], destination);
         } else {
-            let bytes = bytes[..length].to_vec();
+            let datagram = buffer[..length].to_vec();
             tokio::spawn(async move {
                 tokio::time::sleep(delay).await;
-                let _ = socket.try_send_to(&bytes, own);
+                let _ = socket.try_send_to(&datagram, destination);
             });
         }
     }
--- a/crates/test-peers/src/peer.rs
+++ b/crates/test-peers/src/peer.rs
@@ -7,7 +7,7 @@
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-use crate::wire::{field, message};
+use crate::http::{field, message};
 
 /// Listens; each connection is taken when the test asks for it.
 #[derive(Debug)]
--- a/crates/test-peers/src/wire.rs
+++ b/crates/test-peers/src/wire.rs
@@ -1,8 +1,15 @@
-//! HTTP/1.1 as far as stand-ins need it: messages with a body by length, and chunks.
+//! HTTP/1.1 as far as the test doubles need it: messages with a body by length, and chunks.
 
 use tokio::io::AsyncReadExt as _;
 use tokio::net::TcpStream;
 
+const END_OF_HEAD: &[u8] = b"\r\n\r\n";
+/// The head of an answer that is a stream of events.
+pub(crate) const STREAM_HEAD: &str =
+    "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
+/// The end of a chunked body.
+pub(crate) const LAST_CHUNK: &str = "0\r\n\r\n";
+
 /// A chunk of a chunked body.
 #[must_use]
 pub fn chunk(text: &str) -> String {
@@ -15,17 +22,15 @@
     format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n{headers}\r\n{body}", body.len())
 }
 
-/// One message with its body by length; `None` at the end.
+/// The next message with its body by length; `None` where the connection ends before. What was read beyond it stays in
+/// `read`.
+///
+/// # Panics
+/// A length that is no number.
 pub async fn message(stream: &mut TcpStream, read: &mut Vec<u8>) -> Option<(String, Vec<u8>)> {
     loop {
-        if let Some(end) = read.windows(4).position(|window| window == b"\r\n\r\n") {
-            let head = String::from_utf8_lossy(&read[..end]).into_owned();
-            let length = field(&head, "content-length").map_or(0, |text| text.parse().unwrap());
-            if read.len() >= end + 4 + length {
-                let body = read[end + 4..end + 4 + length].to_vec();
-                read.drain(..end + 4 + length);
-                return Some((head, body));
-            }
+        if let Some(found) = take_message(read) {
+            return Some(found);
         }
         if stream.read_buf(read).await.ok()? == 0 {
             return None;
@@ -33,6 +38,17 @@
     }
 }
 
+/// Takes a whole message from what was read: its head and its body.
+fn take_message(read: &mut Vec<u8>) -> Option<(String, Vec<u8>)> {
+    let head_end = read.windows(END_OF_HEAD.len()).position(|window| window == END_OF_HEAD)?;
+    let head = String::from_utf8_lossy(&read[..head_end]).into_owned();
+    let body_length = field(&head, "content-length").map_or(0, |text| text.parse().unwrap());
+    let body_start = head_end + END_OF_HEAD.len();
+    let body = read.get(body_start..body_start + body_length)?.to_vec();
+    read.drain(..body_start + body_length);
+    Some((head, body))
+}
+
 /// A header's value.
 #[must_use]
 pub fn field(head: &str, name: &str) -> Option<String> {
--- a/crates/test-peers/src/wrong.rs
+++ b/crates/test-peers/src/wrong.rs
@@ -1,18 +1,18 @@
-//! A front that is wrong in one way: it passes all on to a right one, and spoils what comes back, or what it
-//! sends. A conformance suite must catch each.
+//! A front that is malformed in one way: it passes all on to a right one, and spoils the answers, or the requests. A
+//! conformance suite must catch each.
 
 use std::net::SocketAddr;
 
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::wire::{field, message};
+use crate::http::{field, message};
 
-/// What is wrong with a front.
+/// In which way a front is malformed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wrong {
-    /// Nothing: what passes through is as good as before.
-    Nothing,
+pub enum Malformation {
+    /// In none: what passes through is as good as before.
+    None,
     /// Streams end without `[DONE]`.
     NoDone,
     /// Streams tell the end twice.
@@ -53,8 +53,8 @@
     AnyMediaType,
 }
 
-impl Wrong {
-    /// All that are wrong.
+impl Malformation {
+    /// All but [`Malformation::None`].
     pub const ALL: [Self; 19] = [
         Self::NoDone,
         Self::DoneTwice,
@@ -77,8 +77,8 @@
         Self::AnyMediaType,
     ];
 
-    /// What it sends on.
-    fn sends(self, head: &str, first_key: &str) -> String {
+    /// The head of a request as it is sent on.
+    fn spoil_request(self, head: &str, first_key: &str) -> String {
         let line = |line: &str| {
             let name = line.split(':').next().unwrap_or("").to_ascii_lowercase();
             match (self, name.as_str()) {
@@ -93,7 +93,8 @@
         head.lines().filter_map(line).collect::<Vec<_>>().join("\r\n")
     }
 
-    fn answers(self, head: &mut String, body: &mut String) {
+    /// Spoils an answer.
+    fn spoil_answer(self, head: &mut String, body: &mut String) {
         let stream = head.to_ascii_lowercase().contains("text/event-stream");
         let without = |head: &str, name: &str| {
             let kept = head.lines().filter(|line| !line.to_ascii_lowercase().starts_with(name));
@@ -108,8 +109,8 @@
                 *body = body.replace("data: [DONE]", usage);
             }
             Self::NoUsage if stream => {
-                let told = |event: &&str| !event.contains("\"choices\":[],");
-                *body = body.split_inclusive("\n\n").filter(told).collect();
+                let is_kept = |event: &&str| !event.contains("\"choices\":[],");
+                *body = body.split_inclusive("\n\n").filter(is_kept).collect();
             }
             Self::OtherObject if stream => *body = body.replace("chat.completion.chunk", "chat.completion"),
             Self::NoRole if stream => *body = body.replace(",\"role\":\"assistant\"", ""),
@@ -157,20 +158,29 @@
 ///
 /// # Errors
 /// What the system says.
-pub async fn wrong_front(right: SocketAddr, wrong: Wrong, first_key: &str) -> std::io::Result<SocketAddr> {
+pub async fn malformed_front(
+    right: SocketAddr,
+    malformation: Malformation,
+    first_key: &str,
+) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
     let first_key = first_key.to_owned();
     tokio::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
             let first_key = first_key.clone();
-            tokio::spawn(async move { pass(&mut stream, right, wrong, &first_key).await });
+            tokio::spawn(async move { pass(&mut stream, right, malformation, &first_key).await });
         }
     });
     Ok(address)
 }
 
-async fn pass(stream: &mut TcpStream, right: SocketAddr, wrong: Wrong, first_key: &str) -> Option<()> {
+async fn pass(
+    stream: &mut TcpStream,
+    right: SocketAddr,
+    malformation: Malformation,
+    first_key: &str,
+) -> Option<()> {
     let mut read = Vec::new();
     let (head, body) = tokio::select! {
         found = message(stream, &mut read) => found?,
@@ -182,7 +192,9 @@
         }
     };
     let mut to = TcpStream::connect(right).await.ok()?;
-    to.write_all(format!("{}\r\n\r\n", wrong.sends(&head, first_key)).as_bytes()).await.ok()?;
+    to.write_all(format!("{}\r\n\r\n", malformation.spoil_request(&head, first_key)).as_bytes())
+        .await
+        .ok()?;
     to.write_all(&body).await.ok()?;
     let mut answer = Vec::new();
     to.read_to_end(&mut answer).await.ok()?;
@@ -197,6 +209,6 @@
         !line.starts_with("transfer-encoding") && !line.starts_with("content-length")
     });
     let mut head = lines.collect::<Vec<_>>().join("\r\n");
-    wrong.answers(&mut head, &mut body);
+    malformation.spoil_answer(&mut head, &mut body);
     stream.write_all(format!("{head}\r\ncontent-length: {}\r\n\r\n{body}", body.len()).as_bytes()).await.ok()
 }
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -10,7 +10,7 @@
 
 use dewladder::edge::settings::Config;
 use dewladder_test_peers::{
-    event, member, plain, platform, until_close, Does, Line, Peer, Server, LAST_EVENTS,
+    event, member, plain, platform, until_close, Behavior, Line, Peer, Server, LAST_EVENTS,
 };
 use listed::{answer, entry, list, settings, status, Running, Watched, SOON};
 use serde_json::{json, Value};
@@ -703,7 +703,7 @@
 async fn a_start_check_config_and_sighup_turn_down_the_same_files() {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("bad-settings");
     std::fs::create_dir_all(&folder).unwrap();
-    let (server, agent) = (Server::start(Does::Stream(1)).await, Peer::start().await);
+    let (server, agent) = (Server::start(Behavior::Stream(1)).await, Peer::start().await);
     let port = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let mut good = settings(agent.address, &list(1, true, &[entry(server.address, 1, "up")]));
     good["listen"] = json!(port);
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -65,9 +65,9 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_cut_in_one_direction_and_lost_messages_lead_to_no_death() {
     let cluster = Cluster::formed("harm", 5, 3).await;
-    cluster.net.cut(0, 1, true);
+    cluster.net.block(0, 1, true);
     sleep(Duration::from_secs(9)).await; // thirty probe times
-    cluster.net.cut(0, 1, false);
+    cluster.net.block(0, 1, false);
     cluster.net.lose(0.2);
     sleep(Duration::from_secs(60)).await;
     cluster.net.lose(0.0);
--- a/tests/conform.rs
+++ b/tests/conform.rs
@@ -1,11 +1,11 @@
-//! The conformance suite against the program, and against fronts that are each wrong in one way.
+//! The conformance suite against the program, and against fronts that are each malformed in one way.
 
 mod stand_in;
 
 use std::time::Duration;
 
 use dewladder_conform::{cases, run, CaseReport, CaseResult, Target};
-use dewladder_test_peers::{wrong_front, Wrong};
+use dewladder_test_peers::{malformed_front, Malformation};
 use stand_in::*;
 
 const ON: &str = "enabled = true\nafter_start_s = 0.0\n";
@@ -53,19 +53,19 @@
 
 /// A suite that can't fail says nothing: each of these must be caught, and a front that changes nothing passes.
 #[tokio::test]
-async fn each_wrong_front_is_caught() {
+async fn each_malformed_front_is_caught() {
     let site = FleetSite::start(fast(), ON).await;
     let all: Vec<_> = cases().unwrap().into_iter().filter(|case| !case.faults).collect();
-    let right = wrong_front(site.chat, Wrong::Nothing, "key-of-clay").await.unwrap();
+    let right = malformed_front(site.chat, Malformation::None, "key-of-clay").await.unwrap();
     let reports = run(&target(right, "nothing"), &all).await;
     assert_eq!(not_passed(&reports), Vec::<&CaseReport>::new());
-    for wrong in Wrong::ALL {
-        let front = wrong_front(site.chat, wrong, "key-of-clay").await.unwrap();
-        let reports = run(&target(front, &format!("{wrong:?}")), &all).await;
+    for malformation in Malformation::ALL {
+        let front = malformed_front(site.chat, malformation, "key-of-clay").await.unwrap();
+        let reports = run(&target(front, &format!("{malformation:?}")), &all).await;
         let failed = reports.iter().filter(|report| matches!(report.result, CaseResult::Failed(_))).count();
         let errors = reports.iter().filter(|report| matches!(report.result, CaseResult::NotRun(_))).count();
-        assert!(failed > 0 && errors == 0, "{wrong:?}: {failed} failed, {errors} could not be tried");
-        assert!(failed < all.len(), "{wrong:?} is wrong in one way only");
+        assert!(failed > 0 && errors == 0, "{malformation:?}: {failed} failed, {errors} could not be tried");
+        assert!(failed < all.len(), "{malformation:?} is malformed in one way only");
     }
 }
 
--- a/tests/crossings_list.rs
+++ b/tests/crossings_list.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use dewladder_test_peers::{chunk, field, plain, Does, LatePeer, Peer, Server};
+use dewladder_test_peers::{chunk, field, plain, Behavior, LatePeer, Peer, Server};
 use listed::{answer, entry, list, settings, status, Running, Watched, SOON};
 use serde_json::{json, Value};
 use tokio::io::{AsyncBufReadExt as _, AsyncReadExt as _, AsyncWriteExt as _, BufReader};
@@ -101,7 +101,7 @@
 #[tokio::test]
 async fn a_whole_list_in_place_of_a_delta_is_taken_whole() {
     let (all, mut line) = Watched::start().await;
-    let third = Server::start(Does::Stream(1)).await;
+    let third = Server::start(Behavior::Stream(1)).await;
     let entries = [entry(third.address, 3, "up"), entry(all.servers[1].address, 2, "up")];
     line.says(&answer(&list(5, true, &entries))).await.unwrap();
     let (mut line, from) = all.watch(line).await;
@@ -353,7 +353,7 @@
 
 impl Outage {
     async fn start(mood: Mood, change: impl FnOnce(&mut Value)) -> Self {
-        let servers = [Server::start(Does::Stream(1)).await, Server::start(Does::Stream(1)).await];
+        let servers = [Server::start(Behavior::Stream(1)).await, Server::start(Behavior::Stream(1)).await];
         let told = Self::told(&servers, 1, "up");
         let registry = Registry::start(mood, told.clone()).await;
         let mut config = settings(registry.address, &told);
@@ -593,7 +593,7 @@
     (0..2).for_each(|lane| config["settings"]["lanes"][lane]["aim_s"] = json!(4.0));
     let site = Running::start(&config);
     let mut line = listed::told(&agent, &list(1, true, &[up])).await;
-    let other = Server::start(Does::Stream(1)).await;
+    let other = Server::start(Behavior::Stream(1)).await;
     let asks = dewladder_test_peers::platform("0a", "book", "4.000");
     let to = site.platform;
     let asking = tokio::spawn(async move { dewladder_test_peers::until_close(to, &asks).await });
@@ -641,7 +641,7 @@
         let to = site.platform;
         let asking = tokio::spawn(async move { dewladder_test_peers::until_close(to, &asks).await });
         let (sent, _) = old.asked().await;
-        let new = Server::start(Does::Stream(1)).await;
+        let new = Server::start(Behavior::Stream(1)).await;
         let mut back = entry(new.address, 1, "up");
         back["up_since_ms"] = json!(1_700_000_000_000u64);
         line.says(&answer(&list(2, false, &[back]))).await.unwrap();
@@ -659,8 +659,8 @@
 /// none is known, not before a list has come. It is never ready where what it then gets could not be served.
 #[tokio::test]
 async fn readiness_is_told_only_where_a_request_is_served() {
-    let whole = Server::start(Does::Stream(1)).await;
-    let (reader, writer) = (Server::start(Does::Read).await, Server::start(Does::Stream(1)).await);
+    let whole = Server::start(Behavior::Stream(1)).await;
+    let (reader, writer) = (Server::start(Behavior::Read).await, Server::start(Behavior::Stream(1)).await);
     let [both, prefill, decode] = [
         entry(whole.address, 1, "up"),
         dewladder_test_peers::member(reader.address, 2, "prefill", "up"),
@@ -715,7 +715,7 @@
 /// state that is held too, and the refusal names a time within the new limit.
 #[tokio::test]
 async fn what_is_held_goes_by_the_time_that_the_new_file_allows() {
-    let reader = Server::start(Does::Read).await;
+    let reader = Server::start(Behavior::Read).await;
     let agent = Peer::start().await;
     let known = [dewladder_test_peers::member(reader.address, 1, "prefill", "up")];
     let mut config = settings(agent.address, &list(1, true, &known));
@@ -749,7 +749,7 @@
 /// The same the other way: a longer time is allowed while a state is held, and a writer comes within it.
 #[tokio::test]
 async fn what_is_held_may_wait_as_long_as_the_new_file_allows() {
-    let (reader, writer) = (Server::start(Does::Read).await, Server::start(Does::Stream(1)).await);
+    let (reader, writer) = (Server::start(Behavior::Read).await, Server::start(Behavior::Stream(1)).await);
     let agent = Peer::start().await;
     let known = [dewladder_test_peers::member(reader.address, 1, "prefill", "up")];
     let mut config = settings(agent.address, &list(1, true, &known));
@@ -834,7 +834,7 @@
 #[tokio::test]
 async fn idle_clients_that_fill_the_descriptors_keep_out_neither_the_list_nor_the_second_address() {
     for (descriptors, mood) in [(96, Mood::Hangs), (192, Mood::Resets)] {
-        let servers = [Server::start(Does::Stream(1)).await, Server::start(Does::Stream(1)).await];
+        let servers = [Server::start(Behavior::Stream(1)).await, Server::start(Behavior::Stream(1)).await];
         let known = Outage::told(&servers, 1, "up");
         let registry = Registry::start(mood, known.clone()).await;
         let mut config = settings(registry.address, &known);
@@ -863,7 +863,7 @@
             said = status(&dewladder_test_peers::until_close(process.port, &ask).await);
         }
         // Discovery returns, with a third server for two.
-        let third = Server::start(Does::Stream(1)).await;
+        let third = Server::start(Behavior::Stream(1)).await;
         let back = Instant::now();
         registry.now(Mood::Answers, &list(2, true, &[entry(third.address, 3, "up")]));
         while process.figure("members").await != Some(1) {
@@ -887,7 +887,7 @@
 /// Two SIGHUPs at once, each with a file of its own: the last file holds, and only its agent is watched in the end.
 #[tokio::test]
 async fn of_two_signals_at_once_the_last_file_holds() {
-    let servers = [Server::start(Does::Stream(1)).await, Server::start(Does::Stream(1)).await];
+    let servers = [Server::start(Behavior::Stream(1)).await, Server::start(Behavior::Stream(1)).await];
     let known = Outage::told(&servers, 1, "up");
     let registries = [
         Registry::start(Mood::Answers, known.clone()).await,
--- a/tests/front_failures.rs
+++ b/tests/front_failures.rs
@@ -43,7 +43,7 @@
     }
     assert_eq!(body(&first), body(&joined));
     assert_eq!((site.running.await.unwrap(), site.fleet.runs_of("\"one\"")), (Ok(()), 1));
-    assert_eq!(site.fleet.kept(), 0);
+    assert_eq!(site.fleet.held_states(), 0);
 }
 
 /// A client that goes while the dispatcher ends holds nothing up, also where a booking would linger for longer.
@@ -54,7 +54,7 @@
     talk(site.chat, &book, |read| read.contains("w1 ")).await;
     site.end.take().unwrap().send(()).unwrap();
     assert_eq!(site.running.await.unwrap(), Ok(()));
-    assert!(site.fleet.begun()[0].whole, "its answer came to its end: {:?}", site.fleet.begun());
+    assert!(site.fleet.started()[0].complete, "its answer came to its end: {:?}", site.fleet.started());
 }
 
 /// While the whole fleet drains nothing is sent, and everybody is told when to come back; then they are served.
@@ -65,7 +65,7 @@
     assert_eq!(status(&until_close(site.chat, &ask("before")).await), 200);
     site.fleet.drain(true);
     sleep(Duration::from_millis(300)).await;
-    let (reads, begun) = (site.fleet.reads(), site.fleet.begun().len());
+    let (reads, begun) = (site.fleet.reads(), site.fleet.started().len());
     for at in 0..5 {
         let answer = until_close(
             site.chat,
@@ -75,7 +75,7 @@
         let head = answer.split("\r\n\r\n").next().unwrap();
         assert_eq!((status(&answer), field(head, "retry-after").is_some()), (503, true), "{answer}");
     }
-    assert_eq!((site.fleet.reads(), site.fleet.begun().len()), (reads, begun));
+    assert_eq!((site.fleet.reads(), site.fleet.started().len()), (reads, begun));
     site.fleet.drain(false);
     sleep(Duration::from_millis(100)).await;
     let mut answer = String::new();
@@ -219,7 +219,7 @@
                 drop(stream);
             }
             sleep(Duration::from_millis(250)).await;
-            eventually("let go", || site.fleet.kept() == 0).await;
+            eventually("let go", || site.fleet.held_states() == 0).await;
             assert_eq!(site.fleet.runs_of(&format!("half-{half}")), 0, "half {half}");
         }
     }
--- a/tests/held_in_bounds.rs
+++ b/tests/held_in_bounds.rs
@@ -7,7 +7,7 @@
 use dewladder::edge::settings::{Config, Fronts};
 use dewladder::interface::*;
 use serde_json::{json, Value};
-use stand_in::{config, eventually, member, platform, until_close, Agent, Does, Server};
+use stand_in::{config, eventually, member, platform, until_close, Agent, Behavior, Server};
 use tokio::sync::watch;
 
 /// Requests end in all ways while servers come under new ids: nothing of them is open, due or held after that, and what
@@ -127,7 +127,7 @@
         let members = [member(servers[0], id, "prefill", "up"), member(servers[1], id + 1, "decode", "up")];
         json!({"revision": revision, "complete": true, "members": members})
     };
-    let first = [Server::start(Does::Read).await, Server::start(Does::Stream(1)).await];
+    let first = [Server::start(Behavior::Read).await, Server::start(Behavior::Stream(1)).await];
     let start = list(1, &[&first[0], &first[1]]);
     let agent = Agent::start(start.clone()).await;
     let mut settings: Value = serde_json::from_str(&config(agent.address, &start)).unwrap();
@@ -140,7 +140,7 @@
     let (mut servers, mut id, mut most) = (Vec::from(first), 0u64, 0);
     let before = descriptors();
     for revision in 2..=60 {
-        let now = [Server::start(Does::Read).await, Server::start(Does::Stream(1)).await];
+        let now = [Server::start(Behavior::Read).await, Server::start(Behavior::Stream(1)).await];
         agent.tells(Some(list(revision, &[&now[0], &now[1]])));
         while now[1].posts() == 0 {
             id += 1;
--- a/tests/listed/mod.rs
+++ b/tests/listed/mod.rs
@@ -10,7 +10,7 @@
 use dewladder::edge::config_reload::ConfigReloader;
 use dewladder::edge::dispatcher::Dispatcher;
 use dewladder::edge::settings::{Config, Fronts};
-use dewladder_test_peers::{config, plain, platform, until_close, Does, Line, Message, Peer, Server};
+use dewladder_test_peers::{config, plain, platform, until_close, Behavior, Line, Message, Peer, Server};
 use serde_json::{json, Value};
 use tokio::sync::{oneshot, watch};
 use tokio::task::JoinHandle;
@@ -130,7 +130,7 @@
 
     /// The same before its first call is taken, with another configuration.
     pub async fn asking(change: impl FnOnce(&mut Value)) -> Self {
-        let servers = [Server::start(Does::Stream(1)).await, Server::start(Does::Stream(1)).await];
+        let servers = [Server::start(Behavior::Stream(1)).await, Server::start(Behavior::Stream(1)).await];
         let agent = Peer::start().await;
         let entries = [entry(servers[0].address, 1, "up"), entry(servers[1].address, 2, "up")];
         let mut config = settings(agent.address, &list(1, true, &entries));
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -231,7 +231,7 @@
         }
     }
     assert!(["completed.ask", "failed.book"].iter().all(|name| seen.contains_key(*name)), "{seen:?}");
-    assert_eq!(process.figure("upstream_requests").await, site.fleet.whole() as u64);
+    assert_eq!(process.figure("upstream_requests").await, site.fleet.received() as u64);
     process.tell("-TERM");
     let (code, log) = process.ended().await;
     assert_eq!(code, Some(0), "{log:?}");
@@ -279,7 +279,7 @@
         (asked, served) = (asked + a, served + s);
     }
     assert_eq!(asked, served, "each is answered");
-    assert_eq!(site.fleet.begun().len() as u64, asked, "and has run once");
+    assert_eq!(site.fleet.started().len() as u64, asked, "and has run once");
     assert!(taken_by_old > 0 && new.figure("completed.book").await > 0, "both had some");
     assert_eq!(new.call("READY\n").await, "OK ready\n");
     assert_eq!(
@@ -344,7 +344,7 @@
     process.eventually("config_reloads", 1).await;
     site.fleet.fail(1_000, &[Fault::Vanishes], 1);
     let (open_ask, open_book) = (open_ask.await.unwrap(), open_book.await.unwrap());
-    let runs = |id: &str| site.fleet.begun().iter().filter(|begun| begun.id == id).count();
+    let runs = |id: &str| site.fleet.started().iter().filter(|begun| begun.id == id).count();
     assert!(runs("a1") > 1, "it may still repeat: {open_ask}");
     assert_eq!((status(&open_book), runs("b1")), (502, 1), "it may still run once only");
     let (new_ask, new_book) = (ask("a2", "ask").await.unwrap(), ask("b2", "book").await.unwrap());
--- a/tests/own_sites.rs
+++ b/tests/own_sites.rs
@@ -16,7 +16,7 @@
 use dewladder_router::interface::{DedupGroup, Effect, Micros, Role};
 use dewladder_test_peers::Peer;
 use serde_json::{json, Value};
-use stand_in::{platform, until_close, Agent, Does, Server};
+use stand_in::{platform, until_close, Agent, Behavior, Server};
 use tokio::sync::{oneshot, watch};
 use tokio::time::sleep;
 
@@ -501,7 +501,8 @@
             let roles: Vec<&str> = list(&site.file["fam"]["role"]).iter().map(text).collect();
             let (mut servers, mut places) = (Vec::new(), Vec::new());
             for (at, role) in roles.iter().enumerate() {
-                let server = Server::start(if *role == "read" { Does::Read } else { Does::Stream(2) }).await;
+                let server =
+                    Server::start(if *role == "read" { Behavior::Read } else { Behavior::Stream(2) }).await;
                 places.push((server.address, at, draw.zone));
                 servers.push((role, server));
             }
@@ -533,8 +534,8 @@
     for site in sites() {
         for class in list(&site.file["class"]) {
             let (reader, writers) = (
-                Server::start(Does::Read).await,
-                [Server::start(Does::Close).await, Server::start(Does::Close).await],
+                Server::start(Behavior::Read).await,
+                [Server::start(Behavior::Close).await, Server::start(Behavior::Close).await],
             );
             let (reads, writes) = (kind(&site, "read"), kind(&site, "write"));
             let places = [
@@ -643,7 +644,7 @@
         let at = list(&site.file["class"]).iter().position(|told| told == class).unwrap();
         let window = Duration::from_micros(micros(&class["window_ms"]));
         for open in [false, true] {
-            let (reader, writer) = (Server::start(Does::Read).await, Holding::start(window).await);
+            let (reader, writer) = (Server::start(Behavior::Read).await, Holding::start(window).await);
             let places =
                 [(reader.address, kind(&site, "read"), 0), (writer.address, kind(&site, "write"), 0)];
             let running = Running::start(&site, Draw { high: false, zone: 0 }, &places, |config| {
--- a/tests/processes/mod.rs
+++ b/tests/processes/mod.rs
@@ -6,7 +6,7 @@
 use std::process::Stdio;
 use std::time::Duration;
 
-use dewladder_test_peers::{config, until_close, Fleet, Net, Shape};
+use dewladder_test_peers::{config, until_close, FaultyNetwork, Fleet, Shape};
 use serde_json::{json, Value};
 use socket2::{Domain, Socket, Type};
 use tokio::io::{AsyncBufReadExt as _, BufReader};
@@ -58,7 +58,7 @@
 
 pub struct Cluster {
     pub fleet: Fleet,
-    pub net: Net,
+    pub net: FaultyNetwork,
     folder: PathBuf,
     pub instances: Vec<Option<Instance>>,
     pub logs: Vec<String>,
@@ -93,7 +93,7 @@
     pub async fn with(name: &str, count: usize, seed: u64, more: &str) -> Self {
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("cluster-{name}"));
         let fleet = Fleet::start(Shape::default()).await.unwrap();
-        let net = Net::start(count, seed).await.unwrap();
+        let net = FaultyNetwork::start(count, seed).await.unwrap();
         let ports = (0..count).map(|_| Port::new()).collect();
         let more = more.to_owned();
         let mut cluster = Self { fleet, net, folder, instances: Vec::new(), logs: Vec::new(), ports, more };
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -66,7 +66,7 @@
     );
     assert_eq!(head(&first, "x-request-id"), head(&second, "x-request-id"));
     let kept = until_close(site.chat, &text).await;
-    assert_eq!((body(&kept), site.fleet.begun().len()), (body(&first), 1));
+    assert_eq!((body(&kept), site.fleet.started().len()), (body(&first), 1));
 }
 
 #[tokio::test]
@@ -81,7 +81,7 @@
     let text = booking("kiln-book", "two", true, "Idempotency-Key: k2\r\n");
     talk(site.chat, &text, |read| read.contains("w0 ")).await;
     eventually("let go", || {
-        site.fleet.begun().iter().any(|begun| begun.body.contains("two") && !begun.whole)
+        site.fleet.started().iter().any(|begun| begun.body.contains("two") && !begun.complete)
     })
     .await;
     tokio::time::sleep(Duration::from_millis(100)).await;
@@ -102,7 +102,7 @@
     tokio::time::sleep(Duration::from_millis(50)).await;
     let again = until_close(site.chat, &text).await;
     assert_eq!((status(&again), site.fleet.runs_of("one")), (200, 1), "{again}");
-    eventually("nothing stays held", || site.fleet.kept() == 0).await;
+    eventually("nothing stays held", || site.fleet.held_states() == 0).await;
 }
 
 #[tokio::test]
--- a/tests/requests_in_pieces.rs
+++ b/tests/requests_in_pieces.rs
@@ -9,7 +9,7 @@
 use dewladder::edge::settings::{Config, Fronts};
 use dewladder_test_peers::Line;
 use serde_json::{json, Value};
-use stand_in::{body, config, event, member, Agent, Does, Server, FRONTS, LAST_EVENTS};
+use stand_in::{body, config, event, member, Agent, Behavior, Server, FRONTS, LAST_EVENTS};
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::TcpStream;
 use tokio::sync::watch;
@@ -29,7 +29,7 @@
 
 /// A dispatcher with aims so long that a busy machine is no overload.
 async fn site() -> Site {
-    let (reader, writer) = (Server::start(Does::Read).await, Server::start(Does::Stream(3)).await);
+    let (reader, writer) = (Server::start(Behavior::Read).await, Server::start(Behavior::Stream(3)).await);
     let members = [member(&reader, 1, "prefill", "up"), member(&writer, 2, "decode", "up")];
     let list = json!({"revision": 1, "complete": true, "members": members});
     let agent = Agent::start(list.clone()).await;
--- a/tests/resume.rs
+++ b/tests/resume.rs
@@ -113,7 +113,7 @@
         text.contains("event: response.completed") && text.contains(&format!("\"text\":\"{}\"", whole())),
         "{text}"
     );
-    eventually("nothing stays held", || site.fleet.kept() == 0).await;
+    eventually("nothing stays held", || site.fleet.held_states() == 0).await;
 }
 
 /// A client that leaves while the rest is asked for leaves nothing behind.
@@ -124,7 +124,7 @@
     site.fleet.script([Fault::Cuts(2)]);
     talk(site.chat, &booking("kiln-ask", "leaves", true, ""), |read| read.contains("w1 ")).await;
     tokio::time::sleep(Duration::from_millis(40)).await;
-    eventually("let go", || site.fleet.kept() == 0).await;
+    eventually("let go", || site.fleet.held_states() == 0).await;
     assert_eq!(site.fleet.runs_of("leaves"), 1);
 }
 
@@ -141,10 +141,11 @@
         "{\"choices\":[{\"delta\":{\"content\":{},\"tool_calls\":[1,{\"index\":\"x\",\"function\":[]}]}}]}",
     ];
     for resume in [ON, ""] {
-        let site = Site::with_fronts(Does::Read, Does::Nothing, 1_024, &format!("{FRONTS}{resume}")).await;
+        let site =
+            Site::with_fronts(Behavior::Read, Behavior::Nothing, 1_024, &format!("{FRONTS}{resume}")).await;
         let events: String = EVENTS.iter().map(|event| format!("data: {event}\n\n")).collect();
         let text = format!("{HEAD}{:x}\r\n{events}\r\n0\r\n\r\n", events.len());
-        site.writer.now_does(Does::Raw(Box::leak(text.into_boxed_str())));
+        site.writer.set_behavior(Behavior::Raw(Box::leak(text.into_boxed_str())));
         for path in ["/v1/chat/completions", "/v1/completions", "/v1/responses"] {
             for stream in [true, false] {
                 let input = match path {
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -31,7 +31,7 @@
 
 #[tokio::test]
 async fn a_request_is_read_then_written_and_its_stream_passes_unchanged() {
-    let site = Site::start(Does::Read, Does::Stream(3)).await;
+    let site = Site::start(Behavior::Read, Behavior::Stream(3)).await;
     let answer = until_close(site.platform, &platform(ID, "book", "0.900")).await;
     assert_eq!(status(&answer), 200, "{answer}");
     let expected = event(0) + &event(1) + &event(2) + LAST_EVENTS;
@@ -42,7 +42,7 @@
 
 #[tokio::test]
 async fn bad_input_is_answered_shortly_and_not_sent_on() {
-    let site = Site::start(Does::Read, Does::Stream(1)).await;
+    let site = Site::start(Behavior::Read, Behavior::Stream(1)).await;
     let good = platform(ID, "ask", "0.9");
     for (bad, expected) in [
         (good.replace(&format!("X-Txn: {ID}"), "X-Txn: a/../b"), 400),
@@ -72,17 +72,17 @@
 /// A writer that closes a kept connection on a booking gets it once.
 #[tokio::test]
 async fn a_booking_on_a_kept_connection_that_closes_is_sent_once() {
-    let site = Site::start(Does::Read, Does::Stream(1)).await;
+    let site = Site::start(Behavior::Read, Behavior::Stream(1)).await;
     assert_eq!(status(&until_close(site.platform, &platform("01", "book", "0.9")).await), 200);
-    site.writer.now_does(Does::Close);
+    site.writer.set_behavior(Behavior::Close);
     let answer = until_close(site.platform, &platform("02", "book", "0.9")).await;
     assert_eq!((status(&answer), site.writer.posts()), (502, 2));
 }
 
 #[tokio::test]
 async fn a_booking_that_may_have_run_fails_at_once_and_is_not_sent_again() {
-    for does in [Does::Close, Does::Fail, Does::Cut(0), Does::Unframed(2)] {
-        let site = Site::start(Does::Read, does).await;
+    for does in [Behavior::Close, Behavior::Fail, Behavior::Cut(0), Behavior::Unframed(2)] {
+        let site = Site::start(Behavior::Read, does).await;
         let answer = until_close(site.platform, &platform(ID, "book", "0.9")).await;
         assert_eq!((status(&answer), site.writer.posts()), (502, 1), "{does:?}");
     }
@@ -90,7 +90,7 @@
 
 #[tokio::test]
 async fn what_never_ran_is_sent_again_and_in_the_end_refused_with_a_time() {
-    let site = Site::start(Does::Read, Does::TurnAway(503)).await;
+    let site = Site::start(Behavior::Read, Behavior::TurnAway(503)).await;
     let answer = until_close(site.platform, &platform(ID, "book", "0.9")).await;
     assert_eq!(status(&answer), 503, "{answer}");
     assert!(field(&answer, "retry-after").is_some_and(|text| text.parse::<f64>().unwrap() <= 1.0));
@@ -103,8 +103,8 @@
 /// what had been read stayed pinned. A release takes the connection on which the read was answered.
 #[tokio::test]
 async fn a_release_comes_through_where_the_reader_has_no_place_for_another_connection() {
-    let reader = Server::with_places(Does::Read, 1).await;
-    let site = Site::with_servers(reader, Server::start(Does::TurnAway(503)).await, 1_024, FRONTS).await;
+    let reader = Server::with_connection_limit(Behavior::Read, 1).await;
+    let site = Site::with_servers(reader, Server::start(Behavior::TurnAway(503)).await, 1_024, FRONTS).await;
     let answer = until_close(site.platform, &platform(ID, "book", "0.9")).await;
     assert_eq!(status(&answer), 503, "{answer}");
     eventually("released", || site.reader.log().contains(&format!("DELETE /kv/leases/{ID} "))).await;
@@ -126,7 +126,7 @@
 
 #[tokio::test]
 async fn an_answer_comes_by_the_deadline_whatever_is_silent() {
-    for (reads, writes) in [(Does::Nothing, Does::Stream(1)), (Does::Read, Does::Nothing)] {
+    for (reads, writes) in [(Behavior::Nothing, Behavior::Stream(1)), (Behavior::Read, Behavior::Nothing)] {
         let site = Site::start(reads, writes).await;
         let start = Instant::now();
         let answer = until_close(site.platform, &platform(ID, "book", "0.4")).await;
@@ -241,7 +241,7 @@
 /// A read that was given up may have ended well: it is let go of, and nothing more is sent.
 #[tokio::test]
 async fn a_client_that_leaves_during_the_read_has_its_state_let_go() {
-    let site = Site::start(Does::Nothing, Does::Stream(1)).await;
+    let site = Site::start(Behavior::Nothing, Behavior::Stream(1)).await;
     let text = platform(ID, "book", "0.9");
     let client = tokio::spawn(async move { until_close(site.platform, &text).await });
     eventually("read", || site.reader.posts() == 1).await;
@@ -252,8 +252,8 @@
 
 #[tokio::test]
 async fn a_stream_that_breaks_or_stalls_cuts_the_client_without_the_last_chunk() {
-    for does in [Does::Cut(2), Does::Stall(2)] {
-        let site = Site::start(Does::Read, does).await;
+    for does in [Behavior::Cut(2), Behavior::Stall(2)] {
+        let site = Site::start(Behavior::Read, does).await;
         let answer = until_close(site.platform, &platform(ID, "ask", "0.9")).await;
         assert_eq!(body(&answer), (event(0) + &event(1), false), "{does:?}");
         assert_eq!(site.writer.posts(), 1);
@@ -262,10 +262,10 @@
 
 #[tokio::test]
 async fn a_drain_and_a_new_server_are_heard_of_and_a_silent_agent_changes_nothing() {
-    let site = Site::start(Does::Read, Does::Stream(1)).await;
+    let site = Site::start(Behavior::Read, Behavior::Stream(1)).await;
     site.agent.tells(None);
     assert_eq!(status(&until_close(site.platform, &platform("01", "ask", "0.9")).await), 200);
-    let other = Server::start(Does::Stream(1)).await;
+    let other = Server::start(Behavior::Stream(1)).await;
     let members = [member(&site.writer, 2, "decode", "draining"), member(&other, 3, "decode", "up")];
     site.agent.tells(Some(json!({"revision": 2, "complete": false, "members": members})));
     sleep(Duration::from_millis(200)).await;
@@ -281,7 +281,7 @@
 /// Seen on the bench: clients that ask once and keep their connection, or say nothing, took all room.
 #[tokio::test]
 async fn where_connections_are_too_many_those_that_ask_nothing_make_room_or_a_client_is_told_so() {
-    let site = Site::with_sockets(Does::Nothing, Does::Stream(1), 40).await; // four connections
+    let site = Site::with_sockets(Behavior::Nothing, Behavior::Stream(1), 40).await; // four connections
     let mut held = Vec::new();
     for at in 0..4 {
         let mut client = TcpStream::connect(site.platform).await.unwrap();
@@ -293,7 +293,7 @@
     assert_eq!((status(&answer), field(&answer, "retry-after").as_deref()), (503, Some("1")));
     assert_eq!(site.reader.posts(), 4);
     held.clear();
-    site.reader.now_does(Does::Read);
+    site.reader.set_behavior(Behavior::Read);
     sleep(Duration::from_millis(100)).await;
     for _ in 0..300 {
         held.push(TcpStream::connect(site.platform).await.unwrap());
@@ -305,7 +305,7 @@
 /// A client is owed an error or a close within 3 s, and an answer must not be lost in a reset.
 #[tokio::test]
 async fn who_does_not_come_to_the_end_of_a_request_gets_an_error_or_a_close_in_time() {
-    let site = Site::start(Does::Read, Does::Stream(1)).await;
+    let site = Site::start(Behavior::Read, Behavior::Stream(1)).await;
     let good = platform(ID, "ask", "60");
     let half_a_body = good.replace("Content-Length: 15", "Content-Length: 100");
     let no_end = "GET / HTTP/1.1\r\nA: ".to_owned() + &"a".repeat(64 << 10);
@@ -338,7 +338,7 @@
 /// A close over bytes that nobody has read is a reset: the client would find one where the end of its answer is.
 #[tokio::test]
 async fn what_still_comes_as_a_connection_is_closed_resets_nothing_and_is_not_sent_on() {
-    let site = Site::start(Does::Read, Does::Stream(1)).await;
+    let site = Site::start(Behavior::Read, Behavior::Stream(1)).await;
     let mut stream = TcpStream::connect(site.platform).await.unwrap();
     stream.write_all(platform("21", "ask", "0.9").as_bytes()).await.unwrap();
     sleep(Duration::from_millis(150)).await; // it is answered, and sending has been shut down
@@ -356,7 +356,7 @@
 /// What hyper hides: a request in another's body, where that body's end is told in two ways.
 #[tokio::test]
 async fn a_request_whose_end_can_not_be_told_is_refused_with_all_that_is_behind_it() {
-    let site = Site::start(Does::Read, Does::Stream(1)).await;
+    let site = Site::start(Behavior::Read, Behavior::Stream(1)).await;
     let good = platform("01", "book", "0.9").replace("Connection: close\r\n", "");
     let hidden = platform("02", "book", "0.9");
     for lines in [
@@ -383,7 +383,7 @@
 /// The request that has the id goes on, whatever becomes of the client that came with it again.
 #[tokio::test]
 async fn an_id_that_is_open_is_turned_away_and_its_first_request_goes_on() {
-    let site = Site::start(Does::Read, Does::Stream(60)).await;
+    let site = Site::start(Behavior::Read, Behavior::Stream(60)).await;
     let (address, text) = (site.platform, platform(ID, "book", "0.9"));
     let first = tokio::spawn({
         let text = text.clone();
@@ -409,25 +409,25 @@
     let leak = |text: String| -> &'static str { text.leak() };
     let noise = "\u{1}\u{2}no head\r\n\r\n\u{3}";
     for does in [
-        Does::Raw(noise),
-        Does::Raw("HTTP/1.1 2x0 OK\r\n\r\n"),
-        Does::Endless("HTTP/1.1 200 OK\r\nA: ", leak("a".repeat(4_096))),
-        Does::Raw(leak(format!("{STREAM}zz\r\ndata: one\n\n\r\n"))),
-        Does::Raw(leak(format!("{STREAM}b\r\nnot events\n\r\n"))),
-        Does::Endless(leak(format!("{STREAM}C0000000\r\n")), "xxxxxxxx"),
-        Does::Endless(leak(format!("{STREAM}C0000000\r\n")), "data: xxxxx"),
+        Behavior::Raw(noise),
+        Behavior::Raw("HTTP/1.1 2x0 OK\r\n\r\n"),
+        Behavior::Endless("HTTP/1.1 200 OK\r\nA: ", leak("a".repeat(4_096))),
+        Behavior::Raw(leak(format!("{STREAM}zz\r\ndata: one\n\n\r\n"))),
+        Behavior::Raw(leak(format!("{STREAM}b\r\nnot events\n\r\n"))),
+        Behavior::Endless(leak(format!("{STREAM}C0000000\r\n")), "xxxxxxxx"),
+        Behavior::Endless(leak(format!("{STREAM}C0000000\r\n")), "data: xxxxx"),
     ] {
-        let site = Site::start(Does::Read, does).await;
+        let site = Site::start(Behavior::Read, does).await;
         let answer = until_close(site.platform, &platform(ID, "book", "0.9")).await;
         assert_eq!((status(&answer), site.writer.posts()), (502, 1), "{does:?}");
     }
     for does in [
-        Does::Raw(leak(format!("{STREAM}{EVENT}zz\r\ndata: two\n\n\r\n"))),
-        Does::Raw(leak(format!("{STREAM}{EVENT}2\r\ndata: two\n\n\r\n"))),
-        Does::Endless(leak(format!("{STREAM}{EVENT}C0000000\r\n")), "xxxxxxxx"),
-        Does::Endless(leak(format!("{STREAM}{EVENT}C0000000\r\n")), "data: xxxxx"),
+        Behavior::Raw(leak(format!("{STREAM}{EVENT}zz\r\ndata: two\n\n\r\n"))),
+        Behavior::Raw(leak(format!("{STREAM}{EVENT}2\r\ndata: two\n\n\r\n"))),
+        Behavior::Endless(leak(format!("{STREAM}{EVENT}C0000000\r\n")), "xxxxxxxx"),
+        Behavior::Endless(leak(format!("{STREAM}{EVENT}C0000000\r\n")), "data: xxxxx"),
     ] {
-        let site = Site::start(Does::Read, does).await;
+        let site = Site::start(Behavior::Read, does).await;
         let start = Instant::now();
         let answer = until_close(site.platform, &platform(ID, "book", "0.9")).await;
         assert!(answer.contains("data: one\n\n") && !answer.ends_with("0\r\n\r\n"), "{does:?}: {answer}");
@@ -450,7 +450,7 @@
         format!("{STREAM}{good}HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"),
     ] {
         let text: &'static str = text.leak();
-        let site = Site::start(Does::Read, Does::Raw(text)).await;
+        let site = Site::start(Behavior::Read, Behavior::Raw(text)).await;
         for id in ["01", "02"] {
             let answer = until_close(site.platform, &platform(id, "book", "0.9")).await;
             assert_eq!(
@@ -465,14 +465,14 @@
 
 #[tokio::test]
 async fn told_to_end_it_serves_on_then_finishes_what_is_held_and_ends() {
-    let mut site = Site::start(Does::Read, Does::Stream(200)).await;
+    let mut site = Site::start(Behavior::Read, Behavior::Stream(200)).await;
     let address = site.platform;
     let long = tokio::spawn(async move { until_close(address, &platform("01", "ask", "0.9")).await });
     eventually("begun", || site.writer.posts() == 1).await;
     assert_eq!(talk(site.check, "", |text| text.ends_with('\n')).await, "ready up 99%\n");
     site.end.take().unwrap().send(()).unwrap();
     sleep(Duration::from_millis(100)).await;
-    site.writer.now_does(Does::Stream(1));
+    site.writer.set_behavior(Behavior::Stream(1));
     let kept = platform("02", "ask", "0.9").replace("Connection: close\r\n", "");
     let answer = until_close(address, &kept).await;
     assert_eq!((status(&answer), field(&answer, "connection")), (200, Some("close".to_owned())));
@@ -487,7 +487,7 @@
 /// Streams last long: prompts that were held until their end would add up.
 #[tokio::test]
 async fn a_prompt_is_let_go_of_once_its_stream_has_begun() {
-    let site = Site::start(Does::Read, Does::Stream(100)).await;
+    let site = Site::start(Behavior::Read, Behavior::Stream(100)).await;
     let members = [member(&site.reader, 1, "prefill", "up"), member(&site.writer, 2, "decode", "up")];
     let known = json!({"revision": 1, "complete": true, "members": members});
     let config = Config::parse("config", &config(site.agent.address, &known), |_| None).unwrap();
@@ -516,7 +516,7 @@
 
 #[tokio::test]
 async fn a_chat_client_may_drop_at_every_event_and_no_booking_is_sent_twice() {
-    let site = Site::start(Does::Read, Does::Stream(5)).await;
+    let site = Site::start(Behavior::Read, Behavior::Stream(5)).await;
     let parts = 7; // five events, the usage and the end
     for kept in 0..=parts {
         let enough = |text: &str| text.matches("data: ").count() >= kept && text.contains("\r\n\r\n");
@@ -533,7 +533,7 @@
 
 #[tokio::test]
 async fn a_chat_stream_passes_and_is_put_together_for_who_wants_none() {
-    let site = Site::start(Does::Read, Does::Stream(2)).await;
+    let site = Site::start(Behavior::Read, Behavior::Stream(2)).await;
     let answer = until_close(site.chat, &chat("kiln-ask", true)).await;
     assert_eq!(field(&answer, "content-type").as_deref(), Some("text/event-stream"));
     let (text, whole) = body(&answer);
@@ -567,8 +567,8 @@
 
 #[tokio::test]
 async fn a_chat_stream_that_breaks_or_stalls_ends_with_exactly_one_error_event() {
-    for does in [Does::Stall(1), Does::Cut(1)] {
-        let site = Site::start(Does::Read, does).await;
+    for does in [Behavior::Stall(1), Behavior::Cut(1)] {
+        let site = Site::start(Behavior::Read, does).await;
         let (text, whole) = body(&until_close(site.chat, &chat("kiln-book", true)).await);
         let (first, rest) = text.split_once("\n\n").expect("the event that came");
         assert!(first.contains("\"content\":\"w0 \""), "{first}");
@@ -582,7 +582,7 @@
 
 #[tokio::test]
 async fn chat_errors_and_refusals_are_in_the_words_of_such_an_api() {
-    let site = Site::start(Does::Read, Does::TurnAway(503)).await;
+    let site = Site::start(Behavior::Read, Behavior::TurnAway(503)).await;
     let expect = |answer: &str, expected: u16, code: &str| {
         let (_, text) = answer.split_once("\r\n\r\n").unwrap();
         let error: Value = serde_json::from_str(text).unwrap();
@@ -605,7 +605,7 @@
     }
     assert_eq!(site.reader.posts(), sent);
     for (model, again) in [("kiln-book", Some("false")), ("kiln-ask", None)] {
-        let site = Site::start(Does::Read, Does::Nothing).await;
+        let site = Site::start(Behavior::Read, Behavior::Nothing).await;
         let start = Instant::now();
         let answer = until_close(site.chat, &chat(model, true)).await;
         assert!(matches!(status(&answer), 503 | 504), "{answer}");
@@ -616,7 +616,7 @@
 
 #[tokio::test]
 async fn a_tenant_has_so_many_requests_open_and_is_told_when_to_come_back() {
-    let site = Site::start(Does::Read, Does::Stream(100)).await;
+    let site = Site::start(Behavior::Read, Behavior::Stream(100)).await;
     let (address, text) = (site.chat, chat("kiln-ask", true));
     let open = [(); 2].map(|()| {
         tokio::spawn({
--- a/tests/stand_in/mod.rs
+++ b/tests/stand_in/mod.rs
@@ -8,8 +8,8 @@
 use dewladder::edge::settings::{Config, Fronts};
 #[allow(unused_imports)]
 pub use dewladder_test_peers::{
-    body, chat, config, event, field, platform, post, talk, until_close, Agent, Does, Fault, Fleet, Server,
-    Shape, LAST_EVENTS,
+    body, chat, config, event, field, platform, post, talk, until_close, Agent, Behavior, Fault, Fleet,
+    Server, Shape, LAST_EVENTS,
 };
 use serde_json::{json, Value};
 use tokio::sync::{oneshot, watch};
@@ -50,17 +50,17 @@
 "#;
 
 impl Site {
-    pub async fn start(reads: Does, writes: Does) -> Self {
+    pub async fn start(reads: Behavior, writes: Behavior) -> Self {
         Self::with_sockets(reads, writes, 1_024).await
     }
 
     /// One whose dispatcher may have so many descriptors.
-    pub async fn with_sockets(reads: Does, writes: Does, sockets: usize) -> Self {
+    pub async fn with_sockets(reads: Behavior, writes: Behavior, sockets: usize) -> Self {
         Self::with_fronts(reads, writes, sockets, FRONTS).await
     }
 
     /// One with other fronts, as their file would say.
-    pub async fn with_fronts(reads: Does, writes: Does, sockets: usize, fronts: &str) -> Self {
+    pub async fn with_fronts(reads: Behavior, writes: Behavior, sockets: usize, fronts: &str) -> Self {
         Self::with_servers(Server::start(reads).await, Server::start(writes).await, sockets, fronts).await
     }
 
--- a/tests/streams_in_time.rs
+++ b/tests/streams_in_time.rs
@@ -10,7 +10,7 @@
 use dewladder::edge::settings::{Config, Fronts};
 use dewladder_test_peers::chunk;
 use serde_json::json;
-use stand_in::{body, chat, config, platform, Agent, Does, Server, LAST_EVENTS};
+use stand_in::{body, chat, config, platform, Agent, Behavior, Server, LAST_EVENTS};
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::{oneshot, watch};
@@ -35,7 +35,7 @@
 impl Place {
     async fn start() -> Self {
         let (reader, writer) =
-            (Server::start(Does::Read).await, TcpListener::bind("127.0.0.1:0").await.unwrap());
+            (Server::start(Behavior::Read).await, TcpListener::bind("127.0.0.1:0").await.unwrap());
         let at = writer.local_addr().unwrap();
         let members = [
             stand_in::member(&reader, 1, "prefill", "up"),
--- a/tests/third_deployment.rs
+++ b/tests/third_deployment.rs
@@ -7,7 +7,7 @@
 use dewladder::edge::settings::{Config, Fronts};
 use dewladder_router::interface::{Effect, Role};
 use serde_json::{json, Value};
-use stand_in::{platform, until_close, Agent, Does, Server};
+use stand_in::{platform, until_close, Agent, Behavior, Server};
 use tokio::sync::{oneshot, watch};
 
 const ID: &str = "00000000000000a7";
@@ -40,7 +40,7 @@
 
 #[tokio::test]
 async fn a_deployment_with_names_of_its_own_is_served_by_its_settings() {
-    let (reader, writer) = (Server::start(Does::Read).await, Server::start(Does::Stream(2)).await);
+    let (reader, writer) = (Server::start(Behavior::Read).await, Server::start(Behavior::Stream(2)).await);
     let members = [member(&reader, 41, "lector"), member(&writer, 7, "scribe")];
     let list = json!({"revision": 1, "complete": true, "members": members});
     let agent = Agent::start(list.clone()).await;
@@ -72,7 +72,7 @@
         assert!(answer.starts_with("HTTP/1.1 400 "), "{class}: {answer}");
     }
     // What must not run twice is not tried again, by the settings' word for it and not by its name.
-    writer.now_does(Does::Close);
+    writer.set_behavior(Behavior::Close);
     let answer = until_close(front, &platform(ID, "once-only", "0.900")).await;
     assert!(answer.starts_with("HTTP/1.1 502 "), "{answer}");
     assert_eq!(writer.posts(), 4, "sent once");
--- a/tests/written_errors.rs
+++ b/tests/written_errors.rs
@@ -199,7 +199,7 @@
 
 #[tokio::test]
 async fn each_refused_request_to_the_platform_front_is_answered_with_these_bytes() {
-    let site = Site::start(Does::Read, Does::Nothing).await;
+    let site = Site::start(Behavior::Read, Behavior::Nothing).await;
     let mut text = String::new();
     for (what, request) in platform_requests() {
         text += &format!("{what}\n{}", plain(&until_close(site.platform, &request).await));
@@ -217,7 +217,7 @@
     tokio::time::sleep(Duration::from_millis(300)).await;
     let refused = until_close(draining.platform, &platform("two", "ask", "2")).await;
     text += &format!("refused\n{}", plain(&refused));
-    let failing = Site::start(Does::Read, Does::Fail).await;
+    let failing = Site::start(Behavior::Read, Behavior::Fail).await;
     let failed = until_close(failing.platform, &platform("three", "book", "2")).await;
     text += &format!("failed\n{}", plain(&failed));
     assert_golden("platform_front.txt", &text);
