--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -21,50 +21,52 @@
 
 struct State {
     rules: Vec<Rule>,
-    started: u64,
+    started_us: u64,
     /// The descriptor of the trace file, or -1.
     trace: i32,
-    lots: AtomicU64,
-    /// When a hold last began (ms since the start).
-    held_at: AtomicU64,
+    draws: AtomicU64,
+    /// When a hold last began, since the start; 0 for never.
+    held_at_ms: AtomicU64,
 }
 
-/// Holds are this far apart (ms): several in a row would make one that is longer than any that is asked for.
-const HOLDS_APART: u64 = 1_000;
+/// The least time between two holds: several in a row would make one that is longer than any that is asked for.
+const HOLD_INTERVAL_MS: u64 = 1_000;
 
 fn state() -> &'static State {
     static STATE: OnceLock<State> = OnceLock::new();
     STATE.get_or_init(|| {
         let plan = std::env::var(PLAN).unwrap_or_default();
-        let rules = plan
-            .split(';')
-            .filter(|text| !text.is_empty())
-            .map(|text| text.parse().unwrap_or_else(|error| panic!("{PLAN}: '{text}': {error}")));
-        let rules = rules.collect();
+        let mut rules = Vec::new();
+        for text in plan.split(';').filter(|text| !text.is_empty()) {
+            rules.push(text.parse().unwrap_or_else(|error| panic!("{PLAN}: '{text}': {error}")));
+        }
         let trace = std::env::var(TRACE).map_or(-1, |path| calls::open_trace(&path));
         State {
             rules,
-            started: calls::monotonic_micros(),
+            started_us: calls::monotonic_micros(),
             trace,
-            lots: AtomicU64::new(1),
-            held_at: AtomicU64::new(0),
+            draws: AtomicU64::new(1),
+            held_at_ms: AtomicU64::new(0),
         }
     })
 }
 
 impl State {
     /// Whether a hold may begin now; it is taken to begin then.
-    fn may_hold(&self, now: u64) -> bool {
-        let last = self.held_at.load(Ordering::Relaxed);
-        let far = last == 0 || now >= last + HOLDS_APART;
-        far && self.held_at.compare_exchange(last, now.max(1), Ordering::Relaxed, Ordering::Relaxed).is_ok()
+    fn may_hold(&self, now_ms: u64) -> bool {
+        let last_ms = self.held_at_ms.load(Ordering::Relaxed);
+        if last_ms != 0 && now_ms < last_ms + HOLD_INTERVAL_MS {
+            return false;
+        }
+        let (order, held_at_ms) = (Ordering::Relaxed, now_ms.max(1));
+        self.held_at_ms.compare_exchange(last_ms, held_at_ms, order, order).is_ok()
     }
 }
 
 /// A number of a fixed sequence (SplitMix64): the same plan makes the same draws in the same order.
-fn draw(lots: &AtomicU64) -> u64 {
+fn draw(draws: &AtomicU64) -> u64 {
     const STEP: u64 = 0x9e37_79b9_7f4a_7c15;
-    let mut value = lots.fetch_add(STEP, Ordering::Relaxed).wrapping_add(STEP);
+    let mut value = draws.fetch_add(STEP, Ordering::Relaxed).wrapping_add(STEP);
     value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     value ^ (value >> 31)
@@ -76,25 +78,26 @@
     if state.rules.is_empty() {
         return None;
     }
-    let now = calls::monotonic_micros().saturating_sub(state.started) / MICROS_PER_MILLI;
+    let now_ms = calls::monotonic_micros().saturating_sub(state.started_us) / MICROS_PER_MILLI;
     let rule = state
         .rules
         .iter()
-        .find(|rule| rule.call == call && rule.holds(now) && rule.hits(draw(&state.lots)))?;
-    if matches!(rule.effect, Effect::Hold(_)) && !state.may_hold(now) {
+        .find(|rule| rule.call == call && rule.is_in_force(now_ms) && rule.hits(draw(&state.draws)))?;
+    if matches!(rule.effect, Effect::Hold(_)) && !state.may_hold(now_ms) {
         return None;
     }
-    calls::trace(state.trace, &format!("{now} {call:?} {:?}\n", rule.effect));
+    calls::trace(state.trace, &format!("{now_ms} {call:?} {:?}\n", rule.effect));
     Some(rule.effect)
 }
 
 /// By how much the wall clock differs from the machine's now (ms).
 fn wall_clock_step() -> i64 {
     let state = state();
-    let now = calls::monotonic_micros().saturating_sub(state.started) / MICROS_PER_MILLI;
-    let steps = state.rules.iter().filter(|rule| rule.holds(now)).filter_map(|rule| match rule.effect {
-        Effect::Step(milliseconds) if rule.call == Call::WallClock => Some(milliseconds),
-        _ => None,
-    });
+    let now_ms = calls::monotonic_micros().saturating_sub(state.started_us) / MICROS_PER_MILLI;
+    let steps =
+        state.rules.iter().filter(|rule| rule.is_in_force(now_ms)).filter_map(|rule| match rule.effect {
+            Effect::Step(milliseconds) if rule.call == Call::WallClock => Some(milliseconds),
+            _ => None,
+        });
     steps.sum()
 }
--- a/crates/fault-shim/src/rule.rs
+++ b/crates/fault-shim/src/rule.rs
@@ -4,6 +4,8 @@
 //! hit. `accept:ECONNABORTED@500-900%300`, `recv:short@0-60000%100`, `clock:3600000@2000-60000`. The last part may be left
 //! out: then every call is hit.
 
+use std::fmt;
+use std::num::ParseIntError;
 use std::str::FromStr;
 
 /// A group of system calls that fail together.
@@ -62,27 +64,30 @@
     /// What becomes of them.
     pub effect: Effect,
     /// Milliseconds since the process started.
-    pub from: u64,
-    /// Milliseconds since the process started; from then on it holds no more.
-    pub to: u64,
+    pub from_ms: u64,
+    /// Milliseconds since the process started; from then on it is not in force.
+    pub to_ms: u64,
     /// So many of a thousand calls are hit.
     pub permille: u64,
 }
 
 impl Rule {
-    /// Whether it holds at that time (ms since the start).
+    /// Whether it is in force at a time since the start.
     #[must_use]
-    pub fn holds(&self, now: u64) -> bool {
-        (self.from..self.to).contains(&now)
+    pub fn is_in_force(&self, now_ms: u64) -> bool {
+        (self.from_ms..self.to_ms).contains(&now_ms)
     }
 
-    /// Whether a call with this lot is hit.
+    /// Whether a call with this random draw is hit.
     #[must_use]
-    pub fn hits(&self, lot: u64) -> bool {
-        lot % 1_000 < self.permille
+    pub fn hits(&self, draw: u64) -> bool {
+        draw % 1_000 < self.permille
     }
 }
 
+/// The share of calls that are hit where a rule does not say it.
+const ALWAYS: &str = "1000";
+
 const CALLS: [(&str, Call); 15] = [
     ("accept", Call::Accept),
     ("socket", Call::Socket),
@@ -125,39 +130,87 @@
     ("ETIMEDOUT", libc::ETIMEDOUT),
 ];
 
+/// Why a text is no rule.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum RuleError {
+    /// The part with this separator is missing.
+    Missing(&'static str),
+    /// A time or share that is no number.
+    Number {
+        /// What was given.
+        text: String,
+        /// Why it can't be read.
+        source: ParseIntError,
+    },
+    /// The time of a hold that is no number.
+    Hold(ParseIntError),
+    /// No group of calls has this name.
+    UnknownCall(String),
+    /// No effect has this name.
+    UnknownEffect(String),
+}
+
+impl fmt::Display for RuleError {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Missing(part) => write!(formatter, "no {part}"),
+            Self::Number { text, source } => write!(formatter, "'{text}': {source}"),
+            Self::Hold(source) => write!(formatter, "{source}"),
+            Self::UnknownCall(text) => write!(formatter, "'{text}' is no call"),
+            Self::UnknownEffect(text) => write!(formatter, "'{text}' is no effect"),
+        }
+    }
+}
+
+impl std::error::Error for RuleError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            Self::Number { source, .. } | Self::Hold(source) => Some(source),
+            Self::Missing(_) | Self::UnknownCall(_) | Self::UnknownEffect(_) => None,
+        }
+    }
+}
+
 impl FromStr for Effect {
-    type Err = String;
+    type Err = RuleError;
 
-    fn from_str(text: &str) -> Result<Self, String> {
+    fn from_str(text: &str) -> Result<Self, RuleError> {
         if text == "short" {
             return Ok(Self::Short);
         }
         if let Some(milliseconds) = text.strip_prefix("hold") {
-            return milliseconds.parse().map(Self::Hold).map_err(|error| error.to_string());
+            return milliseconds.parse().map(Self::Hold).map_err(RuleError::Hold);
         }
         if let Some((_, errno)) = ERRNOS.iter().find(|(name, _)| *name == text) {
             return Ok(Self::Errno(*errno));
         }
-        text.parse().map(Self::Step).map_err(|_| format!("'{text}' is no effect"))
+        text.parse().map(Self::Step).map_err(|_| RuleError::UnknownEffect(text.to_owned()))
     }
 }
 
 impl FromStr for Rule {
-    type Err = String;
-
-    fn from_str(text: &str) -> Result<Self, String> {
-        let (call, rest) = text.split_once(':').ok_or("no ':'")?;
-        let (effect, times) = rest.split_once('@').ok_or("no '@'")?;
-        let (times, permille) = times.split_once('%').unwrap_or((times, "1000"));
-        let (from, to) = times.split_once('-').ok_or("no '-' between the times")?;
-        let number = |text: &str| text.parse::<u64>().map_err(|error| format!("'{text}': {error}"));
-        let named = CALLS.iter().find(|(name, _)| *name == call);
+    type Err = RuleError;
+
+    fn from_str(text: &str) -> Result<Self, RuleError> {
+        let (call, rest) = text.split_once(':').ok_or(RuleError::Missing("':'"))?;
+        let (effect, times) = rest.split_once('@').ok_or(RuleError::Missing("'@'"))?;
+        let (times, permille) = times.split_once('%').unwrap_or((times, ALWAYS));
+        let (from, to) = times.split_once('-').ok_or(RuleError::Missing("'-' between the times"))?;
         Ok(Self {
-            call: named.ok_or_else(|| format!("'{call}' is no call"))?.1,
+            call: call_named(call)?,
             effect: effect.parse()?,
-            from: number(from)?,
-            to: number(to)?,
+            from_ms: number(from)?,
+            to_ms: number(to)?,
             permille: number(permille)?,
         })
     }
 }
+
+fn call_named(text: &str) -> Result<Call, RuleError> {
+    let named = CALLS.iter().find(|(name, _)| *name == text);
+    named.map(|(_, call)| *call).ok_or_else(|| RuleError::UnknownCall(text.to_owned()))
+}
+
+fn number(text: &str) -> Result<u64, RuleError> {
+    text.parse().map_err(|source| RuleError::Number { text: text.to_owned(), source })
+}
