--- a/src/edge/cluster/table.rs
+++ b/src/edge/cluster/table.rs
@@ -35,15 +35,19 @@
     /// [`Settings::probe_timeout`].
     pub probe_timeout_s: f64,
     /// [`Settings::indirect_probes`].
-    pub indirect: usize,
+    #[serde(rename = "indirect")]
+    pub indirect_probes: usize,
     /// [`Settings::suspicion_multiplier`].
-    pub suspicion: f64,
+    #[serde(rename = "suspicion")]
+    pub suspicion_multiplier: f64,
     /// [`Settings::max_suspicion_multiplier`].
-    pub suspicion_most: f64,
+    #[serde(rename = "suspicion_most")]
+    pub max_suspicion_multiplier: f64,
     /// [`Settings::confirmations`].
     pub confirmations: usize,
     /// [`Settings::retransmit_multiplier`].
-    pub retransmit: usize,
+    #[serde(rename = "retransmit")]
+    pub retransmit_multiplier: usize,
     /// [`Settings::sync_interval`].
     pub sync_every_s: f64,
     /// [`Settings::dead_retention`].
@@ -69,9 +73,11 @@
     /// [`replica::Settings::settle_time`].
     pub settle_s: f64,
     /// Records held at most.
-    pub most_records: usize,
+    #[serde(rename = "most_records")]
+    pub max_records: usize,
     /// Records kept at most for holders that are away.
-    pub most_hints: usize,
+    #[serde(rename = "most_hints")]
+    pub max_hints: usize,
 }
 
 impl Default for ReplicaTable {
@@ -83,8 +89,8 @@
             quorum: 2,
             window_s: 600.0,
             settle_s: 2.0,
-            most_records: 100_000,
-            most_hints: 20_000,
+            max_records: 100_000,
+            max_hints: 20_000,
         }
     }
 }
@@ -99,8 +105,8 @@
             copies: self.copies,
             quorum: self.quorum,
             retention: micros(self.window_s),
-            max_records: self.most_records,
-            max_hints: self.most_hints,
+            max_records: self.max_records,
+            max_hints: self.max_hints,
             settle_time: micros(self.settle_s),
             retry_after: RETRY_AFTER,
             compare_interval: COMPARE_INTERVAL,
@@ -184,11 +190,11 @@
             seeds: Vec::new(),
             probe_every_s: seconds(default.probe_interval),
             probe_timeout_s: seconds(default.probe_timeout),
-            indirect: default.indirect_probes,
-            suspicion: default.suspicion_multiplier,
-            suspicion_most: default.max_suspicion_multiplier,
+            indirect_probes: default.indirect_probes,
+            suspicion_multiplier: default.suspicion_multiplier,
+            max_suspicion_multiplier: default.max_suspicion_multiplier,
             confirmations: default.confirmations,
-            retransmit: default.retransmit_multiplier,
+            retransmit_multiplier: default.retransmit_multiplier,
             sync_every_s: seconds(default.sync_interval),
             forget_after_s: seconds(default.dead_retention),
             replica: ReplicaTable::default(),
@@ -237,11 +243,11 @@
             seeds: self.seeds.iter().copied().map(member_address).collect(),
             probe_interval: micros(self.probe_every_s),
             probe_timeout: micros(self.probe_timeout_s),
-            indirect_probes: self.indirect,
-            suspicion_multiplier: self.suspicion,
-            max_suspicion_multiplier: self.suspicion_most,
+            indirect_probes: self.indirect_probes,
+            suspicion_multiplier: self.suspicion_multiplier,
+            max_suspicion_multiplier: self.max_suspicion_multiplier,
             confirmations: self.confirmations,
-            retransmit_multiplier: self.retransmit,
+            retransmit_multiplier: self.retransmit_multiplier,
             sync_interval: micros(self.sync_every_s),
             dead_retention: micros(self.forget_after_s),
             tick_interval: crate::edge::clock::micros(TICK),
