--- a/benches/repeats.rs
+++ b/benches/repeats.rs
@@ -1,5 +1,5 @@
-//! Trials with forced disconnects, without the ledger, with it, and with a time to linger: how many bookings run
-//! twice, and what the retries are told. `cargo bench --bench repeats`.
+//! Trials with forced disconnects, without knowledge of repeats, with it, and with a time to linger: how many bookings
+//! run twice, and what the retries get. `cargo bench --bench repeats`.
 
 #[path = "../tests/stand_in/mod.rs"]
 mod stand_in;
--- a/crates/idempotency/benches/ledger.rs
+++ b/crates/idempotency/benches/idempotency_store.rs
@@ -1,4 +1,4 @@
-//! The ledger at 10^5 and 10^6 keys against a plain `HashMap` with a sorted set of expiries: cost of an operation
+//! The idempotency store at 10^5 and 10^6 keys against a plain `HashMap` with a sorted set of expiries: cost of an operation
 //! and bytes a key, in one run. `cargo bench -p dewladder-idempotency`.
 
 use std::collections::{BTreeSet, HashMap};
@@ -24,7 +24,7 @@
     Fingerprint([number(2 * at), number(2 * at + 1)])
 }
 
-/// What a plain ledger would keep: no bounds, no readers, no budgets.
+/// What a plain store would keep: no bounds, no readers, no budgets.
 #[derive(Default)]
 struct Plain {
     entries: HashMap<Fingerprint, (Fingerprint, Micros, Vec<u8>)>,
@@ -77,7 +77,7 @@
     let arguments: Vec<String> = std::env::args().collect();
     if let [_, which, keys, answer, ..] = &arguments[..] {
         if let (Ok(keys), Ok(answer)) = (keys.parse(), answer.parse()) {
-            return if which == "ledger" { ledger(keys, answer) } else { plain(keys, answer) };
+            return if which == "ledger" { store(keys, answer) } else { plain(keys, answer) };
         }
     }
     println!(
@@ -117,7 +117,7 @@
     }
 }
 
-fn ledger(keys: u64, answer: usize) {
+fn store(keys: u64, answer: usize) {
     let answer = &ANSWER[..answer];
     let before = resident();
     let policy = Policy {
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -234,7 +234,7 @@
 
 /// Servers that come with odd fields, at addresses that are none: requests go to the good one, and nothing ends.
 #[tokio::test]
-async fn an_odd_server_beside_a_good_one_costs_no_request() {
+async fn a_malformed_server_beside_a_good_one_costs_no_request() {
     let (mut wrong, mut kept) = (Vec::new(), Vec::new());
     for (field, value) in [
         ("host_port", json!("nowhere")),
@@ -354,7 +354,7 @@
 
 /// Labels and times that can't be: each is served or refused with 400 and a reason, and a good request beside is served.
 #[tokio::test]
-async fn odd_labels_and_times_get_an_answer_and_break_nothing() {
+async fn malformed_labels_and_times_get_an_answer_and_break_nothing() {
     let (all, _line) = Watched::start().await;
     let site = &all.site;
     let good = platform("05", "ask", "0.900");
@@ -487,7 +487,7 @@
 /// A server's answer is spoilt, and it holds the connection open: the dispatcher lets go of that connection soon after the
 /// request's own time, and the client has its answer by then.
 #[tokio::test]
-async fn a_spoilt_answer_keeps_no_connection_past_its_time() {
+async fn a_malformed_answer_keeps_no_connection_past_its_time() {
     let spoilt = [
         "\r\n\r\n".to_owned(),
         "no HTTP at all\r\n\r\n".to_owned(),
@@ -700,7 +700,7 @@
 
 /// The program itself: a start, `check-config` and SIGHUP each turn down one of every kind, and what runs goes on.
 #[tokio::test]
-async fn a_start_check_config_and_sighup_turn_down_the_same_files() {
+async fn a_start_check_config_and_sighup_refuse_the_same_files() {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("bad-settings");
     std::fs::create_dir_all(&folder).unwrap();
     let (server, agent) = (Server::start(Does::Stream(1)).await, Peer::start().await);
--- a/tests/client_library.rs
+++ b/tests/client_library.rs
@@ -31,7 +31,7 @@
 }
 
 #[tokio::test]
-async fn a_plain_answer() {
+async fn the_client_library_reads_a_whole_answer() {
     let site = site().await;
     let answer = client(&site).chat().create(plain("kiln-ask", "plain")).await.unwrap();
     assert_eq!(answer.choices[0].message.content.as_deref(), Some("w0 w1 w2 w3 w4 w5 "));
@@ -39,7 +39,7 @@
 }
 
 #[tokio::test]
-async fn a_streamed_answer() {
+async fn the_client_library_reads_a_streamed_answer() {
     use futures_util::StreamExt as _;
     let site = site().await;
     let mut stream = client(&site).chat().create_stream(plain("kiln-book", "streamed")).await.unwrap();
@@ -54,7 +54,7 @@
 
 /// Two calls whose pieces come in turns are put together by their index.
 #[tokio::test]
-async fn calls_of_tools() {
+async fn the_client_library_reads_tool_calls() {
     let site = site().await;
     let body = json!({"model": "kiln-ask", "messages": [{"role": "user", "content": "book"}], "tool_choice": "required",
         "tools": [{"type": "function", "function": {"name": "book_kiln", "parameters": {"type": "object"}}}]});
@@ -73,7 +73,7 @@
 
 /// The library's own retries after a refusal come to an answer, and a bad request is told as one at once.
 #[tokio::test]
-async fn failures_are_told_in_words_that_the_library_knows() {
+async fn the_client_library_understands_each_failure() {
     let site = site().await;
     let wrong = client(&site).chat().create(plain("no-such-model", "x")).await.unwrap_err();
     let OpenAIError::ApiError(error) = wrong else { panic!("an error of the API: {wrong:?}") };
--- a/tests/conform.rs
+++ b/tests/conform.rs
@@ -70,7 +70,7 @@
 }
 
 #[tokio::test]
-async fn what_can_not_be_reached_is_an_error_and_no_pass() {
+async fn a_case_that_can_not_be_run_is_reported_as_such_and_not_as_passed() {
     let closed = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
     let all = cases().unwrap();
     let reports = run(&target(closed, "nobody"), &all[..5]).await;
--- a/tests/front_failures.rs
+++ b/tests/front_failures.rs
@@ -92,7 +92,7 @@
 /// Two read the same answer, which outgrows what is kept: the one that reads goes on to the end at its own pace,
 /// and the one that does not is cut with an error, and holds up nobody.
 #[tokio::test]
-async fn who_reads_too_slowly_is_cut_and_holds_up_nobody() {
+async fn a_client_that_reads_too_slowly_is_cut_and_holds_up_nobody() {
     // More than the system holds for a client that reads nothing.
     const EVENTS: usize = 30_000;
     let shape = Shape { events: EVENTS, pause: Duration::ZERO, ..Shape::default() };
@@ -154,7 +154,7 @@
 
 /// Browser apps of the origins that are configured are let in, and no others; a comment keeps a quiet stream alive.
 #[tokio::test]
-async fn origins_and_comments_as_configured() {
+async fn allowed_origins_and_keepalive_comments_follow_the_settings() {
     let shape = Shape { events: 3, pause: Duration::from_millis(180), ..Shape::default() };
     let chat = "keepalive_s = 0.05\norigins = [\"https://kilns.example\"]\n";
     let site = FleetSite::with_chat(shape, chat, "").await;
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -29,7 +29,7 @@
 }
 
 #[tokio::test]
-async fn whatever_is_lost_no_booking_runs_twice_and_every_retry_is_told() {
+async fn whatever_connections_are_lost_no_booking_runs_twice_and_every_retry_learns_its_outcome() {
     for linger in [0.0, 10.0] {
         let site = trials::site(Some(linger)).await;
         let came = trials::run(site.chat, &site.fleet, 600, 7).await;
@@ -42,9 +42,9 @@
     }
 }
 
-/// What the test above would count if there were no ledger.
+/// What the test above would count if nothing were known of repeats.
 #[tokio::test]
-async fn without_the_ledger_the_same_trials_double_bookings() {
+async fn without_idempotency_the_same_trials_run_bookings_twice() {
     let site = trials::site(None).await;
     let came = trials::run(site.chat, &site.fleet, 200, 7).await;
     assert!(came.doubled > 20, "{came:?}");
@@ -93,7 +93,7 @@
 
 /// A booking whose client left before anything was sent to a writer provably never ran: its repeat does.
 #[tokio::test]
-async fn what_was_let_go_of_before_it_ran_is_let_through() {
+async fn a_repeat_runs_where_the_first_was_canceled_before_it_was_sent() {
     let shape = Shape { read: Duration::from_millis(150), ..Shape::default() };
     let site = FleetSite::start(shape, ON).await;
     let text = booking("kiln-book", "one", false, "Idempotency-Key: k1\r\n");
@@ -176,9 +176,9 @@
     assert_eq!(site.fleet.runs_of("one"), 2);
 }
 
-/// Just started, the dispatcher can't know what ran before; and a full ledger forgets no booking.
+/// Just started, the dispatcher can't know what ran before; and a full store forgets no booking.
 #[tokio::test]
-async fn without_knowledge_or_room_a_booking_is_refused() {
+async fn a_repeated_booking_is_refused_after_a_start_and_a_new_one_where_the_store_is_full() {
     let site = FleetSite::start(
         Shape::default(),
         "enabled = true\nafter_start_s = 60.0\nmost_entries = 2\ntenant_percent = 100.0\n",
@@ -198,9 +198,8 @@
     assert_eq!(status(&until_close(site.chat, &ask).await), 200, "an ask goes through unrecorded");
 }
 
-/// Repeats beyond the budget are turned away at once, and asked back at different times.
 #[tokio::test]
-async fn repeats_beyond_the_budget_are_asked_back_apart() {
+async fn retries_beyond_the_budget_are_asked_back_at_different_times() {
     let lines = "budget_most_saved = 2\nbudget_per_s = 0.0\nbudget_percent = 0.0\nmost_retry_in_s = 20.0\n";
     let site = FleetSite::start(Shape::default(), &format!("{ON}{lines}")).await;
     let mut back = Vec::new();
--- a/tests/resume.rs
+++ b/tests/resume.rs
@@ -31,7 +31,7 @@
 
 /// At every event boundary, and at two of them in one answer, streamed or put together.
 #[tokio::test]
-async fn an_ask_that_breaks_anywhere_is_one_text_without_a_gap() {
+async fn an_ask_whose_server_breaks_off_anywhere_is_resumed_as_one_text_without_a_gap() {
     let site = FleetSite::start(shape(), ON).await;
     for at in 0..8 {
         for faults in [vec![Fault::Cuts(at)], vec![Fault::Cuts(at), Fault::Cuts(1)], vec![Fault::Stalls(at)]]
@@ -53,7 +53,7 @@
 }
 
 #[tokio::test]
-async fn a_book_that_breaks_anywhere_ends_with_one_error_and_is_not_sent_again() {
+async fn a_book_whose_server_breaks_off_anywhere_ends_with_one_error_and_is_not_sent_again() {
     let site = FleetSite::start(shape(), ON).await;
     for at in 1..8 {
         for fault in [Fault::Cuts(at), Fault::Stalls(at)] {
@@ -68,7 +68,7 @@
 
 /// Bounded in number: servers that all break off end it with one error; and off, as where the settings say so.
 #[tokio::test]
-async fn an_ask_goes_on_within_bounds_only() {
+async fn an_ask_is_resumed_within_bounds_only() {
     let site = FleetSite::start(shape(), ON).await;
     site.fleet.script([Fault::Cuts(1); 20]);
     let (text, _) = body(&until_close(site.chat, &booking("kiln-ask", "bounded", true, "")).await);
@@ -82,7 +82,7 @@
 
 /// Servers that begin anew: what the client has had is not told again.
 #[tokio::test]
-async fn where_servers_begin_anew_nothing_is_told_twice() {
+async fn where_servers_restart_answers_no_word_is_sent_twice() {
     let site = FleetSite::start(shape(), "[chat.resume]\nenabled = true\nmode = \"restart\"\n").await;
     for at in 1..8 {
         site.fleet.script([Fault::Cuts(at)]);
@@ -93,7 +93,7 @@
 
 /// Choices of one request go on each by itself, and a response keeps its order of events.
 #[tokio::test]
-async fn choices_and_responses_go_on_too() {
+async fn choices_and_responses_are_resumed_too() {
     let site = FleetSite::start(shape(), ON).await;
     site.fleet.script([Fault::Cuts(2), Fault::None, Fault::Cuts(5)]);
     let request =
@@ -130,7 +130,7 @@
 
 /// Seen here: an event with no choice in it ended the program's task. Events of any shape do no harm.
 #[tokio::test]
-async fn events_of_any_shape_do_no_harm() {
+async fn server_events_of_any_shape_break_nothing() {
     const HEAD: &str = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n";
     const EVENTS: [&str; 6] = [
         "3",
--- a/tests/trials/mod.rs
+++ b/tests/trials/mod.rs
@@ -139,7 +139,7 @@
     Shape { readers: 2, writers: 2, events: EVENTS, ..Shape::default() }
 }
 
-/// A site for the trials: the ledger off, or on with a time to linger (seconds).
+/// A site for the trials: knowledge of repeats off, or on with a time to linger (seconds).
 pub async fn site(linger: Option<f64>) -> FleetSite {
     let repeats = linger.map(|linger| {
         format!("enabled = true\nafter_start_s = 0.0\nlinger_s = {linger:?}\nbudget_most_saved = 100000\n")
