--- a/src/edge/clients/accept_queue.rs
+++ b/src/edge/clients/accept_queue.rs
@@ -71,7 +71,7 @@
     let listener = match listener.into_std() {
         Ok(listener) => listener,
         Err(error) => {
-            return warn!(error:% = error; "listener: queue not emptied at its close");
+            return warn!(reason:% = error; "listener: queue not emptied at its close");
         }
     };
     let until = Instant::now() + LAST_ACCEPTS;
@@ -84,11 +84,11 @@
         match accepted {
             Ok((stream, _)) => match usable(stream) {
                 Ok(stream) => admit(stream, failing.waited()),
-                Err(error) => warn!(error:% = error; "listener: connection lost at its close"),
+                Err(error) => warn!(reason:% = error; "listener: connection lost at its close"),
             },
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
             Err(error) if Instant::now() >= until => {
-                warn!(error:% = error; "listener: accept failed at its close");
+                warn!(reason:% = error; "listener: accept failed at its close");
                 break;
             }
             failed => {
--- a/src/edge/clients/chat/choice_stream.rs
+++ b/src/edge/clients/chat/choice_stream.rs
@@ -138,7 +138,9 @@
         match decision {
             BreakDecision::Resume { text, max_tokens, deadline_us } => {
                 let choice = self.choice;
-                info!(choice, text_bytes = text.len(), reason:% = error; "chat: answer broke off, rest requested");
+                let request_id = resumption.request_id;
+                info!(request_id:% = request_id, choice, text_bytes = text.len(), reason:% = error;
+                    "chat: answer broke off, rest requested");
                 let rest = RestRequest { choice, text, max_tokens, deadline_us, wait_us };
                 self.input = Input::Requested((resumption.request_rest)(rest));
                 None
--- a/src/edge/clients/chat/requests.rs
+++ b/src/edge/clients/chat/requests.rs
@@ -199,6 +199,16 @@
         Ok(response)
     }
 
+    /// Keeps the response, once it is whole.
+    fn response_keeper(&self, accepted: &AcceptedRequest<'_>, metadata: &AnswerMetadata) -> ResponseKeeper {
+        ResponseKeeper {
+            store: self.response_store.clone(),
+            tenant: accepted.tenant.number,
+            id: format!("resp_{}", metadata.id),
+            input_items: accepted.request.input_items.clone(),
+        }
+    }
+
     /// The HTTP response to a client.
     async fn answer(
         self: &Arc<Self>,
@@ -213,18 +223,13 @@
         let resumption = self
             .resume_policy
             .filter(|policy| answer.is_own_run && prompt_bytes <= policy.max_text_bytes)
-            .map(|policy| self.resumption(accepted, policy));
+            .map(|policy| self.resumption(id, accepted, policy));
         let metadata = AnswerMetadata {
             id: format!("{:016x}", id.0),
             model: request.model.clone(),
             created_unix_s: answer.started_us / 1_000_000,
         };
-        let keeper = request.store.then(|| ResponseKeeper {
-            store: self.response_store.clone(),
-            tenant: accepted.tenant.number,
-            id: format!("resp_{}", metadata.id),
-            input_items: request.input_items.clone(),
-        });
+        let keeper = request.store.then(|| self.response_keeper(accepted, &metadata));
         let mut response = if request.stream {
             let writer = StreamWriter::new(request, metadata);
             let stream = AnswerStream::new(answer.sources, writer, keeper, resumption, self.keepalive);
--- a/src/edge/clients/chat/resumption.rs
+++ b/src/edge/clients/chat/resumption.rs
@@ -8,7 +8,7 @@
 
 use crate::edge::clients::chat::answer_source::AnswerSource;
 use crate::edge::clock::Clock;
-use crate::interface::Micros;
+use crate::interface::{Micros, RequestId};
 
 /// A request for the rest of a choice.
 #[derive(Clone, Debug)]
@@ -51,6 +51,8 @@
 /// How choices are resumed.
 #[derive(Clone)]
 pub(super) struct Resumption {
+    /// The request whose answer it is.
+    pub(super) request_id: RequestId,
     pub(super) policy: Policy,
     /// What the choices are like.
     pub(super) traits: ChoiceTraits,
--- a/src/edge/clients/chat/server_request.rs
+++ b/src/edge/clients/chat/server_request.rs
@@ -70,7 +70,12 @@
     }
 
     /// How this request's choices are resumed: each time as one more request.
-    pub(super) fn resumption(self: &Arc<Self>, accepted: &AcceptedRequest<'_>, policy: Policy) -> Resumption {
+    pub(super) fn resumption(
+        self: &Arc<Self>,
+        request_id: RequestId,
+        accepted: &AcceptedRequest<'_>,
+        policy: Policy,
+    ) -> Resumption {
         let traits = ChoiceTraits {
             may_rerun: !accepted.model.at_most_once,
             wants_more_than_text: accepted.request.body["logprobs"] == true,
@@ -90,7 +95,7 @@
                 front.request_rest(&accepted, &rest).await
             })
         });
-        Resumption { policy, traits, request_rest, clock: self.clock }
+        Resumption { request_id, policy, traits, request_rest, clock: self.clock }
     }
 
     async fn request_rest(
--- a/src/edge/clients/listener.rs
+++ b/src/edge/clients/listener.rs
@@ -55,7 +55,7 @@
         match accepted {
             Ok(stream) => acceptor.admit(stream, failing.waited()),
             Err(error) => {
-                warn!(error:% = error; "listener: accept failed");
+                warn!(reason:% = error; "listener: accept failed");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
