--- a/benches/scale/list.rs
+++ b/benches/scale/list.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use dewladder::edge::core::{Core, Input};
-use dewladder::edge::listing::{entries, Answer, Names};
+use dewladder::edge::discovery::listing::{entries, Answer, Names};
 use dewladder_router::interface::{ListUpdateKind, Micros};
 use dewladder_scale::options::{self, OptionsError};
 use dewladder_scale::results::{ListSample, ListTold};
--- a/src/edge/listing.rs
+++ b/src/edge/discovery/listing.rs
@@ -38,36 +38,42 @@
     members: Vec<Value>,
 }
 
+/// An answer whose entries can't be read, one and all.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("no entry of members can be read")]
+pub struct NoReadableEntry;
+
 impl Answer {
     /// The list. An entry that names its server but can't be read otherwise is taken as one that takes no work: it may
     /// be the word of a drain, which would not be told again.
     ///
     /// # Errors
     /// Entries of which none can be read are no list.
-    pub fn listing(self) -> Result<Listing, &'static str> {
-        let Self { revision, complete, members: all } = self;
-        let (mut members, mut readable) = (Vec::with_capacity(all.len()), all.is_empty());
-        for (at, entry) in all.iter().enumerate() {
+    pub fn listing(self) -> Result<Listing, NoReadableEntry> {
+        let Self { revision, complete, members: entries } = self;
+        let mut members = Vec::with_capacity(entries.len());
+        let mut is_readable = entries.is_empty();
+        for (number, entry) in entries.iter().enumerate() {
             match Member::deserialize(entry) {
                 Ok(member) if member.health().is_some() => {
-                    readable = true;
+                    is_readable = true;
                     members.push(member);
                 }
                 read => {
-                    let why = read.map_or_else(|error| error.to_string(), |member| member.phase);
-                    warn!("list: members.{at} can't be read ({why}): nothing is sent to that server");
-                    let named = entry["id"].as_str().map(Member::gone);
+                    let reason = read.map_or_else(|error| error.to_string(), |member| member.phase);
+                    warn!(entry = number, reason = reason.as_str();
+                        "discovery: entry of members not readable; nothing is sent to that server");
+                    let named = entry["id"].as_str().map(Member::removed);
                     // A change in such an entry alone would be told over and over, and never acted on.
-                    readable |= !complete && named.is_some();
+                    is_readable |= !complete && named.is_some();
                     members.extend(named);
                 }
             }
         }
-        if readable {
-            Ok(Listing { revision, complete, members })
-        } else {
-            Err("no entry of members can be read")
+        if !is_readable {
+            return Err(NoReadableEntry);
         }
+        Ok(Listing { revision, complete, members })
     }
 }
 
@@ -83,7 +89,7 @@
     #[serde(default)]
     cell: u32,
     phase: String,
-    #[serde(default = "one")]
+    #[serde(default = "default_size")]
     size: f64,
     #[serde(default)]
     up_since_ms: u64,
@@ -91,23 +97,25 @@
 
 /// Guards the list: one entry that can't be read must not cost all the others.
 fn readable<'de, D: Deserializer<'de>>(input: D) -> Result<Vec<Member>, D::Error> {
-    let all = Vec::<Value>::deserialize(input)?;
-    let read = |(at, entry)| match Member::deserialize(entry) {
-        Ok(member) => Some(member),
-        Err(error) => {
-            warn!("list: members.{at} can't be read and is left out: {error}");
-            None
+    let entries = Vec::<Value>::deserialize(input)?;
+    let mut members = Vec::with_capacity(entries.len());
+    for (number, entry) in entries.into_iter().enumerate() {
+        match Member::deserialize(entry) {
+            Ok(member) => members.push(member),
+            Err(error) => {
+                warn!(entry = number, reason:% = error; "discovery: entry of members not readable; left out");
+            }
         }
-    };
-    Ok(all.into_iter().enumerate().filter_map(read).collect())
+    }
+    Ok(members)
 }
 
-fn one() -> f64 {
+fn default_size() -> f64 {
     1.0
 }
 
 impl Member {
-    fn gone(id: &str) -> Self {
+    fn removed(id: &str) -> Self {
         Self {
             id: id.to_owned(),
             host_port: String::new(),
--- a/src/edge/dispatcher.rs
+++ b/src/edge/dispatcher.rs
@@ -25,8 +25,8 @@
 use crate::edge::dispatcher::listeners::{bind_peers, listen};
 pub use crate::edge::dispatcher::running::RunError;
 use crate::edge::driver::{Driver, DriverHandle};
+use crate::edge::gossip_transport::GossipTransport;
 use crate::edge::hot_restart::HotRestartTask;
-use crate::edge::peers::Peers;
 use crate::edge::phase::Phase;
 use crate::edge::settings::{Config, FieldError, Fronts};
 use crate::edge::stats::Figures;
@@ -64,7 +64,7 @@
     phase: watch::Sender<Phase>,
     fronts: Vec<Front>,
     agent: Option<TcpListener>,
-    peers: Option<Peers>,
+    peers: Option<GossipTransport>,
     health: Health,
     admin: Option<Admin>,
     hot_restart: Option<HotRestartTask>,
@@ -82,7 +82,7 @@
         let shared = config.admin.is_some();
         let (mut driver, to_driver) = Driver::new(&config, clock);
         let peers = open_peers(&config, shared);
-        driver.set_peers(peers.clone().unwrap_or_default());
+        driver.set_gossip_transport(peers.clone().unwrap_or_default());
         let figures = driver.figures();
         // Only where there is a second address can another process be told to take over.
         let folder = std::env::var("TMPDIR").ok().filter(|_| shared);
@@ -155,7 +155,7 @@
 
 /// The socket for load gossip, where the settings allow it. What others know is a help, not a need: without it, each
 /// dispatcher learns by itself.
-fn open_peers(config: &Config, shared: bool) -> Option<Peers> {
+fn open_peers(config: &Config, shared: bool) -> Option<GossipTransport> {
     let (address, all) = config.peers?;
     match bind_peers(address, all, shared) {
         Ok(peers) => Some(peers),
--- a/src/edge/dispatcher/listeners.rs
+++ b/src/edge/dispatcher/listeners.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 use crate::edge::clients::listener;
-use crate::edge::peers::Peers;
+use crate::edge::gossip_transport::GossipTransport;
 use crate::edge::transient::{self, is_transient, outlast};
 
 /// What is a help and not a need is waited for at a start for so long.
@@ -26,8 +26,8 @@
 }
 
 /// The socket for load gossip; it is tried for half a second only, as the dispatcher serves without it.
-pub(super) fn bind_peers(at: SocketAddr, all: SocketAddr, shared: bool) -> io::Result<Peers> {
-    outlast("peers", OPTIONAL_WAIT, is_transient, || Peers::bind(at, all, shared))
+pub(super) fn bind_peers(at: SocketAddr, all: SocketAddr, shared: bool) -> io::Result<GossipTransport> {
+    outlast("peers", OPTIONAL_WAIT, is_transient, || GossipTransport::bind(at, all, shared))
 }
 
 /// Listens for clients. Where the address is `shared`, another process of this dispatcher may listen there too. Blocks
--- a/src/edge/dispatcher/running.rs
+++ b/src/edge/dispatcher/running.rs
@@ -15,12 +15,12 @@
 use crate::edge::clients::connection_limits::ConnectionLimits;
 use crate::edge::clients::listener;
 use crate::edge::cluster::Cluster;
+use crate::edge::discovery;
+use crate::edge::discovery::listing;
 use crate::edge::dispatcher::listeners::listen_while_running;
 use crate::edge::dispatcher::{Dispatcher, Front};
 use crate::edge::driver::Message;
 use crate::edge::hot_restart::HotRestartTask;
-use crate::edge::list;
-use crate::edge::listing;
 use crate::edge::phase::Phase;
 use crate::edge::stats::Figures;
 use crate::interface::ListUpdateKind;
@@ -64,9 +64,9 @@
         }
         let entries = known.clone();
         to_driver.send(Message::EndpointsUpdated { how: ListUpdateKind::StaleCopy, entries });
-        let gossip = self.peers.map(|peers| tokio::spawn(peers.hear(to_driver.clone())));
+        let gossip = self.peers.map(|peers| tokio::spawn(peers.receive(to_driver.clone())));
         let mut driver = tokio::spawn(driver.run());
-        let mut watching = tokio::spawn(list::watch(config.clone(), discovery, to_driver.clone()));
+        let mut watching = tokio::spawn(discovery::watch(config.clone(), discovery, to_driver.clone()));
         let limits = ConnectionLimits::new(config.max_client_connections());
         let health = self.health;
         let agent = self.agent.map(|listener| tokio::spawn(balancers::agent_check(listener, health)));
--- a/src/edge/driver.rs
+++ b/src/edge/driver.rs
@@ -28,7 +28,7 @@
 pub use crate::edge::driver::messages::{Message, Reply};
 use crate::edge::driver::releases::Releases;
 use crate::edge::driver::summary::Summary;
-use crate::edge::peers::Peers;
+use crate::edge::gossip_transport::GossipTransport;
 use crate::edge::servers::{Attempt, Servers};
 use crate::edge::settings::Config;
 use crate::edge::stats::{End, Figures};
@@ -44,7 +44,7 @@
     inbox: mpsc::UnboundedReceiver<Message>,
     to_self: DriverHandle,
     servers: Servers,
-    peers: Peers,
+    gossip: GossipTransport,
     addresses: Addresses,
     clients: Clients,
     attempts: Attempts,
@@ -77,7 +77,7 @@
             releases: Releases::new(servers.clone(), figures.clone()),
             to_self: to_self.clone(),
             servers,
-            peers: Peers::default(),
+            gossip: GossipTransport::default(),
             addresses: Addresses::default(),
             clients: Clients::default(),
             figures,
@@ -95,8 +95,8 @@
     }
 
     /// Has load gossip sent there.
-    pub fn set_peers(&mut self, peers: Peers) {
-        self.peers = peers;
+    pub fn set_gossip_transport(&mut self, gossip: GossipTransport) {
+        self.gossip = gossip;
     }
 
     /// Runs for ever.
@@ -268,7 +268,7 @@
                 self.clients.reply(id, Reply::Failed { may_have_run });
             }
             Effect::ReleaseHeldState { id, holders, again } => self.release(id, &holders, again),
-            Effect::PublishGossip(bytes) => self.peers.tell(&bytes),
+            Effect::PublishGossip(bytes) => self.gossip.publish(&bytes),
             Effect::Evict { id, may_have_run } => {
                 // Guards the figures: a request that is completed has ended, whatever way that came about.
                 self.count_end(id, End::Failed);
--- a/src/edge/settings/config.rs
+++ b/src/edge/settings/config.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 
 use crate::edge::admin::DESCRIPTORS;
-use crate::edge::listing::{Listing, Names};
+use crate::edge::discovery::listing::{Listing, Names};
 use crate::edge::settings::error::{ConfigError, Problem};
 use crate::edge::settings::key_values::flatten;
 use crate::edge::settings::rules::{self, MAX_VALUE};
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -5,7 +5,7 @@
 use std::io::{BufRead as _, BufReader};
 use std::process::{Command, Output, Stdio};
 
-use dewladder::edge::listing::{entries, server_id, Listing, Names};
+use dewladder::edge::discovery::listing::{entries, server_id, Listing, Names};
 use dewladder::interface::ServerId;
 use serde_json::json;
 use stand_in::eventually;
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -9,9 +9,9 @@
 
 use dewladder::edge::clock::Clock;
 use dewladder::edge::connections::kept_idle;
+use dewladder::edge::discovery::listing::{entries, Listing, Names};
 use dewladder::edge::driver::{Driver, Message, Reply};
-use dewladder::edge::listing::{entries, Listing, Names};
-use dewladder::edge::peers::Peers;
+use dewladder::edge::gossip_transport::GossipTransport;
 use dewladder::edge::servers::{self, Payload, Servers};
 use dewladder::edge::settings::Config;
 use dewladder::edge::stats::Figures;
@@ -671,7 +671,8 @@
 #[tokio::test]
 async fn dispatchers_hear_of_one_another_and_drop_what_is_no_claim() {
     let word = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
-    let peers = Peers::bind("127.0.0.1:0".parse().unwrap(), word.local_addr().unwrap(), false).unwrap();
+    let peers =
+        GossipTransport::bind("127.0.0.1:0".parse().unwrap(), word.local_addr().unwrap(), false).unwrap();
     let at = peers.address().expect("bound");
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let mut told = config(listener.local_addr().unwrap(), &json!({}));
@@ -681,17 +682,17 @@
     told = value.to_string();
     let (mut driver, sender) =
         Driver::new(&Config::parse("config", &told, |_| None).unwrap(), Clock::start());
-    driver.set_peers(peers.clone());
+    driver.set_gossip_transport(peers.clone());
     let counts = driver.figures();
     tokio::spawn(driver.run());
-    tokio::spawn(peers.clone().hear(sender));
+    tokio::spawn(peers.clone().receive(sender));
     for junk in [&b""[..], b"x", &[0; 10], &[1; 10], &[7; 256], &[7; 1_400]] {
         word.send_to(junk, at).unwrap();
     }
     eventually("all dropped", || counts.messages_dropped() == 6).await;
     // A longer message than any may be is not sent at all.
-    peers.tell(&[1; 257]);
-    peers.tell(&[1; 10]);
+    peers.publish(&[1; 257]);
+    peers.publish(&[1; 10]);
     let mut heard = [0; 300];
     assert_eq!(word.recv(&mut heard).unwrap(), 10);
 }
