--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -199,11 +199,15 @@
         server.statistics.report = Some((report, self.now));
     }
 
-    /// Classes have new numbers: `previous` has the old number for each new one.
-    pub(crate) fn renumber_classes(&mut self, previous: &BTreeMap<u32, u32>, classes: &BTreeMap<u32, Class>) {
+    /// Classes have new numbers: `class_renumbering` has the old number for each new one.
+    pub(crate) fn renumber_classes(
+        &mut self,
+        class_renumbering: &BTreeMap<u32, u32>,
+        classes: &BTreeMap<u32, Class>,
+    ) {
         let suspects: Vec<ServerId> = self.index.suspects.iter().copied().collect();
         for id in suspects {
-            self.change(id, |server| server.statistics.renumber_classes(previous, classes));
+            self.change(id, |server| server.statistics.renumber_classes(class_renumbering, classes));
         }
     }
 
--- a/crates/router/src/records/server.rs
+++ b/crates/router/src/records/server.rs
@@ -107,10 +107,14 @@
         self.served_per_second.add(1.0, now, time_constant_us);
     }
 
-    /// Classes have new numbers: `previous` has the old number for each new one. What is known goes on under
+    /// Classes have new numbers: `class_renumbering` has the old number for each new one. What is known goes on under
     /// the new numbers; what belongs to no class of `classes` is dropped.
-    pub(crate) fn renumber_classes(&mut self, previous: &BTreeMap<u32, u32>, classes: &BTreeMap<u32, Class>) {
-        for (&new, old) in previous {
+    pub(crate) fn renumber_classes(
+        &mut self,
+        class_renumbering: &BTreeMap<u32, u32>,
+        classes: &BTreeMap<u32, Class>,
+    ) {
+        for (&new, old) in class_renumbering {
             let known = self.outlier_states.get(old).cloned();
             self.outlier_states.extend(known.map(|known| (new, known)));
         }
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -208,11 +208,11 @@
         self.close(id, actions);
     }
 
-    /// New settings. What is known of servers for a class goes on under its new number: `previous` has the
+    /// New settings. What is known of servers for a class goes on under its new number: `class_renumbering` has the
     /// old one.
-    fn reload(&mut self, settings: Settings, previous: &BTreeMap<u32, u32>) {
+    fn reload(&mut self, settings: Settings, class_renumbering: &BTreeMap<u32, u32>) {
         let state = &mut self.state;
-        state.fleet.renumber_classes(previous, &settings.classes);
+        state.fleet.renumber_classes(class_renumbering, &settings.classes);
         state.gossip.reload(&settings);
         state.fleet.set_slow_start_window(settings.slow_start_window);
         state.shortest_objective_us = settings.shortest_latency_objective();
--- a/crates/router/src/start_times.rs
+++ b/crates/router/src/start_times.rs
@@ -1,4 +1,4 @@
-//! Start times of servers on this process's own clock.
+//! Start times of servers, put on this process's own clock.
 //!
 //! The list tells them by discovery's clock. This process's clock is the machine's wall clock as it stood
 //! at the start, which may be off by an hour; slow start goes by spans of real time, so what the list tells
@@ -6,7 +6,7 @@
 //!
 //! - no server has started in the future: the newest start time shows by how much this clock is behind at
 //!   the least;
-//! - a server that is first heard of after the first list, or under a new start time, has started lately:
+//! - a server that is first listed after the first list, or under a new start time, has started lately:
 //!   one whose age can't be believed is taken to have started just now. That spares it for longer than it
 //!   needs at worst.
 
@@ -15,75 +15,77 @@
 use crate::interface::{Health, ListUpdateKind, Micros, ServerEntry, ServerId};
 
 /// Clocks of machines that are kept in step differ by less (us).
-const SKEW: Micros = 1_000_000;
-/// A start is told no later than this (us). Scales with the register's lag. Harm: after a longer outage of
+const MAX_CLOCK_SKEW_US: Micros = 1_000_000;
+/// A start is listed no later than this (us). Scales with the register's lag. Harm: after a longer outage of
 /// discovery, servers that started within it are spared anew.
-const TOLD_WITHIN: Micros = 10_000_000;
+const MAX_LISTING_DELAY_US: Micros = 10_000_000;
 /// Servers that have gone whose start times are kept: they come under new ids all day.
-const MOST_GONE: usize = 1_024;
+const MAX_GONE_SERVERS: usize = 1_024;
 
-/// A start time as it was told, and on this process's clock.
+/// A start time by discovery's clock, and on this process's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Start {
-    told: Micros,
-    own: Micros,
+struct StartTime {
+    listed: Micros,
+    local: Micros,
 }
 
-/// Start times of the servers that were told of. See the [module](self).
+/// Start times of the servers that were listed. See the [module](self).
 #[derive(Clone, Debug, Default)]
 pub struct StartTimes {
-    known: BTreeMap<ServerId, Start>,
-    /// Those that were told to have gone, the last ones.
+    known: BTreeMap<ServerId, StartTime>,
+    /// Servers that were last listed as gone, the longest ago first.
     gone: VecDeque<ServerId>,
-    /// By so much discovery's clock is ahead of this process's.
-    ahead: Micros,
-    /// Discovery has answered.
-    listed: bool,
+    /// By so much discovery's clock is ahead of this process's (us).
+    discovery_ahead_us: Micros,
+    /// Discovery has answered: servers that are new from now on have lately started.
+    has_list: bool,
 }
 
 impl StartTimes {
-    /// Puts the start times of entries that are told now on this process's clock. What is known of a server
-    /// stays while it is told of under the same start time.
-    pub fn localize(&mut self, now: Micros, how: ListUpdateKind, entries: &mut [ServerEntry]) {
+    /// Puts the start times of entries that are listed now on this process's clock. What is known of a server
+    /// stays while it is listed under the same start time.
+    pub fn localize(&mut self, now: Micros, kind: ListUpdateKind, entries: &mut [ServerEntry]) {
         let newest = entries.iter().filter_map(|entry| entry.started).max().unwrap_or(0);
-        if newest > now + self.ahead + SKEW {
-            self.ahead = newest - now;
+        if newest > now + self.discovery_ahead_us + MAX_CLOCK_SKEW_US {
+            self.discovery_ahead_us = newest - now;
         }
-        if how == ListUpdateKind::Full {
-            let listed: Vec<ServerId> = entries.iter().map(|entry| entry.server).collect();
-            self.keep_only(listed);
+        if kind == ListUpdateKind::Full {
+            self.retain_listed(entries);
         }
         for entry in entries.iter_mut() {
             if entry.health == Health::Gone {
-                self.has_gone(entry.server);
-            } else {
-                entry.started = entry.started.map(|told| self.start_of(entry.server, told, now).own);
+                self.record_gone(entry.server);
+            } else if let Some(listed) = entry.started {
+                entry.started = Some(self.local_start(entry.server, listed, now));
             }
         }
-        self.listed |= matches!(how, ListUpdateKind::Full | ListUpdateKind::Patch);
+        self.has_list |= matches!(kind, ListUpdateKind::Full | ListUpdateKind::Patch);
     }
 
-    fn keep_only(&mut self, mut listed: Vec<ServerId>) {
+    fn retain_listed(&mut self, entries: &[ServerEntry]) {
+        let mut listed: Vec<ServerId> = entries.iter().map(|entry| entry.server).collect();
         listed.sort_unstable();
         self.known.retain(|server, _| listed.binary_search(server).is_ok());
     }
 
     /// A server that comes back under the start time that it had is not taken for a new one.
-    fn has_gone(&mut self, server: ServerId) {
+    fn record_gone(&mut self, server: ServerId) {
         self.gone.push_back(server);
-        if self.gone.len() > MOST_GONE {
-            self.gone.pop_front().and_then(|longest| self.known.remove(&longest));
+        if self.gone.len() > MAX_GONE_SERVERS {
+            if let Some(longest) = self.gone.pop_front() {
+                self.known.remove(&longest);
+            }
         }
     }
 
-    fn start_of(&mut self, server: ServerId, told: Micros, now: Micros) -> Start {
-        if let Some(known) = self.known.get(&server).filter(|known| known.told == told) {
-            return *known;
+    fn local_start(&mut self, server: ServerId, listed: Micros, now: Micros) -> Micros {
+        if let Some(known) = self.known.get(&server).filter(|known| known.listed == listed) {
+            return known.local;
         }
-        let aligned = told.saturating_sub(self.ahead).min(now);
-        let is_late = self.listed && now - aligned > TOLD_WITHIN;
-        let start = Start { told, own: if is_late { now } else { aligned } };
-        self.known.insert(server, start);
-        start
+        let aligned = listed.saturating_sub(self.discovery_ahead_us).min(now);
+        let is_implausible = self.has_list && now - aligned > MAX_LISTING_DELAY_US;
+        let local = if is_implausible { now } else { aligned };
+        self.known.insert(server, StartTime { listed, local });
+        local
     }
 }
--- a/crates/router/tests/classes.rs
+++ b/crates/router/tests/classes.rs
@@ -31,7 +31,7 @@
                 0 => {
                     told = picks.iter().map(|&(name, variant)| (names[name], rules(variant))).collect();
                     let new: Vec<Class> = told.iter().map(|(name, effect)| named(name, *effect)).collect();
-                    let class_renumbering = classes.retune(new, |number| open.iter().any(|(its, ..)| *its == number));
+                    let class_renumbering = classes.update(new, |number| open.iter().any(|(its, ..)| *its == number));
                     for (new, old) in class_renumbering {
                         prop_assert!(old < new, "an heir is newer");
                     }
@@ -62,7 +62,7 @@
                 prop_assert!(retired.all(|(number, _)| had.contains(number)), "what nobody has goes at the next change");
             }
         }
-        classes.retune([named("ask", rules(0))], |_| false);
+        classes.update([named("ask", rules(0))], |_| false);
         prop_assert_eq!(classes.known().len(), 1);
     }
 }
--- a/crates/router/tests/full_scan/control.rs
+++ b/crates/router/tests/full_scan/control.rs
@@ -166,7 +166,7 @@
             Event::TimerFired(SWEEP) => self.sweep(out),
             Event::GossipReceived(bytes) => self.gossip.receive(&bytes, now),
             Event::SettingsReloaded { settings, class_renumbering } => {
-                self.retune(*settings, &class_renumbering)
+                self.reload(*settings, &class_renumbering)
             }
             Event::StateImported(_) => unreachable!("a hand-over is not played here"),
             Event::LimitShareChanged(part) => self.part = part,
@@ -176,7 +176,7 @@
     }
 
     /// New settings: what is known of servers for a class goes on under its new number.
-    fn retune(&mut self, settings: Settings, class_renumbering: &BTreeMap<u32, u32>) {
+    fn reload(&mut self, settings: Settings, class_renumbering: &BTreeMap<u32, u32>) {
         for server in self.servers.values_mut() {
             for (&new, old) in class_renumbering {
                 let known = server.statistics.outlier_states.get(old).cloned();
--- a/src/edge/core.rs
+++ b/src/edge/core.rs
@@ -170,7 +170,7 @@
     fn reload_settings(&mut self, mut settings: Settings) {
         let requests = &self.requests;
         let new_classes = std::mem::take(&mut settings.classes).into_values();
-        let class_renumbering = self.classes.retune(new_classes, |class| requests.uses_class(class));
+        let class_renumbering = self.classes.update(new_classes, |class| requests.uses_class(class));
         settings.classes = self.classes.known().clone();
         self.retry_in = settings.max_retry_after;
         self.requests.reload(&settings);
@@ -188,7 +188,7 @@
             return self.reject_at_once(id, EndReason::TooManyOpen);
         }
         // A class that went while the request was on its way here: nothing was done, and trying again is harmless.
-        if !self.classes.knows(info.class) {
+        if !self.classes.contains(info.class) {
             return self.reject_at_once(id, EndReason::ClassGone);
         }
         self.requests.open(info, &mut self.step);
