--- a/tests/connection_model.rs
+++ b/tests/connection_model.rs
@@ -1,6 +1,6 @@
 //! A model of each connection's states, held against the reducer through random steps: whatever servers,
 //! clients and the list do, a request gets one final answer in time, nothing is sent after that, no effect
-//! happens twice, and what may be held is let go.
+//! happens twice, and what may be held is released.
 
 use std::collections::BTreeMap;
 
@@ -73,33 +73,42 @@
     Left,
 }
 
+/// An attempt as the model follows it.
+#[derive(Clone, Copy, Debug)]
+struct Attempt {
+    server: ServerId,
+    is_streaming: bool,
+}
+
 #[derive(Debug)]
 struct Connection {
     state: State,
-    once: bool,
+    at_most_once: bool,
     not_after: Micros,
-    /// Attempts out: server, and whether the stream has begun.
-    out: BTreeMap<u32, (ServerId, bool)>,
-    /// A writer's attempt that may have run.
-    ran: bool,
+    /// Attempts in flight, by their numbers.
+    in_flight: BTreeMap<u32, Attempt>,
+    /// A writer's attempt may have run.
+    may_have_executed: bool,
     /// Readers that may hold a state.
-    held: Vec<ServerId>,
-    forgotten: bool,
+    holders: Vec<ServerId>,
+    evicted: bool,
 }
 
 struct World {
     core: Core,
     now: Micros,
     connections: BTreeMap<RequestId, Connection>,
-    gone: BTreeMap<ServerId, bool>,
+    /// Servers that the list has not as ready.
+    unavailable: BTreeMap<ServerId, bool>,
 }
 
-fn reads(server: ServerId) -> bool {
+fn is_reader(server: ServerId) -> bool {
     server.0.is_multiple_of(2)
 }
 
 impl World {
-    fn tell(&mut self, input: Input) {
+    /// Feeds an input to the reducer, and what follows at once from its effects.
+    fn feed(&mut self, input: Input) {
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
             for effect in self.core.step(self.now, input) {
@@ -114,58 +123,74 @@
             Effect::Send { id, attempt, server, reads: reading, until, begin_by, .. } => {
                 let connection = self.connections.get_mut(&id).expect("a known request");
                 assert_eq!(connection.state, State::Waiting, "sent after the answer");
-                assert!(connection.out.is_empty(), "a second copy");
-                assert!(!(connection.once && connection.ran), "a second effect");
+                assert!(connection.in_flight.is_empty(), "a second copy");
+                assert!(!(connection.at_most_once && connection.may_have_executed), "a second effect");
                 assert!(until <= connection.not_after && self.now < begin_by && begin_by <= until);
-                assert_eq!(reading, reads(server));
-                assert!(!self.gone[&server], "sent to a server that the list has not as ready");
-                connection.out.insert(attempt, (server, false));
+                assert_eq!(reading, is_reader(server));
+                assert!(!self.unavailable[&server], "sent to a server that the list has not as ready");
+                connection.in_flight.insert(attempt, Attempt { server, is_streaming: false });
             }
             Effect::CancelAttempt { id, attempt } => {
                 let written = !self.now.is_multiple_of(3);
                 let connection = self.connections.get_mut(&id).expect("a known request");
                 // One that has just been withdrawn.
-                let &(server, begun) = connection.out.get(&attempt)?;
-                assert!(!begun || connection.state != State::Streaming, "a client's stream was stopped");
-                self.ended(id, attempt, server, if written { Outcome::Timeout } else { Outcome::NotSent });
+                let &Attempt { server, is_streaming } = connection.in_flight.get(&attempt)?;
+                assert!(
+                    !is_streaming || connection.state != State::Streaming,
+                    "a client's stream was stopped"
+                );
+                self.record_end(
+                    id,
+                    attempt,
+                    server,
+                    if written { Outcome::Timeout } else { Outcome::NotSent },
+                );
                 return Some(Input::AttemptStopped { id, attempt, written });
             }
             // By chance nothing has been written yet.
             Effect::CancelUnwritten { id, attempt } => {
                 let connection = &self.connections[&id];
-                let Some(&(server, false)) = connection.out.get(&attempt) else { return None };
-                let wanted = connection.state == State::Left || self.gone[&server];
+                let Some(&Attempt { server, is_streaming: false }) = connection.in_flight.get(&attempt)
+                else {
+                    return None;
+                };
+                let wanted = connection.state == State::Left || self.unavailable[&server];
                 assert!(wanted, "withdrawn though its client waits and its server takes work");
                 if self.now.is_multiple_of(2) {
                     return None;
                 }
-                self.ended(id, attempt, server, Outcome::NotSent);
+                self.record_end(id, attempt, server, Outcome::NotSent);
                 return Some(Input::AttemptStopped { id, attempt, written: false });
             }
             Effect::Relay { id, .. } => {
                 self.answer(id, State::Streaming);
                 let connection = self.connections.get_mut(&id).expect("known");
-                connection.held.clear();
-                connection.ran = true;
+                connection.holders.clear();
+                connection.may_have_executed = true;
             }
             Effect::Reject { id, .. } => {
                 let connection = &self.connections[&id];
-                assert!(!(connection.once && connection.ran), "refused though it may have run");
+                assert!(
+                    !(connection.at_most_once && connection.may_have_executed),
+                    "refused though it may have run"
+                );
                 self.answer(id, State::Answered);
             }
             Effect::Fail { id, .. } => self.answer(id, State::Answered),
             Effect::ReleaseHeldState { id, holders, .. } => {
-                let held = &mut self.connections.get_mut(&id).expect("known").held;
-                assert_eq!(&holders, held, "every holder is asked, and no other");
-                held.clear();
+                let expected = &mut self.connections.get_mut(&id).expect("known").holders;
+                assert_eq!(&holders, expected, "every holder is asked, and no other");
+                expected.clear();
             }
             Effect::PublishGossip(_) => panic!("the settings bar it"),
             Effect::Evict { id, may_have_run } => {
                 let connection = self.connections.get_mut(&id).expect("known");
-                assert_eq!(may_have_run, connection.ran, "what is told of it to who asked");
-                assert!(!connection.forgotten && connection.out.is_empty() && connection.held.is_empty());
+                assert_eq!(may_have_run, connection.may_have_executed, "what is told of it to who asked");
+                assert!(
+                    !connection.evicted && connection.in_flight.is_empty() && connection.holders.is_empty()
+                );
                 assert_ne!(connection.state, State::Waiting);
-                connection.forgotten = true;
+                connection.evicted = true;
             }
         }
         None
@@ -178,24 +203,24 @@
         connection.state = state;
     }
 
-    fn ended(&mut self, id: RequestId, attempt: u32, server: ServerId, outcome: Outcome) {
+    fn record_end(&mut self, id: RequestId, attempt: u32, server: ServerId, outcome: Outcome) {
         let connection = self.connections.get_mut(&id).expect("a known request");
-        connection.out.remove(&attempt);
+        connection.in_flight.remove(&attempt);
         let uncertain = outcome.may_have_run();
-        if reads(server) && (uncertain || outcome == Outcome::Read) {
-            connection.held.push(server);
+        if is_reader(server) && (uncertain || outcome == Outcome::Read) {
+            connection.holders.push(server);
         }
-        connection.ran |= !reads(server) && uncertain;
+        connection.may_have_executed |= !is_reader(server) && uncertain;
         if connection.state == State::Streaming {
             connection.state = State::Answered;
         }
     }
 
-    fn pass(&mut self, time: Micros) {
+    fn advance(&mut self, time: Micros) {
         let end = self.now + time;
         while let Some(due) = self.core.next_due().filter(|&due| due <= end) {
             self.now = due;
-            self.tell(Input::Tick);
+            self.feed(Input::Tick);
             let late = |c: &&Connection| c.state == State::Waiting && c.not_after + 8_000 < due;
             assert!(!self.connections.values().any(|c| late(&c)), "no answer by the deadline");
         }
@@ -203,31 +228,32 @@
     }
 
     fn step(&mut self, (what, first, second): (u8, u32, u32)) {
-        let busy =
-            self.connections.iter().flat_map(|(&id, c)| c.out.iter().map(move |(&at, &out)| (id, at, out)));
-        let busy: Vec<_> = busy.collect();
-        let any = busy.get(first as usize % busy.len().max(1)).copied();
+        let mut in_flight = Vec::new();
+        for (&id, connection) in &self.connections {
+            in_flight.extend(connection.in_flight.iter().map(|(&at, &attempt)| (id, at, attempt)));
+        }
+        let any = in_flight.get(first as usize % in_flight.len().max(1)).copied();
         match (what, any) {
-            (0..=3, _) => self.arrive(first, second),
-            (4..=7, Some((id, attempt, (server, begun)))) => {
+            (0..=3, _) => self.submit(first, second),
+            (4..=7, Some((id, attempt, Attempt { server, is_streaming }))) => {
                 let ending = [Outcome::Error, Outcome::Full, Outcome::Reset, Outcome::ConnectFailed];
-                let outcome = match (reads(server), second % 8) {
+                let outcome = match (is_reader(server), second % 8) {
                     (true, 0..=4) => Outcome::Read,
-                    (false, 0..=1) if begun => Outcome::Served,
-                    (false, 5) if !begun => Outcome::NoState,
-                    _ => ending[second as usize % if begun { 1 } else { 4 }],
+                    (false, 0..=1) if is_streaming => Outcome::Served,
+                    (false, 5) if !is_streaming => Outcome::NoState,
+                    _ => ending[second as usize % if is_streaming { 1 } else { 4 }],
                 };
-                self.ended(id, attempt, server, outcome);
-                self.tell(Input::AttemptFinished {
+                self.record_end(id, attempt, server, outcome);
+                self.feed(Input::AttemptFinished {
                     id,
                     attempt,
                     result: AttemptResult { cached_tokens: 9, ..outcome.into() },
                 });
             }
-            (8..=10, Some((id, attempt, (server, false)))) if !reads(server) => {
+            (8..=10, Some((id, attempt, Attempt { server, is_streaming: false }))) if !is_reader(server) => {
                 let connection = self.connections.get_mut(&id).expect("known");
-                connection.out.insert(attempt, (server, true));
-                self.tell(Input::StreamStarted { id, attempt });
+                connection.in_flight.insert(attempt, Attempt { server, is_streaming: true });
+                self.feed(Input::StreamStarted { id, attempt });
             }
             (11, _) => {
                 let Some(&id) = self.connections.keys().nth(first as usize % self.connections.len().max(1))
@@ -236,17 +262,17 @@
                 };
                 let connection = self.connections.get_mut(&id).expect("known");
                 if connection.state == State::Streaming {
-                    connection.out.clear(); // dropped with the client's connection
+                    connection.in_flight.clear(); // dropped with the client's connection
                 }
                 connection.state = State::Left;
-                self.tell(Input::ClientDisconnected(id));
+                self.feed(Input::ClientDisconnected(id));
             }
             (12, _) => {
                 let health =
                     [Health::Ready, Health::Ready, Health::Terminating, Health::Gone][second as usize % 4];
                 let server = ServerId(first % 6);
-                self.gone.insert(server, health != Health::Ready);
-                self.tell(Input::EndpointsUpdated {
+                self.unavailable.insert(server, health != Health::Ready);
+                self.feed(Input::EndpointsUpdated {
                     how: ListUpdateKind::Patch,
                     entries: vec![entry(server.0, health)],
                 });
@@ -255,28 +281,29 @@
             (13, _) => {
                 let id = RequestId(u64::from(first % 40));
                 let attempt = 7 + second % 3;
-                self.tell(Input::StreamStarted { id, attempt });
-                self.tell(Input::AttemptFinished { id, attempt, result: Outcome::Served.into() });
-                self.tell(Input::AttemptStopped { id, attempt, written: true });
+                self.feed(Input::StreamStarted { id, attempt });
+                self.feed(Input::AttemptFinished { id, attempt, result: Outcome::Served.into() });
+                self.feed(Input::AttemptStopped { id, attempt, written: true });
             }
-            _ => self.pass(u64::from(first % 300) * 1_000),
+            _ => self.advance(u64::from(first % 300) * 1_000),
         }
     }
 
-    fn arrive(&mut self, first: u32, second: u32) {
+    fn submit(&mut self, first: u32, second: u32) {
         let id = RequestId(self.connections.len() as u64 + 1);
-        let (once, not_after) = (second % 2 == 1, self.now + 1_000 + u64::from(first % 3_000) * 1_000);
+        let (at_most_once, not_after) =
+            (second % 2 == 1, self.now + 1_000 + u64::from(first % 3_000) * 1_000);
         let connection = Connection {
             state: State::Waiting,
-            once,
+            at_most_once,
             not_after,
-            out: BTreeMap::new(),
-            ran: false,
-            held: Vec::new(),
-            forgotten: false,
+            in_flight: BTreeMap::new(),
+            may_have_executed: false,
+            holders: Vec::new(),
+            evicted: false,
         };
         self.connections.insert(id, connection);
-        self.tell(Input::RequestArrived(RequestInfo {
+        self.feed(Input::RequestArrived(RequestInfo {
             id,
             class: second % 2,
             session: Some(Key(u64::from(first % 5))),
@@ -299,14 +326,14 @@
     })]
 
     #[test]
-    fn every_connection_keeps_to_its_model(
+    fn whatever_happens_every_connection_moves_as_its_model(
         steps in prop::collection::vec((0u8..18, any::<u32>(), any::<u32>()), 1..150),
     ) {
         let core = Core::new(settings(), 7, SECOND, 24);
-        let mut world = World { core, now: SECOND, connections: BTreeMap::new(), gone: BTreeMap::new() };
-        world.gone.extend((0..6).map(|id| (ServerId(id), false)));
+        let mut world = World { core, now: SECOND, connections: BTreeMap::new(), unavailable: BTreeMap::new() };
+        world.unavailable.extend((0..6).map(|id| (ServerId(id), false)));
         let entries = (0..6).map(|id| entry(id, Health::Ready)).collect();
-        world.tell(Input::EndpointsUpdated { how: ListUpdateKind::StaleCopy, entries });
+        world.feed(Input::EndpointsUpdated { how: ListUpdateKind::StaleCopy, entries });
         for step in steps {
             world.step(step);
         }
@@ -314,19 +341,19 @@
         for id in world.connections.keys().copied().collect::<Vec<_>>() {
             let connection = world.connections.get_mut(&id).expect("known");
             if connection.state == State::Streaming {
-                (connection.state, connection.out) = (State::Left, BTreeMap::new());
-                world.tell(Input::ClientDisconnected(id));
+                (connection.state, connection.in_flight) = (State::Left, BTreeMap::new());
+                world.feed(Input::ClientDisconnected(id));
             }
         }
-        world.pass(10 * SECOND);
-        prop_assert!(world.connections.values().all(|c| c.forgotten), "something was never finished");
+        world.advance(10 * SECOND);
+        prop_assert!(world.connections.values().all(|c| c.evicted), "something was never finished");
         prop_assert_eq!(world.core.open(), 0);
     }
 }
 
 /// The reducer's side of the same failure: until an attempt is known to have stopped, nothing else happens.
 #[test]
-fn nothing_overtakes_an_attempt_that_is_being_stopped() {
+fn nothing_is_sent_while_an_attempt_is_being_stopped() {
     let mut core = Core::new(settings(), 7, SECOND, 24);
     let entries = (0..6).map(|id| entry(id, Health::Ready)).collect();
     core.step(SECOND, Input::EndpointsUpdated { how: ListUpdateKind::StaleCopy, entries });
