--- a/src/edge/clients/accept_queue.rs
+++ b/src/edge/clients/accept_queue.rs
@@ -11,15 +11,16 @@
 
 use crate::edge::accept::Aborted;
 
-/// After an accept that failed, for want of descriptors say.
+/// The pause after an accept that failed, for want of descriptors say.
 pub const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 /// At the close of a listener, accepts that fail are made again for so long: what waits has a deadline of its own, and a
 /// process that was told to end has its longest one and more (the protocol page).
-const LAST_ACCEPTS: Duration = Duration::from_secs(2);
+const FINAL_ACCEPT_TIME: Duration = Duration::from_secs(2);
 
 /// Accepts that fail in a row: what is accepted after them may have waited as long.
 #[derive(Debug, Default)]
 pub struct FailingAccepts {
+    /// When the first of them failed; `None` once the queue was seen empty.
     since: Option<Instant>,
 }
 
@@ -41,13 +42,13 @@
             };
             // An error of one connection holds up nobody behind it: only what a pause follows is waited for.
             if !aborted.again_at_once(&accepted) {
-                self.note(&accepted);
+                self.record(&accepted);
                 return accepted.map(|(stream, _)| stream);
             }
         }
     }
 
-    fn note<T>(&mut self, accepted: &io::Result<T>) {
+    fn record<T>(&mut self, accepted: &io::Result<T>) {
         if accepted.is_err() {
             self.since.get_or_insert_with(Instant::now);
         }
@@ -60,9 +61,10 @@
     }
 }
 
-/// Closes a listener, with nobody left in its queue: a connection that waits there would be reset by the close, and
-/// its request would have to be asked again. An accept that fails for a moment is made again: of one that failed with
-/// ECONNABORTED others wait behind it, and descriptors may come free.
+/// Closes a listener, with nobody left in its queue: a connection that waits there would be reset by the close, and its
+/// request would have to be made again. `admit` is given each connection that waited, with the time that it may have.
+/// An accept that fails for a moment is made again: behind one that failed with ECONNABORTED others wait, and
+/// descriptors may come free.
 pub async fn close_when_empty(
     listener: TcpListener,
     failing: &mut FailingAccepts,
@@ -74,7 +76,7 @@
             return warn!(reason:% = error; "listener: queue not emptied at its close");
         }
     };
-    let until = Instant::now() + LAST_ACCEPTS;
+    let until = Instant::now() + FINAL_ACCEPT_TIME;
     let mut aborted = Aborted::default();
     loop {
         let accepted = listener.accept();
@@ -82,7 +84,7 @@
             continue;
         }
         match accepted {
-            Ok((stream, _)) => match usable(stream) {
+            Ok((stream, _)) => match into_tokio(stream) {
                 Ok(stream) => admit(stream, failing.waited()),
                 Err(error) => warn!(reason:% = error; "listener: connection lost at its close"),
             },
@@ -92,7 +94,7 @@
                 break;
             }
             failed => {
-                failing.note(&failed);
+                failing.record(&failed);
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
@@ -101,7 +103,7 @@
 }
 
 /// A connection that was accepted without the runtime, made ready for it.
-fn usable(stream: std::net::TcpStream) -> io::Result<TcpStream> {
+fn into_tokio(stream: std::net::TcpStream) -> io::Result<TcpStream> {
     stream.set_nonblocking(true)?;
     TcpStream::from_std(stream)
 }
