--- a/src/edge/core/request_table.rs
+++ b/src/edge/core/request_table.rs
@@ -244,7 +244,7 @@
             return;
         }
         attempt.cancelled_as = Some(outcome);
-        Transitions::stops(attempt.label(id, number), outcome);
+        Transitions::cancels(attempt.label(id, number), outcome);
         step.effects.push(Effect::CancelAttempt { id, attempt: number });
     }
 
@@ -304,16 +304,8 @@
             runs_again_by,
         };
         if !self.guard.lets_send(id, &check) {
-            step.events.push_back(Event::AttemptFinished(AttemptFinished {
-                id,
-                attempt,
-                server,
-                taken: 0,
-                outcome: Outcome::NotSent,
-                cached_tokens: 0,
-                last: request.client != Client::Waiting,
-                report: None,
-            }));
+            let last = request.client != Client::Waiting;
+            step.events.push_back(Event::AttemptFinished(never_sent(id, attempt, server, last)));
             return;
         }
         let in_flight = InFlight { server, reads, sent: now, until, cancelled_as: None };
@@ -353,6 +345,12 @@
     }
 }
 
+/// The end of an attempt that the guard has refused.
+fn never_sent(id: RequestId, attempt: u32, server: ServerId, last: bool) -> AttemptFinished {
+    let (outcome, cached_tokens, report) = (Outcome::NotSent, 0, None);
+    AttemptFinished { id, attempt, server, taken: 0, outcome, cached_tokens, last, report }
+}
+
 /// Until when a request may be executed once more (us); `None` where it surely has not been executed.
 fn runs_again_by(request: &Request, rules: SendRules, until: Micros, resolution: Micros) -> Option<Micros> {
     let first = request.first_execution?;
--- a/src/edge/dispatcher.rs
+++ b/src/edge/dispatcher.rs
@@ -64,7 +64,7 @@
     phase: watch::Sender<Phase>,
     fronts: Vec<Front>,
     agent: Option<TcpListener>,
-    peers: Option<GossipTransport>,
+    gossip: Option<GossipTransport>,
     health: Health,
     admin: Option<Admin>,
     hot_restart: Option<HotRestartTask>,
@@ -81,8 +81,8 @@
         // Where there is a second address, another process may take over while this one serves.
         let shared = config.admin.is_some();
         let (mut driver, to_driver) = Driver::new(&config, clock);
-        let peers = open_peers(&config, shared);
-        driver.set_gossip_transport(peers.clone().unwrap_or_default());
+        let gossip = open_gossip_transport(&config, shared);
+        driver.set_gossip_transport(gossip.clone().unwrap_or_default());
         let figures = driver.figures();
         // Only where there is a second address can another process be told to take over.
         let folder = std::env::var("TMPDIR").ok().filter(|_| shared);
@@ -90,21 +90,19 @@
         let joins = hot_restart.as_ref().is_some_and(|task| task.status().own.stage == Stage::Joining);
         let (phase, phases) = watch::channel(if joins { Phase::Joining } else { Phase::Serving });
         let health = Health::new(figures.clone(), phases, config.max_open_requests());
-        let listen_now = |address| if joins { Ok(None) } else { listen(address, shared).map(Some) };
-
-        let platform_routes = platform::front(clock, to_driver.clone(), figures.clone());
-        let platform_routes = platform_routes.merge(balancers::routes(health.clone()));
         let table = settings.cluster.as_ref().filter(|cluster| cluster.enabled);
         let cluster = table.map(|table| Cluster::bind(table, &config.name, shared, clock, config.seed));
         let cluster = cluster.transpose()?;
-        let address = config.listen;
-        let mut fronts = vec![Front { address, listener: listen_now(address)?, routes: platform_routes }];
+        let open_front = |address, routes: axum::Router| -> Result<Front, ListenError> {
+            let listener = if joins { None } else { Some(listen(address, shared)?) };
+            Ok(Front { address, listener, routes: routes.merge(balancers::routes(health.clone())) })
+        };
+        let platform = platform::front(clock, to_driver.clone(), figures.clone());
+        let mut fronts = vec![open_front(config.listen, platform)?];
         if let Some(chat) = settings.chat.as_ref().filter(|chat| chat.enabled) {
             let quorum = cluster.as_ref().and_then(Cluster::quorum);
             let routes = chat::front(chat, &config, clock, to_driver.clone(), quorum)?;
-            let routes = routes.merge(balancers::routes(health.clone()));
-            let address = chat.listen;
-            fronts.push(Front { address, listener: listen_now(address)?, routes });
+            fronts.push(open_front(chat.listen, routes)?);
         }
         let agent = settings.agent_check.as_ref().filter(|agent| agent.enabled);
         let agent = agent.map(|agent| listen(agent.listen, shared)).transpose()?;
@@ -117,7 +115,7 @@
             phase,
             fronts,
             agent,
-            peers,
+            gossip,
             health,
             admin,
             hot_restart,
@@ -155,7 +153,7 @@
 
 /// The socket for load gossip, where the settings allow it. What others know is a help, not a need: without it, each
 /// dispatcher learns by itself.
-fn open_peers(config: &Config, shared: bool) -> Option<GossipTransport> {
+fn open_gossip_transport(config: &Config, shared: bool) -> Option<GossipTransport> {
     let (address, all) = config.peers?;
     match bind_peers(address, all, shared) {
         Ok(peers) => Some(peers),
--- a/src/edge/dispatcher/running.rs
+++ b/src/edge/dispatcher/running.rs
@@ -19,9 +19,10 @@
 use crate::edge::discovery::listing;
 use crate::edge::dispatcher::listeners::listen_while_running;
 use crate::edge::dispatcher::{Dispatcher, Front};
-use crate::edge::driver::Message;
+use crate::edge::driver::{DriverHandle, Message};
 use crate::edge::hot_restart::HotRestartTask;
 use crate::edge::phase::Phase;
+use crate::edge::settings::Config;
 use crate::edge::stats::Figures;
 use crate::interface::ListUpdateKind;
 use dewladder_hot_restart::{RestartStatus, Stage};
@@ -45,8 +46,6 @@
     Listen(String),
 }
 
-type Status = watch::Receiver<Option<RestartStatus>>;
-
 impl Dispatcher {
     /// Serves until `end` comes, then finishes what is held. The list is watched at the address that `discovery` holds.
     ///
@@ -59,48 +58,39 @@
     ) -> Result<(), RunError> {
         let Self { config, driver, to_driver, figures, phase, .. } = self;
         let known = listing::entries(&config.known, &config.names);
+        let servers_known = known.len();
         if let Some(admin) = &self.admin {
             info!("second address: {}", admin.address());
         }
-        let entries = known.clone();
-        to_driver.send(Message::EndpointsUpdated { how: ListUpdateKind::StaleCopy, entries });
-        let gossip = self.peers.map(|peers| tokio::spawn(peers.receive(to_driver.clone())));
+        let how = ListUpdateKind::StaleCopy;
+        to_driver.send(Message::EndpointsUpdated { how, entries: known });
+        let gossip = self.gossip.map(|gossip| tokio::spawn(gossip.receive(to_driver.clone())));
         let mut driver = tokio::spawn(driver.run());
         let mut watching = tokio::spawn(discovery::watch(config.clone(), discovery, to_driver.clone()));
         let limits = ConnectionLimits::new(config.max_client_connections());
         let health = self.health;
         let agent = self.agent.map(|listener| tokio::spawn(balancers::agent_check(listener, health)));
         let cluster = self.cluster.map(ClusterTask::spawn);
-        let (status_sender, mut status) =
-            watch::channel(self.hot_restart.as_ref().map(HotRestartTask::status));
-        let hot_restart = self.hot_restart.map(|task| {
-            let (limits, to_driver, figures) = (limits.clone(), to_driver.clone(), figures.clone());
-            let phases = phase.subscribe();
-            tokio::spawn(task.run(config.clone(), limits, to_driver, figures, phases, status_sender))
-        });
-        let has_peer_process = hot_restart.is_some();
+        let shared = Shared { config, limits, to_driver, figures, phase };
+        let mut hot_restart = self.hot_restart.map(|task| RestartFollower::spawn(task, &shared));
 
         let mut end = std::pin::pin!(end);
-        if *phase.borrow() == Phase::Joining {
-            info!(name = config.name.as_str(), address:% = config.listen;
-                "dispatcher: another process serves; waiting for a share of its limits");
-            tokio::select! {
-                () = &mut end => return Ok(()),
-                _ = status.wait_for(|status| status.is_some_and(|now| now.own.stage != Stage::Joining)) => {}
-            }
+        if !wait_for_turn(&shared, hot_restart.as_mut(), end.as_mut()).await {
+            return Ok(());
         }
-        let shared = Shared { phase: &phase, limits: &limits, figures: &figures };
         let Some(serving) = serve_fronts(self.fronts, &shared, end.as_mut()).await? else { return Ok(()) };
-        phase.send_replace(Phase::Serving);
-        info!("{}: serving on {}, {} servers known", config.name, config.listen, known.len());
+        shared.phase.send_replace(Phase::Serving);
+        let Config { name, listen, .. } = &shared.config;
+        info!("{name}: serving on {listen}, {servers_known} servers known");
         tokio::select! {
             () = &mut end => {}
             ended = &mut driver => return Err(RunError::DriverEnded(format!("{ended:?}"))),
             ended = &mut watching => return Err(RunError::WatchEnded(format!("{ended:?}"))),
         }
 
-        leave(&phase, has_peer_process.then_some(&mut status)).await;
-        finish(serving, &figures).await;
+        leave(&shared.phase, hot_restart.as_mut()).await;
+        finish(serving, &shared.figures).await;
+        let hot_restart = hot_restart.map(|follower| follower.task);
         for task in [agent, gossip, hot_restart].into_iter().flatten() {
             task.abort();
         }
@@ -115,17 +105,62 @@
     }
 }
 
-/// What all fronts go by.
-struct Shared<'a> {
-    phase: &'a watch::Sender<Phase>,
-    limits: &'a ConnectionLimits,
-    figures: &'a Figures,
+/// What the tasks of a dispatcher go by.
+struct Shared {
+    config: Config,
+    limits: ConnectionLimits,
+    to_driver: DriverHandle,
+    figures: Figures,
+    phase: watch::Sender<Phase>,
+}
+
+/// The hot restart's task, and both processes as it sees them.
+struct RestartFollower {
+    task: JoinHandle<()>,
+    status: watch::Receiver<Option<RestartStatus>>,
+}
+
+impl RestartFollower {
+    fn spawn(task: HotRestartTask, shared: &Shared) -> Self {
+        let (sender, status) = watch::channel(Some(task.status()));
+        let Shared { config, limits, to_driver, figures, phase } = shared;
+        let (limits, to_driver, figures) = (limits.clone(), to_driver.clone(), figures.clone());
+        let run = task.run(config.clone(), limits, to_driver, figures, phase.subscribe(), sender);
+        Self { task: tokio::spawn(run), status }
+    }
+
+    /// Waits until this process announces that it has left a stage, or reached one; `None` where that is never known.
+    async fn wait_for(&mut self, reached: impl Fn(Stage) -> bool) -> Option<RestartStatus> {
+        let has_reached =
+            |status: &Option<RestartStatus>| status.is_some_and(|status| reached(status.own.stage));
+        let status = self.status.wait_for(has_reached).await.ok()?;
+        *status
+    }
+}
+
+/// Waits while another process serves and has no share of the limits to spare; `false` where the end comes before.
+async fn wait_for_turn(
+    shared: &Shared,
+    follower: Option<&mut RestartFollower>,
+    end: Pin<&mut impl Future<Output = ()>>,
+) -> bool {
+    if *shared.phase.borrow() != Phase::Joining {
+        return true;
+    }
+    let Config { name, listen, .. } = &shared.config;
+    info!(name = name.as_str(), address:% = listen;
+        "dispatcher: another process serves; waiting for a share of its limits");
+    let Some(follower) = follower else { return true };
+    tokio::select! {
+        () = end => false,
+        _ = follower.wait_for(|stage| stage != Stage::Joining) => true,
+    }
 }
 
 /// Serves all fronts; `None` where the end comes before another process has left their addresses.
 async fn serve_fronts(
     fronts: Vec<Front>,
-    shared: &Shared<'_>,
+    shared: &Shared,
     mut end: Pin<&mut impl Future<Output = ()>>,
 ) -> Result<Option<Vec<JoinHandle<()>>>, RunError> {
     let mut serving = Vec::new();
@@ -147,20 +182,14 @@
 }
 
 /// Has clients leave, or leaves new ones to the process that has replaced this one; then listeners close.
-async fn leave(phase: &watch::Sender<Phase>, status: Option<&mut Status>) {
+async fn leave(phase: &watch::Sender<Phase>, follower: Option<&mut RestartFollower>) {
     phase.send_replace(Phase::Leaving);
     // The platform tells this one to end as soon as the other says yes: its announcement is looked at once more.
-    let is_replaced = match status {
-        Some(status) => {
-            let is_leaving = |status: &Option<RestartStatus>| {
-                status.is_some_and(|status| status.own.stage == Stage::Leaving)
-            };
-            let seen = status.wait_for(is_leaving).await;
-            seen.is_ok_and(|status| status.is_some_and(|status| status.is_replaced()))
-        }
-        None => false,
+    let status = match follower {
+        Some(follower) => follower.wait_for(|stage| stage == Stage::Leaving).await,
+        None => None,
     };
-    if is_replaced {
+    if status.is_some_and(|status| status.is_replaced()) {
         info!("told to end: another process takes new clients");
         phase.send_replace(Phase::Yielding);
     } else {
--- a/src/edge/driver.rs
+++ b/src/edge/driver.rs
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 
 use log::{debug, info};
-use tokio::sync::{mpsc, watch};
+use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::timeout_at;
 
 use crate::edge::clock::Clock;
@@ -29,10 +29,12 @@
 use crate::edge::driver::releases::Releases;
 use crate::edge::driver::summary::Summary;
 use crate::edge::gossip_transport::GossipTransport;
-use crate::edge::servers::{Attempt, Servers};
+use crate::edge::servers::{Attempt, Payload, Servers};
 use crate::edge::settings::Config;
 use crate::edge::stats::{End, Figures};
-use crate::interface::{Micros, Outcome, RequestId, ServerId, Settings};
+use crate::interface::{
+    ListUpdateKind, Micros, Outcome, RequestId, RequestInfo, ServerEntry, ServerId, Settings,
+};
 
 /// Servers that are avoided are counted so often (us): it goes through all of them, and a step is taken for each event.
 const AVOIDED_SERVERS_INTERVAL: Micros = 100_000;
@@ -123,24 +125,9 @@
     fn receive(&mut self, message: Message) -> Option<Input> {
         match message {
             Message::RequestArrived { info, payload, reply, completed } => {
-                if self.clients.contains(info.id) {
-                    let _ = reply.send(Reply::DuplicateId); // the client may have gone
-                    return None;
-                }
-                if let Some(class) = self.core.classes().get(&info.class) {
-                    self.figures.record().taken(&class.name);
-                }
-                self.clients.insert(info.id, Client::new(payload, info.class, reply, completed));
-                Some(Input::RequestArrived(info))
-            }
-            Message::EndpointsUpdated { how, entries } => {
-                let entries = self.addresses.apply(how, entries);
-                let mut record = self.figures.record();
-                record.members = self.addresses.count();
-                record.members_ready = self.addresses.count_ready();
-                drop(record);
-                Some(Input::EndpointsUpdated { how, entries })
+                self.open_request(info, payload, reply, completed)
             }
+            Message::EndpointsUpdated { how, entries } => Some(self.update_endpoints(how, entries)),
             Message::StreamOpened { id, attempt, opened } => self.attempts.stream_opened(id, attempt, opened),
             // Guards the request that has this id: another client, rejected for it, may be the one that disconnected.
             Message::ClientDisconnected(id) => {
@@ -169,6 +156,34 @@
         }
     }
 
+    /// Keeps the client of a request; one whose id is open already gets its reply at once.
+    fn open_request(
+        &mut self,
+        info: RequestInfo,
+        payload: Arc<Payload>,
+        reply: oneshot::Sender<Reply>,
+        completed: oneshot::Sender<bool>,
+    ) -> Option<Input> {
+        if self.clients.contains(info.id) {
+            let _ = reply.send(Reply::DuplicateId); // the client may have gone
+            return None;
+        }
+        if let Some(class) = self.core.classes().get(&info.class) {
+            self.figures.record().taken(&class.name);
+        }
+        self.clients.insert(info.id, Client::new(payload, info.class, reply, completed));
+        Some(Input::RequestArrived(info))
+    }
+
+    fn update_endpoints(&mut self, how: ListUpdateKind, entries: Vec<(ServerEntry, String)>) -> Input {
+        let entries = self.addresses.apply(how, entries);
+        let mut record = self.figures.record();
+        record.members = self.addresses.count();
+        record.members_ready = self.addresses.count_ready();
+        drop(record);
+        Input::EndpointsUpdated { how, entries }
+    }
+
     /// In one step: what is published and what the reducer goes by are never of two files.
     fn reload_settings(&mut self, settings: Box<Settings>) {
         let mut published = (*settings).clone();
--- a/src/edge/guard.rs
+++ b/src/edge/guard.rs
@@ -94,14 +94,14 @@
     pub fn lets_send(&mut self, id: RequestId, check: &SendCheck) -> bool {
         let Some(rule) = check.breaks() else { return true };
         self.refused[rule as usize] += 1;
-        debug!("guard: request {:016x}: a send is refused by {}: {check:?}", id.0, rule.name());
+        debug!(request_id:% = id, rule = rule.name(), check:? = check; "guard: send refused");
         false
     }
 
     /// Counts a rule that is broken already; `state` says what the request was in.
     pub fn finds_broken(&mut self, rule: Rule, id: RequestId, state: &dyn std::fmt::Debug) {
         self.broken[rule as usize] += 1;
-        error!("guard: request {:016x}: {} is broken: {state:?}", id.0, rule.name());
+        error!(request_id:% = id, rule = rule.name(), state:? = state; "guard: rule broken");
     }
 
     /// Refused by now, by rule.
--- a/src/edge/transitions.rs
+++ b/src/edge/transitions.rs
@@ -32,12 +32,6 @@
     pub server: ServerId,
 }
 
-impl std::fmt::Display for AttemptLabel {
-    fn fmt(&self, to: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(to, "request {:016x}: attempt {} at server {}", self.id.0, self.attempt, self.server.0)
-    }
-}
-
 /// Counts since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Transitions {
@@ -47,24 +41,27 @@
 
 impl Transitions {
     /// An attempt is sent.
-    pub fn sends(label: AttemptLabel, reads: bool, time: Micros) {
-        let what = if reads { "reads" } else { "writes" };
-        debug!("{label}: sent, {what}, for {time} us at most");
+    pub fn sends(label: AttemptLabel, reads: bool, timeout_us: Micros) {
+        let AttemptLabel { id, attempt, server } = label;
+        debug!(request_id:% = id, attempt, server = server.0, reads, timeout_us; "attempt: sent");
     }
 
     /// An attempt's stream goes to its client.
-    pub fn begins(label: AttemptLabel, taken: Micros) {
-        debug!("{label}: begins after {taken} us, is passed on");
+    pub fn begins(label: AttemptLabel, elapsed_us: Micros) {
+        let AttemptLabel { id, attempt, server } = label;
+        debug!(request_id:% = id, attempt, server = server.0, elapsed_us; "attempt: stream started");
     }
 
-    /// An attempt is being stopped.
-    pub fn stops(label: AttemptLabel, why: Outcome) {
-        debug!("{label}: is stopped: {why:?}");
+    /// An attempt is being cancelled.
+    pub fn cancels(label: AttemptLabel, reason: Outcome) {
+        let AttemptLabel { id, attempt, server } = label;
+        debug!(request_id:% = id, attempt, server = server.0, reason:? = reason; "attempt: cancelled");
     }
 
     /// An attempt has ended.
-    pub fn ended(&mut self, label: AttemptLabel, outcome: Outcome, taken: Micros) {
-        debug!("{label}: ended after {taken} us: {outcome:?}");
+    pub fn ended(&mut self, label: AttemptLabel, outcome: Outcome, elapsed_us: Micros) {
+        let AttemptLabel { id, attempt, server } = label;
+        debug!(request_id:% = id, attempt, server = server.0, elapsed_us, outcome:? = outcome; "attempt: finished");
         if let Some(at) = OUTCOMES.iter().position(|(known, _)| *known == outcome) {
             self.attempts[at] += 1;
         }
@@ -72,13 +69,13 @@
 
     /// A request is answered without a stream.
     pub fn answered(&mut self, id: RequestId, reason: EndReason) {
-        debug!("request {:016x}: answered without a stream: {}", id.0, reason.name());
+        debug!(request_id:% = id, reason = reason.name(); "request: answered without a stream");
         self.answered[reason as usize] += 1;
     }
 
-    /// What is held for a request is let go.
-    pub fn releases(id: RequestId, holders: usize, held: Micros) {
-        debug!("request {:016x}: let go at {holders} servers, {held} us after nothing was out", id.0);
+    /// What servers hold for a request is released, so long after nothing was in flight.
+    pub fn releases(id: RequestId, holders: usize, elapsed_us: Micros) {
+        debug!(request_id:% = id, holders, elapsed_us; "request: held state released");
     }
 
     /// All counts with their names in the figures.
