--- a/crates/router/src/admission.rs
+++ b/crates/router/src/admission.rs
@@ -134,7 +134,7 @@
 }
 
 fn is_retry_harmless(state: &RoutingState, request: &RequestState) -> bool {
-    if request.may_have_executed.is_none() {
+    if request.may_have_run.is_none() {
         return true;
     }
     let Some(class) = state.class(request.info.class) else { return true };
--- a/crates/router/src/attempts.rs
+++ b/crates/router/src/attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts: what a send to a server amounts to, and how the end of one changes its request.
 
 use crate::interface::{Micros, Outcome, RequestId};
-use crate::records::{Attempt, Execution, HeldState, RequestState, Server, Stage};
+use crate::records::{Attempt, HeldState, PossibleRun, RequestState, Server, Stage};
 use crate::routing_state::RoutingState;
 use crate::slow_start;
 use crate::timeouts::attempt_timeout_us;
@@ -106,9 +106,9 @@
     if !matches!(outcome, Outcome::Read | Outcome::Served) {
         request.failed_at.push(attempt.server);
     }
-    let may_have_executed = outcome.may_have_run() && attempt.stage != Stage::Read;
-    if may_have_executed && request.may_have_executed.is_none() {
-        request.may_have_executed = Some(Execution { server: attempt.server, sent_at: attempt.sent_at });
+    let may_have_run = outcome.may_have_run() && attempt.stage != Stage::Read;
+    if may_have_run && request.may_have_run.is_none() {
+        request.may_have_run = Some(PossibleRun { server: attempt.server, sent_at: attempt.sent_at });
     }
     change
 }
--- a/crates/router/src/eligibility.rs
+++ b/crates/router/src/eligibility.rs
@@ -33,7 +33,7 @@
 /// Where a request may be sent to without a second effect: anywhere until an attempt may have executed, then
 /// as its class says.
 pub(crate) fn repeat_scope(state: &RoutingState, request: &RequestState) -> RepeatScope {
-    let Some(first) = request.may_have_executed else { return RepeatScope::Everywhere };
+    let Some(first) = request.may_have_run else { return RepeatScope::Everywhere };
     let Some(class) = state.class(request.info.class) else { return RepeatScope::Nowhere };
     match class.effect {
         Effect::Idempotent => return RepeatScope::Everywhere,
--- a/crates/router/src/handover.rs
+++ b/crates/router/src/handover.rs
@@ -90,7 +90,7 @@
 
     /// The same as told by a clock that is ahead by so much (us).
     #[must_use]
-    pub fn shifted(mut self, ahead_us: i64) -> Self {
+    pub fn with_clock_shifted(mut self, ahead_us: i64) -> Self {
         shift(&mut self.written_at, ahead_us);
         self.request_rate.shift_clock(ahead_us);
         self.recent_request_rate.shift_clock(ahead_us);
--- a/crates/router/src/records/mod.rs
+++ b/crates/router/src/records/mod.rs
@@ -6,6 +6,6 @@
 pub(crate) mod stage;
 
 pub(crate) use cell::CellBalance;
-pub(crate) use request::{Attempt, Execution, HeldState, RequestState};
+pub(crate) use request::{Attempt, HeldState, PossibleRun, RequestState};
 pub(crate) use server::{Server, ServerStatistics};
 pub(crate) use stage::{Stage, StageStatistics};
--- a/crates/router/src/records/request.rs
+++ b/crates/router/src/records/request.rs
@@ -38,7 +38,7 @@
 
 /// An attempt that may have taken effect.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Execution {
+pub(crate) struct PossibleRun {
     pub(crate) server: ServerId,
     pub(crate) sent_at: Micros,
 }
@@ -54,7 +54,7 @@
     pub(crate) is_completed: bool,
     pub(crate) held_state: Option<HeldState>,
     /// The earliest attempt that may have taken effect.
-    pub(crate) may_have_executed: Option<Execution>,
+    pub(crate) may_have_run: Option<PossibleRun>,
     /// Servers at which it has failed, one for each failure.
     pub(crate) failed_at: Vec<ServerId>,
 }
@@ -68,7 +68,7 @@
             in_flight: None,
             is_completed: false,
             held_state: None,
-            may_have_executed: None,
+            may_have_run: None,
             failed_at: Vec::new(),
         }
     }
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -88,15 +88,15 @@
             self.sweep(actions);
         }
         match event {
-            Event::EndpointsUpdated { how, entries } => self.take_list(how, entries),
-            Event::RequestArrived(info) => self.take_request(info, actions),
-            Event::FirstToken { id, attempt, taken } => self.take_first_token(id, attempt, taken),
-            Event::AttemptFinished(ended) => self.take_end(ended, actions),
-            Event::ClientDisconnected(id) => self.take_disconnect(id, actions),
+            Event::EndpointsUpdated { how, entries } => self.on_list_update(how, entries),
+            Event::RequestArrived(info) => self.on_request(info, actions),
+            Event::FirstToken { id, attempt, taken } => self.on_first_token(id, attempt, taken),
+            Event::AttemptFinished(ended) => self.on_attempt_finished(ended, actions),
+            Event::ClientDisconnected(id) => self.on_disconnect(id, actions),
             Event::TimerFired(SWEEP) => self.sweep(actions),
             Event::GossipReceived(bytes) => self.state.gossip.receive(&bytes, now),
             Event::SettingsReloaded { settings, class_renumbering } => {
-                self.reload(*settings, &class_renumbering)
+                self.on_settings_reloaded(*settings, &class_renumbering)
             }
             Event::StateImported(handover) => handover.import(&mut self.state),
             Event::LimitShareChanged(part) => self.state.limit_share = part,
@@ -113,19 +113,19 @@
 
     /// What is learnt by now, for the process that takes this one's place.
     #[must_use]
-    pub fn hands_over(&self) -> Handover {
+    pub fn export_state(&self) -> Handover {
         Handover::of(&self.state)
     }
 
     /// What became of messages between dispatchers.
     #[must_use]
-    pub fn gossip(&self) -> GossipCounts {
+    pub fn gossip_counts(&self) -> GossipCounts {
         self.state.gossip.counts()
     }
 
     /// Number of listed servers that get no new work now: they drain, or are ejected for some class.
     #[must_use]
-    pub fn avoided(&self) -> usize {
+    pub fn avoided_servers(&self) -> usize {
         metrics::avoided_servers(&self.state)
     }
 
@@ -137,7 +137,7 @@
 
     // ---- Events ----
 
-    fn take_list(&mut self, kind: ListUpdateKind, entries: Vec<ServerEntry>) {
+    fn on_list_update(&mut self, kind: ListUpdateKind, entries: Vec<ServerEntry>) {
         let settings = &self.state.settings;
         if kind == ListUpdateKind::Failed {
             let draw = self.rng.next_u64();
@@ -150,7 +150,7 @@
     }
 
     /// A client asks. An id that is open already is ignored.
-    fn take_request(&mut self, info: RequestInfo, actions: &mut Vec<Action>) {
+    fn on_request(&mut self, info: RequestInfo, actions: &mut Vec<Action>) {
         let id = info.id;
         if self.requests.contains_key(&id) {
             return;
@@ -161,7 +161,7 @@
     }
 
     /// An answer has begun to stream: its state is fetched, and the client has it from now on.
-    fn take_first_token(&mut self, id: RequestId, number: u32, taken_us: Micros) {
+    fn on_first_token(&mut self, id: RequestId, number: u32, taken_us: Micros) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let in_flight = request.in_flight.as_mut();
         let Some(attempt) = in_flight.filter(|attempt| attempt.number == number && !attempt.is_streaming)
@@ -174,7 +174,7 @@
         learning::record_first_token(&mut self.state, id, &attempt, taken_us);
     }
 
-    fn take_end(&mut self, ended: AttemptFinished, actions: &mut Vec<Action>) {
+    fn on_attempt_finished(&mut self, ended: AttemptFinished, actions: &mut Vec<Action>) {
         let (id, now) = (ended.id, self.state.now);
         self.state.fleet.record_report(ended.server, ended.report);
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -197,7 +197,7 @@
 
     /// The client has left: what is in flight is cancelled where that is allowed; a late read is released
     /// then.
-    fn take_disconnect(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+    fn on_disconnect(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.is_completed = true;
         if let Some(attempt) = request.in_flight.as_ref() {
@@ -210,7 +210,7 @@
 
     /// New settings. What is known of servers for a class goes on under its new number: `class_renumbering` has the
     /// old one.
-    fn reload(&mut self, settings: Settings, class_renumbering: &BTreeMap<u32, u32>) {
+    fn on_settings_reloaded(&mut self, settings: Settings, class_renumbering: &BTreeMap<u32, u32>) {
         let state = &mut self.state;
         state.fleet.renumber_classes(class_renumbering, &settings.classes);
         state.gossip.reload(&settings);
--- a/crates/router/tests/bounds.rs
+++ b/crates/router/tests/bounds.rs
@@ -70,8 +70,8 @@
         }
     }
 
-    fn hands_over(&self) -> Value {
-        serde_json::to_value(self.router.hands_over()).expect("as text")
+    fn export_state(&self) -> Value {
+        serde_json::to_value(self.router.export_state()).expect("as text")
     }
 }
 
@@ -99,7 +99,7 @@
     }
     let grown = held() - before;
     assert!(grown < 6.0, "{grown} MB for 80,000 sessions");
-    let learnt = front.hands_over();
+    let learnt = front.export_state();
     let kept: usize = learnt["servers"]
         .as_array()
         .expect("servers")
@@ -119,7 +119,7 @@
         front.now += 200_000;
         front.serves(RequestInfo { session: Some(Key(id)), ..common::request_info(id, front.now) });
     }
-    let learnt = front.hands_over();
+    let learnt = front.export_state();
     let servers = learnt["servers"].as_array().expect("servers");
     let kept: usize = servers.iter().map(|one| one["prefixes"].as_array().map_or(0, Vec::len)).sum();
     // Five a second for a minute, and what each server has got since its last.
@@ -186,7 +186,7 @@
     }
     let grown = held() - before;
     assert!(grown < 4.0, "{grown} MB for 4,800 servers");
-    let known = front.hands_over()["servers"].as_array().map_or(0, Vec::len);
+    let known = front.export_state()["servers"].as_array().map_or(0, Vec::len);
     assert!(known <= 11, "{known} servers are known");
 }
 
@@ -205,7 +205,7 @@
     let entries: Vec<ServerEntry> =
         common::fleet(false).into_iter().filter(|entry| entry.server != *server).collect();
     let list = || Event::EndpointsUpdated { how: ListUpdateKind::Full, entries: entries.clone() };
-    let known = |front: &Front| front.hands_over()["servers"].as_array().map_or(0, Vec::len);
+    let known = |front: &Front| front.export_state()["servers"].as_array().map_or(0, Vec::len);
     front.tell(list());
     assert_eq!(known(&front), 8, "its work is out");
     let (id, server, outcome, last) = (RequestId(1), *server, Outcome::Reset, true);
--- a/crates/router/tests/failures.rs
+++ b/crates/router/tests/failures.rs
@@ -166,7 +166,7 @@
             world.end(RequestId(id), Outcome::ConnectFailed);
         }
     }
-    assert_eq!(world.router.avoided(), 4, "all readers have failed often enough to rest");
+    assert_eq!(world.router.avoided_servers(), 4, "all readers have failed often enough to rest");
     let id = world.simple(50);
     assert!(world.out(id).is_some(), "it is sent somewhere all the same");
 }
--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -185,7 +185,7 @@
             let out = many.tell(0, Event::AttemptFinished(ended));
             told += out.iter().filter(|action| matches!(action, Action::PublishGossip(_))).count();
         }
-        assert_eq!(told as u64, many.fronts[0].gossip().sent);
+        assert_eq!(told as u64, many.fronts[0].gossip_counts().sent);
         assert!(told <= most && (told > 0) == (most > 0), "{fronts} {peers}: {told}");
     }
 }
@@ -197,7 +197,7 @@
         let mut many = Many::new(2, true);
         let read = LoadUpdate::read(&bytes, many.now);
         many.tell(0, Event::GossipReceived(bytes));
-        let counts = many.fronts[0].gossip();
+        let counts = many.fronts[0].gossip_counts();
         proptest::prop_assert_eq!(counts.received + counts.dropped, 1);
         proptest::prop_assert!(counts.dropped == 1 || read.is_some());
     }
--- a/crates/router/tests/fleet_model/mod.rs
+++ b/crates/router/tests/fleet_model/mod.rs
@@ -127,7 +127,7 @@
 
     /// What a front has learnt, as it would hand it over.
     pub fn learnt(&self, front: usize) -> String {
-        serde_json::to_string(&self.fronts[front].router.hands_over()).expect("it can be written")
+        serde_json::to_string(&self.fronts[front].router.export_state()).expect("it can be written")
     }
 
     /// A share of 1.
--- a/crates/router/tests/full_scan/control.rs
+++ b/crates/router/tests/full_scan/control.rs
@@ -23,7 +23,7 @@
 use crate::prefix_table::{PrefixTable, PREFIX_KEYS};
 use crate::records::stage::QueueingSample;
 use crate::records::{
-    Attempt, CellBalance, Execution, HeldState, RequestState, Server, ServerStatistics, Stage,
+    Attempt, CellBalance, HeldState, PossibleRun, RequestState, Server, ServerStatistics, Stage,
     StageStatistics,
 };
 use crate::slow_start_budget::SlowStartBudget;
@@ -260,7 +260,7 @@
     fn answer(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let class = self.settings.classes.get(&request.info.class);
-        let harmless = request.may_have_executed.is_none()
+        let harmless = request.may_have_run.is_none()
             || class.is_none_or(|class| match class.effect {
                 Effect::Idempotent => true,
                 Effect::Deduplicated => class.dedup_group == DedupGroup::All,
@@ -322,8 +322,8 @@
         if !worked {
             request.failed_at.push(attempt.server);
         }
-        if outcome.may_have_run() && attempt.stage != Stage::Read && request.may_have_executed.is_none() {
-            request.may_have_executed = Some(Execution { server: attempt.server, sent_at: attempt.sent_at });
+        if outcome.may_have_run() && attempt.stage != Stage::Read && request.may_have_run.is_none() {
+            request.may_have_run = Some(PossibleRun { server: attempt.server, sent_at: attempt.sent_at });
         }
         if let Some(server) = self.servers.get_mut(&attempt.server) {
             server.memory_tokens_in_flight =
@@ -383,7 +383,7 @@
     }
 
     fn effect_allows(&self, request: &RequestState, server: &Server) -> bool {
-        let Some(Execution { server: first, sent_at: sent }) = request.may_have_executed else { return true };
+        let Some(PossibleRun { server: first, sent_at: sent }) = request.may_have_run else { return true };
         let Some(class) = self.settings.classes.get(&request.info.class) else { return false };
         let same_group = || {
             let first = self.servers.get(&first).map(|first| &first.entry);
--- a/crates/router/tests/handover.rs
+++ b/crates/router/tests/handover.rs
@@ -17,7 +17,7 @@
         world.begin(RequestId(id));
         world.end(RequestId(id), Outcome::Served);
     }
-    let text = serde_json::to_string(&world.router.hands_over()).unwrap();
+    let text = serde_json::to_string(&world.router.export_state()).unwrap();
     (world, serde_json::from_str(&text).unwrap())
 }
 
@@ -67,11 +67,11 @@
         change(&mut text);
         let mut world = World::new(settings(), list);
         world.now = now;
-        let before = serde_json::to_value(world.router.hands_over()).unwrap();
+        let before = serde_json::to_value(world.router.export_state()).unwrap();
         if let Ok(handover) = serde_json::from_value(text) {
             world.tell(Event::StateImported(Box::new(handover)));
         }
-        let after = serde_json::to_value(world.router.hands_over()).unwrap();
+        let after = serde_json::to_value(world.router.export_state()).unwrap();
         let prefixes = |of: &serde_json::Value| {
             of["servers"]
                 .as_array()
@@ -85,7 +85,7 @@
     assert!(take(old.now, &|_| (), fleet(false)).1 >= 39);
     assert_eq!(take(old.now - SECOND, &|_| (), fleet(false)).1, 0, "of the future");
     for ahead in [3_600 * SECOND as i64, -(SECOND as i64)] {
-        let shifted = handover.clone().shifted(ahead);
+        let shifted = handover.clone().with_clock_shifted(ahead);
         let other = old.now.checked_add_signed(ahead).unwrap();
         let on_that_clock = |text: &mut serde_json::Value| *text = serde_json::to_value(&shifted).unwrap();
         assert!(take(other, &on_that_clock, fleet(false)).1 >= 39, "by a clock that is {ahead} us ahead");
--- a/crates/router/tests/written_forms.rs
+++ b/crates/router/tests/written_forms.rs
@@ -61,7 +61,7 @@
 
 #[test]
 fn the_handover_is_written_as_recorded() {
-    let written = serde_json::to_string(&learnt().router.hands_over()).unwrap();
+    let written = serde_json::to_string(&learnt().router.export_state()).unwrap();
     assert_eq!(written, HANDOVER.trim_end());
 }
 
@@ -77,7 +77,7 @@
     let mut world = World::new(with_gossip(), old.list.values().cloned().collect());
     world.now = old.now;
     world.tell(Event::StateImported(Box::new(serde_json::from_str(HANDOVER).unwrap())));
-    let handed_on = serde_json::to_string(&world.router.hands_over()).unwrap();
+    let handed_on = serde_json::to_string(&world.router.export_state()).unwrap();
     assert_eq!(handed_on, REWRITTEN_HANDOVER.trim_end());
 }
 
--- a/src/edge/core.rs
+++ b/src/edge/core.rs
@@ -101,7 +101,7 @@
     /// What became of messages between dispatchers.
     #[must_use]
     pub fn gossip(&self) -> GossipCounts {
-        self.router.gossip()
+        self.router.gossip_counts()
     }
 
     /// What the guard has refused and found broken.
@@ -119,13 +119,13 @@
     /// Servers of the list that are avoided now.
     #[must_use]
     pub fn avoided(&self) -> usize {
-        self.router.avoided()
+        self.router.avoided_servers()
     }
 
     /// What has been learned by now, for another process to go on from.
     #[must_use]
     pub fn export_state(&self) -> Handover {
-        self.router.hands_over()
+        self.router.export_state()
     }
 
     /// The classes, with those that only open requests still have.
--- a/src/edge/hot_restart/state_file.rs
+++ b/src/edge/hot_restart/state_file.rs
@@ -70,6 +70,6 @@
         if self.clock == 0 || apart <= CLOCK_TOLERANCE {
             return self.learned;
         }
-        self.learned.shifted(now as i64 - self.clock as i64)
+        self.learned.with_clock_shifted(now as i64 - self.clock as i64)
     }
 }
