--- a/benches/scale/decisions.rs
+++ b/benches/scale/decisions.rs
@@ -14,7 +14,7 @@
 use rand_core::{RngCore as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 
-use crate::{control, Failure};
+use crate::{oracle, Failure};
 
 const SECOND: Micros = 1_000_000;
 /// Requests a second of one dispatcher: 22,000 over 510.
@@ -39,7 +39,7 @@
     }
 }
 
-impl Decides for control::Router {
+impl Decides for oracle::Router {
     fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.handle(now, event, out);
     }
@@ -105,7 +105,7 @@
         let now = 1_000 * SECOND;
         let router: Box<dyn Decides> = match size.decider {
             Decider::Indexed => Box::new(dewladder_router::Router::new(settings, 7, now)),
-            Decider::FullScan => Box::new(control::Router::new(settings, 7, now)),
+            Decider::FullScan => Box::new(oracle::Router::new(settings, 7, now)),
         };
         let mut play = Self {
             router,
--- a/benches/scale/main.rs
+++ b/benches/scale/main.rs
@@ -20,8 +20,8 @@
 #[path = "../../crates/router/src/statistics.rs"]
 mod statistics;
 
-#[path = "../../crates/router/tests/full_scan/control.rs"]
-mod control;
+#[path = "../../crates/router/tests/full_scan/oracle/mod.rs"]
+mod oracle;
 
 mod configuration;
 mod decisions;
--- a/crates/router/tests/full_scan.rs
+++ b/crates/router/tests/full_scan.rs
@@ -18,10 +18,10 @@
 #[path = "../src/statistics.rs"]
 mod statistics;
 
-#[path = "full_scan/control.rs"]
-mod control;
 #[path = "common/decision_hash.rs"]
 mod decision_hash;
+#[path = "full_scan/oracle/mod.rs"]
+mod oracle;
 
 use std::collections::BTreeMap;
 
@@ -105,7 +105,7 @@
 /// Both routers, told the same.
 struct Pair {
     indexed: dewladder_router::Router,
-    scanning: control::Router,
+    scanning: oracle::Router,
     settings: Settings,
     now: Micros,
     list: BTreeMap<ServerId, ServerEntry>,
@@ -121,7 +121,7 @@
         let now = 1_000 * SECOND;
         let mut pair = Self {
             indexed: dewladder_router::Router::new(settings.clone(), seed, now),
-            scanning: control::Router::new(settings.clone(), seed, now),
+            scanning: oracle::Router::new(settings.clone(), seed, now),
             settings,
             now,
             list: entries.iter().map(|entry| (entry.server, entry.clone())).collect(),
--- /dev/null
+++ b/crates/router/tests/full_scan/oracle/constants.rs
@@ -0,0 +1,62 @@
+//! The figures that the rules go by. They are repeated here and not shared with the router, so that a change
+//! there shows: it is to be made here as well. What each is for is said at the router's constant of the same
+//! name.
+
+use crate::interface::{Micros, TimerToken};
+
+// How averages and rates follow what comes in (us where a time).
+pub(super) const AVERAGE_HALF_LIFE_US: f64 = 4_000_000.0;
+pub(super) const RATE_TIME_CONSTANT_US: f64 = 60_000_000.0;
+pub(super) const SAMPLE_WEIGHT: f64 = 0.25;
+pub(super) const UNLOADED_FALL_WEIGHT: f64 = 0.5;
+pub(super) const UNLOADED_RISE_WEIGHT: f64 = 0.001;
+
+// Work of an attempt, and its time-out.
+pub(super) const READ_OVERHEAD_TOKENS: f64 = 512.0;
+pub(super) const WRITE_OVERHEAD_TOKENS: f64 = 2_048.0;
+pub(super) const TIMEOUT_MULTIPLE: f64 = 4.0;
+pub(super) const TIMEOUT_SHARE_OF_OBJECTIVE: f64 = 1.0;
+pub(super) const REMOTE_TIMEOUT_MULTIPLE: Micros = 3;
+
+// Prefixes and the homes of shared ones.
+pub(super) const MIN_FOUND_SHARE: f64 = 0.5;
+pub(super) const HOMES_PER_SHARE: f64 = 1.4;
+pub(super) const READERS_PER_HOME: usize = 8;
+pub(super) const PRIOR_POPULARITY_REQUESTS: f64 = 30.0;
+pub(super) const FIRST_GUESS_TOKENS: f64 = 8_000.0;
+pub(super) const WINDOW_REQUESTS: f64 = 100.0;
+pub(super) const WINDOWS_US: [f64; 2] = [15_000_000.0, 60_000_000.0];
+pub(super) const ZONE_SHARE: f64 = 0.8;
+pub(super) const READER_WEIGHTS: [f64; 2] = [0.2, 1.5];
+
+// Load of a server.
+pub(super) const CAPACITY_SHARE_OF_OBJECTIVE: f64 = 0.25;
+pub(super) const PRIOR_REQUESTS: f64 = 1.0;
+pub(super) const SLOW_MULTIPLE: f64 = 2.0;
+pub(super) const SLOW_LINK_MULTIPLE: f64 = 3.0;
+pub(super) const MAX_MEMORY_SHARE: f64 = 0.9;
+pub(super) const MAX_REPORTED_MEMORY_SHARE: f64 = 0.93;
+pub(super) const REPORT_LIFETIME_US: Micros = 1_500_000;
+
+// Overload; the first one by stage.
+pub(super) const WAIT_SHARE_OF_OBJECTIVE: [f64; 3] = [0.4, 0.3, 0.5];
+pub(super) const WORK_SHARE_WITH_QUEUEING: f64 = 0.3;
+pub(super) const WORK_SHARE_WITHOUT_QUEUEING: f64 = 1.2;
+pub(super) const QUEUEING_SHARE: f64 = 1.0;
+pub(super) const MAX_LOST_SHARE: f64 = 0.6;
+pub(super) const MAX_RECENT_SAMPLES: usize = 32;
+pub(super) const MAX_QUEUEING_OBJECTIVES: f64 = 3.0;
+pub(super) const STAGE_QUEUEING_TIME_US: f64 = 1_000_000.0;
+pub(super) const STAGE_QUEUEING_FALL: f64 = 2.0;
+
+// Health and slow start.
+pub(super) const MIN_HEALTHY_SHARE: f64 = 0.34;
+pub(super) const BASE_EJECTION_US: Micros = 400_000;
+pub(super) const FULL_PAUSE_US: Micros = 150_000;
+pub(super) const BUDGET_MARGIN: f64 = 0.75;
+pub(super) const SHARE_WITHOUT_WARM_PEERS: f64 = 0.5;
+pub(super) const CAPACITY_GAIN: f64 = 1.5;
+
+// The sweep.
+pub(super) const SWEEP_INTERVAL_US: Micros = 40_000;
+pub(super) const SWEEP: TimerToken = TimerToken(1);
--- /dev/null
+++ b/crates/router/tests/full_scan/oracle/mod.rs
@@ -0,0 +1,146 @@
+//! An oracle: a second implementation of the router's decisions, which answers every question to all servers
+//! by going through all of them. What the router does is held against it, event by event.
+//!
+//! It exists because the router answers such questions from an index that is kept up to date bit by bit: a
+//! mistake in that would only show as a slightly worse choice, which no other test sees. So it is to stay
+//! separate: it shares the records, statistics and load gossip with the router, and none of its rules nor its
+//! index. A change of a rule is made here as well, by hand. The draw that parts equal servers is a hash of
+//! one draw and the server's number, as it is in the router, so that it does not depend on how many servers
+//! are looked at.
+
+mod constants;
+mod eligibility;
+mod learning;
+mod load;
+mod placement;
+mod requests;
+mod server_list;
+mod writers;
+
+use std::collections::{BTreeMap, BTreeSet, HashMap};
+
+use lru::LruCache;
+use rand_core::SeedableRng;
+use rand_pcg::Pcg64Mcg;
+
+use crate::gossip::LoadGossip;
+use crate::interface::{Action, CellId, Event, Key, Micros, RequestId, Role, ServerId, Settings};
+use crate::list_backoff::ListBackoff;
+use crate::records::{CellBalance, RequestState, Server, Stage, StageStatistics};
+use crate::statistics::{lower_median, DecayingAverage, DecayingRate};
+use constants::{FIRST_GUESS_TOKENS, SWEEP, SWEEP_INTERVAL_US, WRITE_OVERHEAD_TOKENS};
+
+/// A dispatcher's decisions. See the [module](self).
+#[derive(Debug)]
+pub struct Router {
+    settings: Settings,
+    rng: Pcg64Mcg,
+    pub(crate) now: Micros,
+    pub(crate) servers: BTreeMap<ServerId, Server>,
+    requests: HashMap<RequestId, RequestState>, // looked up, never iterated
+    awaiting_writer: BTreeSet<RequestId>,       // their state waits for a writer
+    pub(crate) stages: [StageStatistics; 3],
+    remote_fetch_us_per_token: DecayingAverage, // of fetches that leave the reader's cell
+    pub(crate) request_rate: DecayingRate,
+    pub(crate) recent_request_rate: DecayingRate, // over the time that popularity is judged by
+    pub(crate) shared_prefixes: LruCache<Key, DecayingRate>, // requests a second with each
+    cells: BTreeMap<CellId, CellBalance>,
+    list_backoff: ListBackoff,
+    subscribe_at: Option<Micros>,
+    is_sweeping: bool,
+    pub(crate) gossip: LoadGossip,
+    limit_share: f64, // of this dispatcher that this process is, while another takes over
+}
+
+impl Router {
+    /// A dispatcher that has just started.
+    #[must_use]
+    pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
+        let guess = settings.shortest_latency_objective() / FIRST_GUESS_TOKENS;
+        Self {
+            rng: Pcg64Mcg::seed_from_u64(seed),
+            now,
+            servers: BTreeMap::new(),
+            requests: HashMap::new(),
+            awaiting_writer: BTreeSet::new(),
+            stages: [(); 3].map(|()| StageStatistics::new(guess, WRITE_OVERHEAD_TOKENS)),
+            remote_fetch_us_per_token: DecayingAverage::default(),
+            request_rate: DecayingRate::default(),
+            recent_request_rate: DecayingRate::default(),
+            shared_prefixes: LruCache::unbounded(),
+            cells: BTreeMap::new(),
+            list_backoff: ListBackoff::default(),
+            subscribe_at: settings.must_subscribe.then_some(now),
+            is_sweeping: false,
+            gossip: LoadGossip::new(&settings),
+            settings,
+            limit_share: 1.0,
+        }
+    }
+
+    /// Takes an event and adds what is to be done to `out`.
+    pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
+        self.now = now;
+        if !self.is_sweeping {
+            self.is_sweeping = true;
+            self.sweep(out);
+        }
+        match event {
+            Event::EndpointsUpdated { how, entries } => self.apply_list(how, entries),
+            Event::RequestArrived(info) => self.on_request(info, out),
+            Event::FirstToken { id, attempt, taken } => self.on_first_token(id, attempt, taken),
+            Event::AttemptFinished(finished) => self.on_attempt_finished(finished, out),
+            Event::ClientDisconnected(id) => self.on_disconnect(id, out),
+            Event::TimerFired(SWEEP) => self.sweep(out),
+            Event::GossipReceived(bytes) => self.gossip.receive(&bytes, now),
+            Event::SettingsReloaded { settings, class_renumbering } => {
+                self.on_settings_reloaded(*settings, &class_renumbering)
+            }
+            Event::StateImported(_) => unreachable!("a hand-over is not played here"),
+            Event::LimitShareChanged(limit_share) => self.limit_share = limit_share,
+            Event::TimerFired(_) | Event::Ignored => {}
+        }
+        self.gossip.publish(now, out);
+    }
+
+    /// New settings: what is known of servers for a class goes on under its new number.
+    fn on_settings_reloaded(&mut self, settings: Settings, class_renumbering: &BTreeMap<u32, u32>) {
+        for server in self.servers.values_mut() {
+            for (&new, old) in class_renumbering {
+                let known = server.statistics.outlier_states.get(old).cloned();
+                server.statistics.outlier_states.extend(known.map(|known| (new, known)));
+            }
+            server.statistics.outlier_states.retain(|class, _| settings.classes.contains_key(class));
+        }
+        self.gossip.reload(&settings);
+        self.settings = settings;
+    }
+
+    /// What no event brings up: the list to ask for, the medians, states that wait for a writer.
+    fn sweep(&mut self, out: &mut Vec<Action>) {
+        out.push(Action::StartTimer { delay: SWEEP_INTERVAL_US, token: SWEEP });
+        if self.subscribe_at.is_some_and(|at| at <= self.now) {
+            self.subscribe_at = None;
+            out.push(Action::Subscribe);
+        }
+        for (at, stage) in self.stages.iter_mut().enumerate() {
+            let known = self.servers.values().filter_map(|e| e.statistics.us_per_token[at].last);
+            stage.median_us_per_token =
+                lower_median(known.map(|(pace, _)| pace).collect()).unwrap_or(stage.median_us_per_token);
+        }
+        for id in std::mem::take(&mut self.awaiting_writer) {
+            self.advance(id, out);
+        }
+        for (&id, server) in self.servers.iter().filter(|(_, e)| e.role == Role::Reader) {
+            let oldest =
+                server.unanswered.first().and_then(|(_, id)| self.requests.get(id)?.in_flight.as_ref());
+            if let Some(oldest) = oldest {
+                self.gossip.record_queueing(
+                    id,
+                    self.overdue_us(server, Stage::Read as usize),
+                    oldest.expected_queueing_us,
+                );
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/router/tests/full_scan/oracle/requests.rs
@@ -0,0 +1,301 @@
+//! A request's life, from its arrival to its answer.
+
+use rand_core::RngCore;
+
+use super::constants::{
+    MIN_FOUND_SHARE, RATE_TIME_CONSTANT_US, READ_OVERHEAD_TOKENS, REMOTE_TIMEOUT_MULTIPLE, SWEEP_INTERVAL_US,
+    TIMEOUT_MULTIPLE, TIMEOUT_SHARE_OF_OBJECTIVE, WRITE_OVERHEAD_TOKENS,
+};
+use super::Router;
+use crate::interface::{
+    Action, AttemptFinished, DedupGroup, Effect, Micros, Outcome, RequestId, RequestInfo, Role, ServerId,
+};
+use crate::prefix_table::PREFIX_KEYS;
+use crate::records::{Attempt, HeldState, PossibleRun, RequestState, Server, Stage};
+use crate::statistics::{unit_interval, DecayingRate};
+
+impl Router {
+    pub(super) fn on_request(&mut self, info: RequestInfo, out: &mut Vec<Action>) {
+        let id = info.id;
+        if self.requests.contains_key(&id) {
+            return;
+        }
+        self.request_rate.add(1.0, self.now, RATE_TIME_CONSTANT_US);
+        let time = self.popularity_window_us();
+        self.recent_request_rate.add(1.0, self.now, time);
+        self.gossip.add_credit();
+        if let Some(key) = info.shared {
+            self.shared_prefixes.get_or_insert_mut(key, DecayingRate::default).add(1.0, self.now, time);
+            if self.shared_prefixes.len() > PREFIX_KEYS {
+                self.shared_prefixes.pop_lru();
+            }
+        }
+        self.requests.insert(id, RequestState::new(info));
+        self.advance(id, out);
+    }
+
+    /// The next step of a request that has no attempt in flight: on to a writer, to a mixed server, to a
+    /// reader, else whole to whatever can do it, else an answer at once.
+    pub(super) fn advance(&mut self, id: RequestId, out: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id) else { return };
+        if request.info.not_after <= self.now
+            || self.attempts_exhausted(request)
+            || !self.servers.values().any(|server| self.may_execute_at(request, server))
+        {
+            return self.answer(id, out);
+        }
+        let &RequestInfo { not_after, class, session, .. } = &request.info;
+        if let Some(HeldState { reader, since }) = request.held_state {
+            match self.select_writer(id, reader) {
+                Some(writer) if self.now < since + self.settings.max_hold_time => {
+                    return self.send(id, writer, Stage::Write, out);
+                }
+                None if self.can_wait_for_sweep(since, not_after) => {
+                    self.awaiting_writer.insert(id);
+                    return;
+                }
+                _ => return self.answer(id, out),
+            }
+        }
+        let draw = unit_interval(self.rng.next_u64());
+        let is_overloaded =
+            self.is_overloaded(class, Stage::Read, draw) || self.is_overloaded(class, Stage::Write, draw);
+        if (is_overloaded || self.takes_mixed_share(class, session))
+            && !self.is_overloaded(class, Stage::ReadAndWrite, draw)
+        {
+            if let Some(mixed) = self.select_server(id, Role::Mixed, true) {
+                return self.send(id, mixed, Stage::ReadAndWrite, out);
+            }
+        }
+        if is_overloaded {
+            return self.answer(id, out);
+        }
+        if let Some(reader) = self.select_server(id, Role::Reader, false) {
+            return self.send(id, reader, Stage::Read, out);
+        }
+        let in_need =
+            [Role::Mixed, Role::Writer].into_iter().take(1 + usize::from(self.settings.writers_can_read));
+        for role in in_need {
+            if let Some(server) = self.select_server(id, role, false) {
+                return self.send(id, server, Stage::ReadAndWrite, out);
+            }
+        }
+        self.answer(id, out);
+    }
+
+    /// Ends a request at once: rejected where a new try is harmless, else failed. Releases its state.
+    pub(super) fn answer(&mut self, id: RequestId, out: &mut Vec<Action>) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let class = self.settings.classes.get(&request.info.class);
+        let harmless = request.may_have_run.is_none()
+            || class.is_none_or(|class| match class.effect {
+                Effect::Idempotent => true,
+                Effect::Deduplicated => class.dedup_group == DedupGroup::All,
+                Effect::AtMostOnce => false,
+            });
+        if harmless && request.info.not_after > self.now {
+            let spread = self.rng.next_u64() % (self.settings.max_retry_after / 2).max(1);
+            out.push(Action::Reject { id, retry_in: self.settings.max_retry_after / 2 + spread });
+        } else {
+            out.push(Action::Fail(id));
+        }
+        request.is_completed = true;
+        self.close(id, out);
+    }
+
+    /// Removes a request that is completed and has nothing in flight; a state that is held for it is
+    /// released.
+    pub(super) fn close(&mut self, id: RequestId, out: &mut Vec<Action>) {
+        self.awaiting_writer.remove(&id);
+        if self.requests.get(&id).is_some_and(|request| request.is_completed && request.in_flight.is_none()) {
+            let request = self.requests.remove(&id);
+            if request.is_some_and(|request| request.held_state.is_some()) {
+                out.push(Action::ReleaseHeldState(id));
+            }
+        }
+    }
+
+    pub(super) fn on_first_token(&mut self, id: RequestId, number: u32, taken: Micros) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(attempt) =
+            request.in_flight.as_mut().filter(|out| out.number == number && !out.is_streaming)
+        else {
+            return;
+        };
+        attempt.is_streaming = true;
+        request.held_state = None;
+        let attempt = attempt.clone();
+        self.record_answered(id, &attempt);
+        self.record_success(&attempt, taken);
+    }
+
+    pub(super) fn on_attempt_finished(
+        &mut self,
+        on_attempt_finished: AttemptFinished,
+        out: &mut Vec<Action>,
+    ) {
+        let AttemptFinished { id, outcome, .. } = on_attempt_finished;
+        if let (Some(server), Some(report)) =
+            (self.servers.get_mut(&on_attempt_finished.server), on_attempt_finished.report)
+        {
+            server.statistics.report = Some((report, self.now));
+        }
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(mut attempt) = request.in_flight.take_if(|out| out.number == on_attempt_finished.attempt)
+        else {
+            return;
+        };
+        let prompt = request.info.prompt_tokens;
+        request.is_completed |= on_attempt_finished.last;
+        let worked = matches!(outcome, Outcome::Read | Outcome::Served);
+        match outcome {
+            Outcome::Read => request.held_state = Some(HeldState { reader: attempt.server, since: self.now }),
+            // Also told where the reader is only cut off from that writer: the state may still be pinned.
+            Outcome::NoState if request.held_state.take().is_some() => out.push(Action::ReleaseHeldState(id)),
+            // The time that a state may wait goes on running while connections fail to come up.
+            Outcome::ConnectFailed | Outcome::NotSent | Outcome::Unacknowledged => {}
+            _ => request.held_state = request.held_state.map(|held| HeldState { since: self.now, ..held }),
+        }
+        if !worked {
+            request.failed_at.push(attempt.server);
+        }
+        if outcome.may_have_run() && attempt.stage != Stage::Read && request.may_have_run.is_none() {
+            request.may_have_run = Some(PossibleRun { server: attempt.server, sent_at: attempt.sent_at });
+        }
+        if let Some(server) = self.servers.get_mut(&attempt.server) {
+            server.memory_tokens_in_flight =
+                server.memory_tokens_in_flight.saturating_sub(attempt.memory_tokens);
+            if let Some(expected) = attempt.expected_prefix.filter(|_| worked) {
+                let kept =
+                    on_attempt_finished.cached_tokens as f64 >= MIN_FOUND_SHARE * expected.tokens as f64;
+                server.prefixes.record_lookup(kept, expected, attempt.sent_at);
+            }
+        }
+        if !attempt.is_streaming {
+            self.record_answered(id, &attempt);
+            if outcome == Outcome::Read {
+                attempt.work_tokens =
+                    prompt.saturating_sub(on_attempt_finished.cached_tokens) as f64 + READ_OVERHEAD_TOKENS;
+            }
+            if worked {
+                self.record_success(&attempt, on_attempt_finished.taken);
+            } else {
+                self.record_failure(&attempt, outcome);
+            }
+        }
+        if self.requests.get(&id).is_some_and(|request| request.is_completed) {
+            self.close(id, out);
+        } else {
+            self.advance(id, out);
+        }
+    }
+
+    /// The client has left: what is in flight is cancelled where that is allowed; a late read is released
+    /// then.
+    pub(super) fn on_disconnect(&mut self, id: RequestId, out: &mut Vec<Action>) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        request.is_completed = true;
+        if let Some(attempt) = request.in_flight.as_ref().filter(|out| !out.is_streaming) {
+            if self.settings.may_cancel {
+                out.push(Action::CancelAttempt { id, attempt: attempt.number });
+            }
+        }
+        self.close(id, out);
+    }
+
+    pub(super) fn send(&mut self, id: RequestId, to: ServerId, stage: Stage, out: &mut Vec<Action>) {
+        let (Some(request), Some(server)) = (self.requests.get(&id), self.servers.get(&to)) else { return };
+        if !self.is_permitted(request, server) || self.attempts_exhausted(request) {
+            return self.answer(id, out);
+        }
+        let info = &request.info;
+        let held = server.prefixes.longest_match(info, self.now);
+        let unread = info.prompt_tokens - held.map_or(0, |prefix| prefix.tokens);
+        let answer = self.answer_tokens(info);
+        let (tokens, work_tokens) = match stage {
+            Stage::Read => (unread, unread as f64 + READ_OVERHEAD_TOKENS),
+            Stage::Write => (info.prompt_tokens + answer, info.prompt_tokens as f64 + WRITE_OVERHEAD_TOKENS),
+            Stage::ReadAndWrite => (info.prompt_tokens + answer, unread as f64 + READ_OVERHEAD_TOKENS),
+        };
+        let reader = request.held_state.and_then(|held| self.servers.get(&held.reader));
+        let crosses_cells = reader.is_some_and(|reader| reader.entry.cell != server.entry.cell);
+        let latency_objective = self
+            .settings
+            .classes
+            .get(&info.class)
+            .map_or(0.0, |class| class.latency_objective_for(info.prompt_tokens));
+        let attempt_timeout =
+            self.attempt_timeout(server, stage, work_tokens, request.failed_at.len(), latency_objective);
+        let attempt_timeout = (attempt_timeout * if crosses_cells { REMOTE_TIMEOUT_MULTIPLE } else { 1 })
+            .min(info.not_after - self.now)
+            .max(1);
+        let per_window = self.requests_per_window(server);
+        let expected = self.gossip.believed_us(to, self.now);
+        if stage != Stage::Write {
+            self.gossip.record_sent(to, work_tokens * self.stages[stage as usize].unloaded_us_per_token);
+        }
+        let (Some(request), Some(server)) = (self.requests.get_mut(&id), self.servers.get_mut(&to)) else {
+            return;
+        };
+        if let Some(per_window) = per_window {
+            server.slow_start_budget.spend(self.now, per_window, self.settings.overload_window);
+        }
+        server.unanswered.insert((self.now, id));
+        server.unanswered_tokens[stage as usize] += work_tokens;
+        server.memory_tokens_in_flight += tokens;
+        if stage != Stage::Write {
+            let _ = server.prefixes.record(&request.info, self.now);
+        }
+        let class = request.info.class;
+        let attempt = Attempt {
+            number: request.attempts,
+            server: to,
+            stage,
+            sent_at: self.now,
+            memory_tokens: tokens,
+            work_tokens,
+            expected_queueing_us: expected,
+            class,
+            expected_prefix: held.filter(|_| stage != Stage::Write),
+            is_streaming: false,
+            crosses_cells,
+        };
+        request.attempts += 1;
+        request.in_flight = Some(attempt);
+        self.awaiting_writer.remove(&id);
+        out.push(Action::Assign { id, server: to, attempt_timeout });
+    }
+
+    /// How long an attempt may take: a multiple of what its like usually takes behind what waits there, more
+    /// with each failure, so that a jam of the whole pool ends in waiting and not in ever more repeats.
+    pub(super) fn attempt_timeout(
+        &self,
+        server: &Server,
+        stage: Stage,
+        work_tokens: f64,
+        failures: usize,
+        latency_objective: f64,
+    ) -> Micros {
+        let usual = self.stages[stage as usize].median_us_per_token;
+        let told = self.gossip.believed_us(server.entry.server, self.now);
+        let waits = told.max(usual * server.unanswered_tokens[stage as usize]);
+        let least =
+            TIMEOUT_SHARE_OF_OBJECTIVE * latency_objective.max(self.settings.shortest_latency_objective());
+        let attempt_timeout = (TIMEOUT_MULTIPLE * (usual * work_tokens + waits)).max(least);
+        (attempt_timeout * f64::from(1u32 << failures.min(6))) as Micros
+    }
+
+    pub(super) fn can_wait_for_sweep(&self, since: Micros, not_after: Micros) -> bool {
+        let next = self.now + SWEEP_INTERVAL_US + 4 * self.settings.resolution + 10_000;
+        next < not_after.min(since + self.settings.max_hold_time)
+    }
+
+    pub(super) fn answer_tokens(&self, info: &RequestInfo) -> u64 {
+        let token_interval_objective =
+            self.settings.classes.get(&info.class).map_or(0, |class| class.token_interval_objective);
+        match info.hint {
+            Some(hint) if token_interval_objective > 0 => hint / token_interval_objective,
+            _ => info.max_tokens / 2,
+        }
+    }
+}
