--- a/crates/conform/src/lib.rs
+++ b/crates/conform/src/lib.rs
@@ -1,4 +1,4 @@
-//! A conformance suite for OpenAI-style fronts with streamed events: cases are data ([`cases`]), run against any address
+//! A conformance suite for OpenAI-style fronts with streamed events: cases are data ([`mod@cases`]), run against any address
 //! on loopback ([`run`]). A case that could not be run is reported as such, never as passed.
 //!
 //! Order of the modules, lower ones first: `target`, `cases`; `events` and `violation`, then `grammar`; `setup` (a step's request),
--- a/crates/hot-restart/src/process.rs
+++ b/crates/hot-restart/src/process.rs
@@ -23,7 +23,7 @@
     Announced(Announcement),
 }
 
-/// One of the two processes. See the [crate](crate).
+/// One of the two processes. See the [crate].
 #[derive(Clone, Debug)]
 pub struct HotRestart {
     own: Announcement,
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -23,7 +23,7 @@
 /// Members that are told directly that this instance leaves; the others hear it from them.
 const MAX_TOLD_OF_LEAVING: usize = 16;
 
-/// The membership of one instance, see the [crate](crate).
+/// The membership of one instance, see the [crate].
 #[derive(Debug)]
 pub struct Membership {
     settings: Settings,
--- a/crates/replica/src/replica.rs
+++ b/crates/replica/src/replica.rs
@@ -21,7 +21,7 @@
 /// The number of a write that wants no acknowledgement.
 const NO_ACKNOWLEDGEMENT: u64 = 0;
 
-/// The replica of one instance, see the [crate](crate).
+/// The replica of one instance, see the [crate].
 #[derive(Debug)]
 pub struct Replica {
     settings: Settings,
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -96,7 +96,7 @@
             Event::TimerFired(SWEEP) => self.sweep(actions),
             Event::GossipReceived(bytes) => self.state.gossip.receive(&bytes, now),
             Event::SettingsReloaded { settings, class_renumbering } => {
-                self.on_settings_reloaded(*settings, &class_renumbering)
+                self.on_settings_reloaded(*settings, &class_renumbering);
             }
             Event::StateImported(handover) => handover.import(&mut self.state),
             Event::LimitShareChanged(part) => self.state.limit_share = part,
--- a/crates/router/tests/fleet_model/mod.rs
+++ b/crates/router/tests/fleet_model/mod.rs
@@ -274,12 +274,12 @@
         for action in actions {
             match action {
                 Action::Assign { id, server, attempt_timeout } => {
-                    self.send(front, id, server, attempt_timeout)
+                    self.send(front, id, server, attempt_timeout);
                 }
                 Action::Reject { id, .. } => self.records.get_mut(&id).expect("known").refused = true,
                 Action::Fail(id) => self.records.get_mut(&id).expect("known").failed = true,
                 Action::CancelAttempt { id, attempt } => {
-                    self.plan(self.now, front, Step::Ends(id, attempt, Outcome::Cancelled))
+                    self.plan(self.now, front, Step::Ends(id, attempt, Outcome::Cancelled));
                 }
                 Action::StartTimer { delay, token } => {
                     let due = (self.now + delay).next_multiple_of(self.sweep);
--- a/crates/router/tests/full_scan/oracle/mod.rs
+++ b/crates/router/tests/full_scan/oracle/mod.rs
@@ -94,7 +94,7 @@
             Event::TimerFired(SWEEP) => self.sweep(out),
             Event::GossipReceived(bytes) => self.gossip.receive(&bytes, now),
             Event::SettingsReloaded { settings, class_renumbering } => {
-                self.on_settings_reloaded(*settings, &class_renumbering)
+                self.on_settings_reloaded(*settings, &class_renumbering);
             }
             Event::StateImported(_) => unreachable!("a hand-over is not played here"),
             Event::LimitShareChanged(limit_share) => self.limit_share = limit_share,
--- a/crates/test-peers/src/malformed.rs
+++ b/crates/test-peers/src/malformed.rs
@@ -129,7 +129,7 @@
                 *body = body
                     .lines()
                     .filter(|line| !line.starts_with("event:"))
-                    .fold(String::new(), |all, line| all + line + "\n")
+                    .fold(String::new(), |all, line| all + line + "\n");
             }
             Self::ErrorsAre200 if body.starts_with("{\"error\"") => {
                 let (line, rest) = head.split_once("\r\n").unwrap_or((head, ""));
--- a/crates/test-peers/src/network.rs
+++ b/crates/test-peers/src/network.rs
@@ -1,7 +1,7 @@
 //! A faulty network between instances: datagrams are lost, delayed, or blocked in one direction.
 //!
-//! Each instance is reached by the others at an address of this network ([`Net::address`]), which it gives as its own.
-//! A datagram's sender is known by the socket that it was sent from ([`Net::attach`]), and what is passed on comes from
+//! Each instance is reached by the others at an address of this network ([`FaultyNetwork::address`]), which it gives as its own.
+//! A datagram's sender is known by the socket that it was sent from ([`FaultyNetwork::attach`]), and what is passed on comes from
 //! the sender's address in this network: so each direction from one to another can be faulty by itself.
 
 use std::collections::{BTreeMap, BTreeSet};
--- a/src/edge/admin.rs
+++ b/src/edge/admin.rs
@@ -63,7 +63,7 @@
                         () = serve(listener, health, cluster) => {}
                         _ = ended => {}
                     },
-                    Err(what) => error!("second address: {what}"),
+                    Err(what) => error!(reason:% = what; "second address: not started"),
                 }
             });
         };
@@ -85,7 +85,7 @@
         let stream = match accept(&listener).await {
             Ok(stream) => stream,
             Err(error) => {
-                warn!("second address: can't accept: {error}");
+                warn!(reason:% = error; "second address: accept failed");
                 tokio::time::sleep(PAUSE).await;
                 continue;
             }
--- a/src/edge/balancers.rs
+++ b/src/edge/balancers.rs
@@ -96,7 +96,7 @@
         match accept(&listener).await {
             Ok(stream) => tell(stream, &health.line()).await,
             Err(error) => {
-                warn!("agent check: can't accept: {error}");
+                warn!(reason:% = error; "agent check: accept failed");
                 tokio::time::sleep(WRITE).await;
             }
         }
--- a/src/edge/clients/chat/requests.rs
+++ b/src/edge/clients/chat/requests.rs
@@ -118,7 +118,7 @@
             // Where one is refused or fails, the other choices, open or streaming, go with it.
             match reply.await {
                 Reply::Stream(relay) => {
-                    sources.push(AnswerSource::Relay { relay: Box::new(relay), _permit: permit })
+                    sources.push(AnswerSource::Relay { relay: Box::new(relay), _permit: permit });
                 }
                 Reply::Rejected { retry_in } => return Err(ErrorResponse::refused(retry_in)),
                 Reply::Failed { may_have_run } => {
--- a/src/edge/gossip_transport.rs
+++ b/src/edge/gossip_transport.rs
@@ -67,7 +67,7 @@
         loop {
             match socket.recv_from(&mut bytes).await {
                 Ok((length, _)) => {
-                    driver.send(Message::Input(Input::GossipReceived(bytes[..length].to_vec())))
+                    driver.send(Message::Input(Input::GossipReceived(bytes[..length].to_vec())));
                 }
                 // An earlier datagram that could not be delivered may be told of here.
                 Err(error) => {
--- a/src/edge/servers.rs
+++ b/src/edge/servers.rs
@@ -179,7 +179,7 @@
     let stuck = async {
         sleep_until(begin_by).await;
         if !handle.carrying() {
-            std::future::pending().await
+            std::future::pending::<()>().await;
         }
     };
     tokio::select! {
--- a/src/edge/servers/release.rs
+++ b/src/edge/servers/release.rs
@@ -90,7 +90,7 @@
             return;
         }
     }
-    std::future::pending().await
+    std::future::pending::<()>().await;
 }
 
 /// Asks one server to release what is held; whether it says that it has.
--- a/src/edge/transient.rs
+++ b/src/edge/transient.rs
@@ -55,7 +55,7 @@
         match call() {
             Err(error) if passes(&error) && Instant::now() < until => {
                 if !std::mem::replace(&mut told, true) {
-                    warn!("{what}: {error}; tried again");
+                    warn!(part = what, reason:% = error; "start: tried again");
                 }
                 thread::sleep(PAUSE);
             }
--- a/tests/crossings_handover.rs
+++ b/tests/crossings_handover.rs
@@ -496,7 +496,7 @@
             match came.what.as_str() {
                 // One may be under way as the read ends; without the guard they go on for as long as this looks.
                 "DELETE 01" if came.came > made + Duration::from_millis(100) => {
-                    late.push((came.server, came.came - made))
+                    late.push((came.server, came.came - made));
                 }
                 "DELETE 01" => {}
                 _ => writing = Some(came),
--- a/tests/held_in_bounds.rs
+++ b/tests/held_in_bounds.rs
@@ -92,7 +92,7 @@
         while let Some(effect) = effects.pop() {
             match effect {
                 Effect::CancelAttempt { id, attempt } => {
-                    effects.extend(core.step(now, Input::AttemptStopped { id, attempt, written: true }))
+                    effects.extend(core.step(now, Input::AttemptStopped { id, attempt, written: true }));
                 }
                 Effect::Send { id, attempt, .. } => {
                     effects.extend(
