--- a/benches/scale/decisions.rs
+++ b/benches/scale/decisions.rs
@@ -311,7 +311,7 @@
     DecisionSample {
         decider: size.decider,
         servers: size.servers,
-        cold_percent: size.cold_percent,
+        slow_start_percent: size.cold_percent,
         dispatchers: size.dispatchers,
         classes: size.classes,
         requests: play.whole.len(),
@@ -322,7 +322,7 @@
         sweep_mean: micros(play.sweeps.mean()),
         whole_list: micros(whole.as_nanos() as f64 / f64::from(lists)),
         changed_entry: play.changed_entry(),
-        update_heard: play.update_heard(),
+        update_received: play.update_heard(),
         memory,
     }
 }
@@ -414,7 +414,7 @@
                 sample.sweep_mean,
                 sample.whole_list,
                 sample.changed_entry,
-                sample.update_heard,
+                sample.update_received,
                 sample.memory as f64 / 1e6,
             );
             samples.push(sample);
--- a/benches/scale/gossip_samples.rs
+++ b/benches/scale/gossip_samples.rs
@@ -40,11 +40,11 @@
         price,
         dispatchers,
         requests: requests as f64,
-        told_for_each_request: told,
+        updates_per_request: told,
         sent,
         heard,
-        bytes_heard: heard * (UPDATE + HEADERS),
-        payload_heard: heard * UPDATE,
+        bytes_received: heard * (UPDATE + HEADERS),
+        payload_received: heard * UPDATE,
     }
 }
 
@@ -66,11 +66,11 @@
         let sample = sample(servers, varied);
         println!(
             "{varied:?}: {:.3} updates a request, {:.1} sent, {:.0} heard a second, {:.1} KB a second ({:.1} without headers)",
-            sample.told_for_each_request,
+            sample.updates_per_request,
             sample.sent,
             sample.heard,
-            sample.bytes_heard / 1e3,
-            sample.payload_heard / 1e3
+            sample.bytes_received / 1e3,
+            sample.payload_received / 1e3
         );
         samples.push(sample);
     }
--- a/benches/scale/list.rs
+++ b/benches/scale/list.rs
@@ -7,7 +7,7 @@
 use dewladder::edge::discovery::listing::{entries, Answer, Names};
 use dewladder_router::interface::{ListUpdateKind, Micros};
 use dewladder_scale::options::{self, OptionsError};
-use dewladder_scale::results::{ListSample, ListTold};
+use dewladder_scale::results::{ListChange, ListSample};
 use dewladder_scale::shape;
 use pico_args::Arguments;
 use serde_json::{json, Value};
@@ -23,8 +23,8 @@
 /// Each is told so often, and the mean taken.
 const TIMES: u32 = 8;
 
-const TOLD: [(&str, ListTold); 3] =
-    [("whole", ListTold::Whole), ("replaced", ListTold::Replaced), ("zone", ListTold::Zone)];
+const TOLD: [(&str, ListChange); 3] =
+    [("whole", ListChange::Whole), ("replaced", ListChange::Replaced), ("zone", ListChange::Zone)];
 
 fn member(server: u32, phase: &str, started: u64) -> Value {
     let kind = if shape::reads(server) { "prefill" } else { "decode" };
@@ -71,22 +71,22 @@
     }
 
     /// Tells it what there is to tell; bytes, and processor time (us).
-    fn tell(&mut self, servers: u32, told: ListTold, time: u32) -> (u64, f64) {
+    fn tell(&mut self, servers: u32, told: ListChange, time: u32) -> (u64, f64) {
         let started = self.now / 1_000 + 1;
         let of_zone = |phase: &str| -> Vec<Value> {
             let zone = (0..servers).filter(|&server| shape::zone(server) == ZONE);
             zone.map(|server| member(server, phase, started)).collect()
         };
         let texts = match told {
-            ListTold::Whole => {
+            ListChange::Whole => {
                 vec![self.text(true, (0..servers).map(|server| member(server, "up", 0)).collect())]
             }
-            ListTold::Replaced => {
+            ListChange::Replaced => {
                 let gone = if time == 0 { 0 } else { servers + time - 1 };
                 let members = vec![member(gone, "removed", 0), member(servers + time, "up", started)];
                 vec![self.text(false, members)]
             }
-            ListTold::Zone => {
+            ListChange::Zone => {
                 vec![self.text(false, of_zone("removed")), self.text(false, of_zone("up"))]
             }
         };
@@ -95,10 +95,10 @@
     }
 }
 
-fn sample(servers: u32, told: ListTold) -> ListSample {
+fn sample(servers: u32, told: ListChange) -> ListSample {
     let before = resident();
     let mut dispatcher = Dispatcher::new(servers);
-    let held = if told == ListTold::Whole { before } else { resident() };
+    let held = if told == ListChange::Whole { before } else { resident() };
     let (mut bytes, mut processor) = (0, 0.0);
     for time in 0..TIMES {
         let (more, took) = dispatcher.tell(servers, told, time);
@@ -108,7 +108,7 @@
     ListSample { servers, told, bytes, processor: processor / f64::from(TIMES), memory }
 }
 
-fn size(arguments: &mut Arguments) -> Result<(u32, ListTold), OptionsError> {
+fn size(arguments: &mut Arguments) -> Result<(u32, ListChange), OptionsError> {
     let servers = options::number(arguments, "--servers", 100, 10..=20_000)?;
     Ok((servers, options::one_of(arguments, "--told", &TOLD)?))
 }
--- a/crates/scale/src/page/needs/control.rs
+++ b/crates/scale/src/page/needs/control.rs
@@ -2,7 +2,7 @@
 
 use super::samples::{self, SLOW_START_PERCENT};
 use super::{Activation, Evidence, Need, Unit, CONTROL};
-use crate::results::{Decider, DecisionSample, ListTold, Results};
+use crate::results::{Decider, DecisionSample, ListChange, Results};
 use crate::target;
 
 /// Sweeps a second.
@@ -81,8 +81,8 @@
     let gossip = samples::gossip(results)?;
     Some(processor_need(
         "processor, load updates heard (decisions alone)",
-        decisions.update_heard * gossip.heard / 1e6,
-        format!("{:.2} us an update x {:.0} a second", decisions.update_heard, gossip.heard),
+        decisions.update_received * gossip.heard / 1e6,
+        format!("{:.2} us an update x {:.0} a second", decisions.update_received, gossip.heard),
         "gossip by broadcast: `crates/router/src/gossip.rs`",
     ))
 }
@@ -126,7 +126,7 @@
 /// Memory of control.
 pub(super) fn memory(results: &Results) -> Option<Need> {
     let decisions = samples::decisions(results, Decider::Indexed)?;
-    let list = samples::list(results, ListTold::Whole)?;
+    let list = samples::list(results, ListChange::Whole)?;
     Some(Need {
         role: CONTROL,
         what: "memory, servers and beliefs",
@@ -175,10 +175,10 @@
     let sample = samples::gossip(results)?;
     Some(bytes_need(
         "bytes, load updates heard",
-        sample.bytes_heard,
+        sample.bytes_received,
         format!(
             "{:.3} updates a request x {:.0} requests x {:.0} others x {:.0} bytes",
-            sample.told_for_each_request,
+            sample.updates_per_request,
             sample.requests,
             target::DISPATCHERS - 1.0,
             UPDATE_BYTES + HEADER_BYTES
@@ -210,7 +210,7 @@
 }
 
 fn list_bytes(results: &Results) -> Option<Need> {
-    let replaced = samples::list(results, ListTold::Replaced)?;
+    let replaced = samples::list(results, ListChange::Replaced)?;
     let need = bytes_need(
         "bytes, changes of the list",
         replaced.bytes as f64 * 1.5 * target::RESTARTS / target::DAY,
--- a/crates/scale/src/page/needs/others.rs
+++ b/crates/scale/src/page/needs/others.rs
@@ -1,7 +1,7 @@
 //! What roles need other than dispatchers: replicas, discovery, and machines of control.
 
 use super::{samples, Activation, Evidence, Need, Unit};
-use crate::results::{ListSample, ListTold, Results};
+use crate::results::{ListChange, ListSample, Results};
 use crate::target;
 
 const READER: &str = "replica, reader";
@@ -100,14 +100,14 @@
 /// Needs of all agents of discovery together.
 pub(super) fn discovery(results: &Results) -> Vec<Need> {
     let mut needs = Vec::new();
-    if let Some(whole) = samples::list(results, ListTold::Whole) {
+    if let Some(whole) = samples::list(results, ListChange::Whole) {
         let what = "all dispatchers start at once";
         needs.push(all_agents(what, whole, target::DISPATCHERS, "dispatchers"));
     }
-    if let Some(zone) = samples::list(results, ListTold::Zone) {
+    if let Some(zone) = samples::list(results, ListChange::Zone) {
         needs.push(all_agents("a zone lost and back", zone, target::DISPATCHERS, "dispatchers"));
     }
-    if let Some(replaced) = samples::list(results, ListTold::Replaced) {
+    if let Some(replaced) = samples::list(results, ListChange::Replaced) {
         let times = target::DISPATCHERS * target::RESTARTS;
         needs.push(all_agents("a day's replacements", replaced, times, "changes heard"));
     }
--- a/crates/scale/src/page/needs/samples.rs
+++ b/crates/scale/src/page/needs/samples.rs
@@ -1,7 +1,7 @@
 //! The samples that were taken at the target's size.
 
 use crate::results::{
-    DataPathSample, Decider, DecisionSample, GossipSample, ListSample, ListTold, MembershipEvent,
+    DataPathSample, Decider, DecisionSample, GossipSample, ListChange, ListSample, MembershipEvent,
     MembershipSample, Results, RunEvent, RunSample,
 };
 use crate::target;
@@ -14,7 +14,7 @@
     samples.iter().find(|sample| {
         sample.decider == decider
             && f64::from(sample.servers) == target::REPLICAS
-            && sample.cold_percent == SLOW_START_PERCENT
+            && sample.slow_start_percent == SLOW_START_PERCENT
     })
 }
 
@@ -23,7 +23,7 @@
     samples.iter().find(|sample| f64::from(sample.dispatchers) == target::DISPATCHERS)
 }
 
-pub(super) fn list(results: &Results, told: ListTold) -> Option<&ListSample> {
+pub(super) fn list(results: &Results, told: ListChange) -> Option<&ListSample> {
     let samples = &results.list.as_ref()?.samples;
     samples.iter().find(|sample| sample.told == told && f64::from(sample.servers) == target::REPLICAS)
 }
--- a/crates/scale/src/page/tables.rs
+++ b/crates/scale/src/page/tables.rs
@@ -1,7 +1,7 @@
 //! A table for each part, of its samples as they were taken.
 
 use crate::results::{
-    Decider, DecisionSample, ListTold, MembershipEvent, Part, Results, RunEvent, RunSample,
+    Decider, DecisionSample, ListChange, MembershipEvent, Part, Results, RunEvent, RunSample,
 };
 
 const NOT_MEASURED: &str = "Not measured.\n";
@@ -24,9 +24,9 @@
 
 /// The mean time of a request at a size, where that was measured at the first number of dispatchers and classes.
 fn request_at(samples: &[DecisionSample], decider: Decider, servers: u32, cold: u32) -> Option<f64> {
-    let found = samples
-        .iter()
-        .find(|sample| (sample.decider, sample.servers, sample.cold_percent) == (decider, servers, cold));
+    let found = samples.iter().find(|sample| {
+        (sample.decider, sample.servers, sample.slow_start_percent) == (decider, servers, cold)
+    });
     found.map(|sample| sample.request_mean)
 }
 
@@ -64,7 +64,7 @@
         format!(
             "{program} | {} | {}% | {} | {} | {:.1} | {:.1} | {:.1} | {:.1} | {:.0} | {:.1} | {:.2} | {} | {} of {}",
             sample.servers,
-            sample.cold_percent,
+            sample.slow_start_percent,
             sample.dispatchers,
             sample.classes,
             sample.request_mean,
@@ -73,7 +73,7 @@
             sample.sweep_mean,
             sample.whole_list,
             sample.changed_entry,
-            sample.update_heard,
+            sample.update_received,
             megabytes(sample.memory),
             sample.served,
             sample.requests
@@ -105,11 +105,11 @@
             sample.price,
             sample.dispatchers,
             sample.requests,
-            sample.told_for_each_request,
+            sample.updates_per_request,
             sample.sent,
             sample.heard,
-            sample.bytes_heard / 1e3,
-            sample.payload_heard / 1e3
+            sample.bytes_received / 1e3,
+            sample.payload_received / 1e3
         )
     })
 }
@@ -118,9 +118,9 @@
     let header = "servers | told | bytes | processor (us) | memory beyond before (MB)";
     part(&results.list, header, |sample| {
         let told = match sample.told {
-            ListTold::Whole => "all of them, after a start",
-            ListTold::Replaced => "one replaced",
-            ListTold::Zone => "a zone gone, and back at once",
+            ListChange::Whole => "all of them, after a start",
+            ListChange::Replaced => "one replaced",
+            ListChange::Zone => "a zone gone, and back at once",
         };
         format!(
             "{} | {told} | {} | {:.0} | {}",
--- a/crates/scale/src/results.rs
+++ b/crates/scale/src/results.rs
@@ -77,7 +77,8 @@
     /// Servers of the list.
     pub servers: u32,
     /// How many of a hundred are in slow start.
-    pub cold_percent: u32,
+    #[serde(rename = "cold_percent")]
+    pub slow_start_percent: u32,
     /// Dispatchers in the settings.
     pub dispatchers: u32,
     /// Classes of requests.
@@ -99,7 +100,8 @@
     /// A list of one changed entry.
     pub changed_entry: f64,
     /// A load update of another dispatcher.
-    pub update_heard: f64,
+    #[serde(rename = "update_heard")]
+    pub update_received: f64,
     /// Resident memory that the decisions took (bytes).
     pub memory: u64,
 }
@@ -145,15 +147,18 @@
     /// Requests a second of each.
     pub requests: f64,
     /// Updates for each request.
-    pub told_for_each_request: f64,
+    #[serde(rename = "told_for_each_request")]
+    pub updates_per_request: f64,
     /// Datagrams that it sends a second, to one address that reaches all.
     pub sent: f64,
     /// Datagrams that it hears a second from all others.
     pub heard: f64,
     /// Bytes that it hears a second, UDP and IP headers counted.
-    pub bytes_heard: f64,
+    #[serde(rename = "bytes_heard")]
+    pub bytes_received: f64,
     /// The same without headers.
-    pub payload_heard: f64,
+    #[serde(rename = "payload_heard")]
+    pub payload_received: f64,
 }
 
 /// The list of servers, as one dispatcher takes it.
@@ -163,7 +168,7 @@
     /// Servers.
     pub servers: u32,
     /// What is told: the whole list, one replaced server, or a zone lost and back.
-    pub told: ListTold,
+    pub told: ListChange,
     /// Bytes of the answers, without their heads.
     pub bytes: u64,
     /// Processor time to read it and to act on it (us).
@@ -175,7 +180,7 @@
 /// What the list tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum ListTold {
+pub enum ListChange {
     /// All servers.
     Whole,
     /// One server goes, and another comes in its place.
