--- a/crates/soak/src/bin/false_dispatcher.rs
+++ b/crates/soak/src/bin/false_dispatcher.rs
@@ -9,66 +9,103 @@
 use socket2::{Domain, Socket, Type};
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::{TcpListener, TcpStream};
+use tokio::signal::unix::{signal, SignalKind};
 use tokio::time::{sleep, timeout};
 
 /// The rule that it breaks, and the servers that it knows.
 #[derive(Clone)]
 struct Behavior {
-    violations: String,
+    broken_rule: String,
     readers: Vec<SocketAddr>,
     writers: Vec<SocketAddr>,
 }
 
 type Failure = Box<dyn std::error::Error + Send + Sync>;
 
+/// A request comes whole within this, or its connection is closed.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// Longer than any play.
+const FOR_EVER: Duration = Duration::from_secs(600);
+/// The dispatcher that ends by itself does so after this.
+const ENDS_AFTER: Duration = Duration::from_secs(2);
+/// All others after this, when no play lasts any longer.
+const LASTS: Duration = Duration::from_secs(3_600);
+/// Descriptors that the leaking dispatcher opens for each connection.
+const LEAKED_DESCRIPTORS: usize = 4;
+
 impl Behavior {
-    fn violations(&self, rule: &str) -> bool {
-        self.violations == rule
+    fn new(config: &Value) -> Self {
+        Self {
+            broken_rule: std::env::var("FALSE_RULE").unwrap_or_default(),
+            readers: servers(config, "prefill"),
+            writers: servers(config, "decode"),
+        }
+    }
+
+    fn breaks(&self, rule: &str) -> bool {
+        self.broken_rule == rule
+    }
+
+    /// The reader of a request.
+    fn reader(&self, txn: &str) -> SocketAddr {
+        self.readers[sum_of_bytes(txn) % self.readers.len()]
+    }
+
+    /// The writer of a request, or the one behind it by so many.
+    fn writer(&self, txn: &str, offset: usize) -> SocketAddr {
+        self.writers[(sum_of_bytes(txn) + offset) % self.writers.len()]
     }
 }
 
+fn sum_of_bytes(text: &str) -> usize {
+    text.bytes().map(usize::from).sum()
+}
+
 fn servers(config: &Value, flavor: &str) -> Vec<SocketAddr> {
     let members = config["known"]["members"].as_array().cloned().unwrap_or_default();
-    let of_it = members.iter().filter(|member| member["flavor"] == flavor);
-    of_it.filter_map(|member| member["host_port"].as_str()?.parse().ok()).collect()
+    let wanted = members.iter().filter(|member| member["flavor"] == flavor);
+    wanted.filter_map(|member| member["host_port"].as_str()?.parse().ok()).collect()
 }
 
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> Result<(), Failure> {
     let path = std::env::args().skip_while(|argument| argument != "--config").nth(1).ok_or("no --config")?;
     let config: Value = serde_json::from_str(&std::fs::read_to_string(path)?)?;
-    let behavior = Behavior {
-        violations: std::env::var("FALSE_RULE").unwrap_or_default(),
-        readers: servers(&config, "prefill"),
-        writers: servers(&config, "decode"),
-    };
-    let listen: SocketAddr = config["listen"].as_str().ok_or("no listen")?.parse()?;
+    let clients = listen(config["listen"].as_str().ok_or("no listen")?.parse()?)?;
+    let admin = TcpListener::bind("127.0.0.1:0").await?;
+    eprintln!("second address: {}", admin.local_addr()?);
+    run(Behavior::new(&config), clients, admin).await
+}
+
+fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_reuse_port(true)?;
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
-    socket.bind(&listen.into())?;
+    socket.bind(&address.into())?;
     socket.listen(256)?;
-    let clients = TcpListener::from_std(socket.into())?;
-    let admin = TcpListener::bind("127.0.0.1:0").await?;
-    eprintln!("second address: {}", admin.local_addr()?);
-    let mut term = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())?;
+    TcpListener::from_std(socket.into())
+}
+
+/// Serves both addresses until it is told to end.
+async fn run(behavior: Behavior, clients: TcpListener, admin: TcpListener) -> Result<(), Failure> {
+    let mut term = signal(SignalKind::terminate())?;
     let mut leaked = Vec::new();
-    let end = sleep(Duration::from_secs(if behavior.violations("exit") { 2 } else { 3_600 }));
+    let end = sleep(if behavior.breaks("exit") { ENDS_AFTER } else { LASTS });
     tokio::pin!(end);
     loop {
         tokio::select! {
             _ = term.recv() => return Ok(()),
             () = &mut end => return Err("it ends by itself".into()),
             caller = admin.accept() => {
-                let said = if behavior.violations("not_ready") { "ERR no\n" } else { "OK ready\n" };
+                let answer = if behavior.breaks("not_ready") { "ERR no\n" } else { "OK ready\n" };
                 if let Ok((mut caller, _)) = caller {
-                    caller.write_all(said.as_bytes()).await?;
+                    caller.write_all(answer.as_bytes()).await?;
                 }
             }
             client = clients.accept() => {
-                if behavior.violations("leak") {
-                    for _ in 0..4 {
+                if behavior.breaks("leak") {
+                    for _ in 0..LEAKED_DESCRIPTORS {
                         leaked.push(std::fs::File::open("/dev/null")?);
                     }
                 }
@@ -80,37 +117,33 @@
     }
 }
 
-/// A request comes whole within this, or its connection is closed.
-const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longer than any play.
-const FOR_EVER: Duration = Duration::from_secs(600);
-
 /// Serves a client until its connection ends.
 async fn serve(mut client: TcpStream, behavior: Behavior) {
     let mut read = Vec::new();
     loop {
-        let request_timeout = if behavior.violations("half_request") { FOR_EVER } else { REQUEST_TIMEOUT };
+        let request_timeout = if behavior.breaks("half_request") { FOR_EVER } else { REQUEST_TIMEOUT };
         let Ok(Some((head, body))) = timeout(request_timeout, message(&mut client, &mut read)).await else {
             return;
         };
         let txn = field(&head, "x-txn").unwrap_or_default();
-        if behavior.violations("dropped") && txn.ends_with(['1', '5', '9', 'd']) {
+        if behavior.breaks("dropped") && txn.ends_with(['1', '5', '9', 'd']) {
             return;
         }
-        if behavior.violations("sent_after_client_left") {
+        if behavior.breaks("sent_after_client_left") {
             sleep(Duration::from_millis(350)).await;
         }
-        let answered = answer(&mut client, &behavior, &head, &body, &txn).await;
-        if answered.is_err() {
+        let text = forwarded(&behavior, &head, &body, &txn);
+        if answer(&mut client, &behavior, &text, &txn).await.is_err() {
             return;
         }
     }
 }
 
-/// What is sent on to a server.
-fn request(head: &str, body: &[u8], remaining: &str) -> String {
+/// The request as it is sent on to servers.
+fn forwarded(behavior: &Behavior, head: &str, body: &[u8], txn: &str) -> String {
+    let remaining = field(head, "x-remaining").unwrap_or_default();
+    let remaining = if behavior.breaks("deadline_told") { "9.000" } else { remaining.as_str() };
     let line = head.lines().next().unwrap_or("");
-    let txn = field(head, "x-txn").unwrap_or_default();
     let body = String::from_utf8_lossy(body);
     format!(
         "{line}\r\nHost: s\r\nX-Txn: {txn}\r\nX-Remaining: {remaining}\r\nContent-Length: {}\r\n\r\n{body}",
@@ -121,54 +154,65 @@
 async fn answer(
     client: &mut TcpStream,
     behavior: &Behavior,
-    head: &str,
-    body: &[u8],
+    request: &str,
     txn: &str,
 ) -> Result<(), Failure> {
-    let remaining = field(head, "x-remaining").unwrap_or_default();
-    let remaining = if behavior.violations("deadline_told") { "9.000" } else { remaining.as_str() };
-    let text = request(head, body, remaining);
-    let at = txn.bytes().map(usize::from).sum::<usize>();
-    let mut reader = TcpStream::connect(behavior.readers[at % behavior.readers.len()]).await?;
-    reader.write_all(text.as_bytes()).await?;
-    let refused = plain(503, "", "");
-    let (said, _) = message(&mut reader, &mut Vec::new()).await.ok_or("no answer of the reader")?;
-    if !said.contains(" 202 ") {
-        return Ok(client.write_all(refused.as_bytes()).await?);
+    if !read_prompt(behavior, request, txn).await? {
+        return refuse(client).await;
     }
-    if behavior.violations("held") {
+    if behavior.breaks("held") {
         sleep(Duration::from_millis(1_200)).await;
     }
-    let writer = behavior.writers[at % behavior.writers.len()];
-    if behavior.violations("run_twice") {
-        let mut first = TcpStream::connect(behavior.writers[(at + 1) % behavior.writers.len()]).await?;
-        first.write_all(text.as_bytes()).await?;
+    if behavior.breaks("run_twice") {
+        let mut first = TcpStream::connect(behavior.writer(txn, 1)).await?;
+        first.write_all(request.as_bytes()).await?;
         sleep(Duration::from_millis(5)).await;
     }
-    let mut writer = TcpStream::connect(writer).await?;
-    writer.write_all(text.as_bytes()).await?;
+    let mut writer = TcpStream::connect(behavior.writer(txn, 0)).await?;
+    writer.write_all(request.as_bytes()).await?;
+    relay(client, behavior, &mut writer, txn).await
+}
+
+/// Has a reader read the prompt; whether it did.
+async fn read_prompt(behavior: &Behavior, request: &str, txn: &str) -> Result<bool, Failure> {
+    let mut reader = TcpStream::connect(behavior.reader(txn)).await?;
+    reader.write_all(request.as_bytes()).await?;
+    let (head, _) = message(&mut reader, &mut Vec::new()).await.ok_or("no answer of the reader")?;
+    Ok(head.contains(" 202 "))
+}
+
+async fn refuse(client: &mut TcpStream) -> Result<(), Failure> {
+    Ok(client.write_all(plain(503, "", "").as_bytes()).await?)
+}
+
+/// Relays a writer's answer, or releases the state and refuses where the writer does.
+async fn relay(
+    client: &mut TcpStream,
+    behavior: &Behavior,
+    writer: &mut TcpStream,
+    txn: &str,
+) -> Result<(), Failure> {
     let mut piece = vec![0; 4_096];
-    let mut whole = Vec::new();
+    let mut all = Vec::new();
     loop {
         let length = writer.read(&mut piece).await?;
         if length == 0 {
             return Err("the stream broke".into());
         }
-        whole.extend_from_slice(&piece[..length]);
-        if whole.starts_with(b"HTTP/1.1 4") || whole.starts_with(b"HTTP/1.1 5") {
+        all.extend_from_slice(&piece[..length]);
+        if all.starts_with(b"HTTP/1.1 4") || all.starts_with(b"HTTP/1.1 5") {
+            let release = format!("DELETE /kv/leases/{txn} HTTP/1.1\r\nHost: s\r\n\r\n");
             let mut holder = TcpStream::connect(behavior.readers[0]).await?;
-            holder
-                .write_all(format!("DELETE /kv/leases/{txn} HTTP/1.1\r\nHost: s\r\n\r\n").as_bytes())
-                .await?;
-            return Ok(client.write_all(refused.as_bytes()).await?);
+            holder.write_all(release.as_bytes()).await?;
+            return refuse(client).await;
         }
-        if !behavior.violations("stream") {
+        if !behavior.breaks("stream") {
             client.write_all(&piece[..length]).await?;
         }
-        if whole.ends_with(b"0\r\n\r\n") {
-            if behavior.violations("stream") {
+        if all.ends_with(b"0\r\n\r\n") {
+            if behavior.breaks("stream") {
                 sleep(Duration::from_millis(500)).await;
-                client.write_all(&whole).await?;
+                client.write_all(&all).await?;
             }
             return Ok(());
         }
