--- a/crates/test-peers/src/malformed.rs
+++ b/crates/test-peers/src/malformed.rs
@@ -95,57 +95,46 @@
 
     /// Spoils an answer.
     fn spoil_answer(self, head: &mut String, body: &mut String) {
-        let stream = head.to_ascii_lowercase().contains("text/event-stream");
-        let without = |head: &str, name: &str| {
-            let kept = head.lines().filter(|line| !line.to_ascii_lowercase().starts_with(name));
-            kept.collect::<Vec<_>>().join("\r\n")
-        };
+        if head.to_ascii_lowercase().contains("text/event-stream") {
+            self.spoil_stream(body);
+        }
         match self {
-            Self::NoDone => *body = body.replace("data: [DONE]\n\n", ""),
-            Self::DoneTwice => *body = body.replace("data: [DONE]\n\n", "data: [DONE]\n\ndata: [DONE]\n\n"),
-            Self::UsageUnasked if stream && !body.contains("\"usage\"") => {
+            Self::NoDone => *body = body.replace(DONE, ""),
+            Self::DoneTwice => *body = body.replace(DONE, &DONE.repeat(2)),
+            Self::NoEventNames => *body = without_lines(body, |line| line.starts_with("event:")),
+            Self::ErrorsAre200 if body.starts_with("{\"error\"") => {
+                let rest = head.split_once("\r\n").map_or("", |(_, rest)| rest);
+                *head = format!("HTTP/1.1 200 OK\r\n{rest}");
+            }
+            Self::NoParam => *body = without_param(body),
+            Self::NoAllow => *head = without_header(head, "allow:"),
+            Self::NoRequestId => *head = without_header(head, "x-request-id:"),
+            Self::OpenToAll => head.push_str("\r\naccess-control-allow-origin: *"),
+            _ => {}
+        }
+    }
+
+    /// Spoils the events of a stream.
+    fn spoil_stream(self, body: &mut String) {
+        match self {
+            Self::UsageUnasked if !body.contains("\"usage\"") => {
                 let usage =
                     "data: {\"id\":\"x\",\"choices\":[],\"usage\":{\"total_tokens\":3}}\n\ndata: [DONE]";
                 *body = body.replace("data: [DONE]", usage);
             }
-            Self::NoUsage if stream => {
+            Self::NoUsage => {
                 let is_kept = |event: &&str| !event.contains("\"choices\":[],");
-                *body = body.split_inclusive("\n\n").filter(is_kept).collect();
+                *body = body.split_inclusive(EVENT_END).filter(is_kept).collect();
             }
-            Self::OtherObject if stream => *body = body.replace("chat.completion.chunk", "chat.completion"),
-            Self::NoRole if stream => *body = body.replace(",\"role\":\"assistant\"", ""),
-            Self::LosesFirst if stream => *body = body.split_inclusive("\n\n").skip(1).collect(),
-            Self::CutsEnd if stream => {
-                let events: Vec<&str> = body.split_inclusive("\n\n").collect();
+            Self::OtherObject => *body = body.replace("chat.completion.chunk", "chat.completion"),
+            Self::NoRole => *body = body.replace(",\"role\":\"assistant\"", ""),
+            Self::LosesFirst => *body = body.split_inclusive(EVENT_END).skip(1).collect(),
+            Self::CutsEnd => {
+                let events: Vec<&str> = body.split_inclusive(EVENT_END).collect();
                 *body = events[..events.len().saturating_sub(2)].concat();
             }
-            Self::NumbersFromOne if stream => {
-                for at in (0..200).rev() {
-                    let number = |at: u32| format!("\"sequence_number\":{at},");
-                    *body = body.replace(&number(at), &number(at + 1));
-                }
-            }
-            Self::NoEventNames => {
-                *body = body
-                    .lines()
-                    .filter(|line| !line.starts_with("event:"))
-                    .fold(String::new(), |all, line| all + line + "\n");
-            }
-            Self::ErrorsAre200 if body.starts_with("{\"error\"") => {
-                let (line, rest) = head.split_once("\r\n").unwrap_or((head, ""));
-                let _ = line;
-                *head = format!("HTTP/1.1 200 OK\r\n{rest}");
-            }
-            Self::NoParam => {
-                if let Some((before, after)) = body.clone().split_once("\"param\":\"") {
-                    let rest = after.split_once('"').map_or("", |(_, rest)| rest);
-                    *body = format!("{before}\"param\":null{rest}");
-                }
-            }
-            Self::NoAllow => *head = without(head, "allow:"),
-            Self::NoRequestId => *head = without(head, "x-request-id:"),
-            Self::OpenToAll => head.push_str("\r\naccess-control-allow-origin: *"),
-            Self::OtherText if stream => {
+            Self::NumbersFromOne => *body = with_numbers_from_one(body),
+            Self::OtherText => {
                 *body = body.replace("output_text.done\",", "output_text.done\",\"text\":\"no\",\"was_\":0,");
                 *body = body.replace("\"text\":\"w", "\"text\":\"v");
             }
@@ -154,6 +143,38 @@
     }
 }
 
+/// The last event of a stream.
+const DONE: &str = "data: [DONE]\n\n";
+const EVENT_END: &str = "\n\n";
+/// Streams have fewer typed events.
+const MAX_TYPED_EVENTS: u32 = 200;
+
+fn without_header(head: &str, name: &str) -> String {
+    let kept = head.lines().filter(|line| !line.to_ascii_lowercase().starts_with(name));
+    kept.collect::<Vec<_>>().join("\r\n")
+}
+
+fn without_lines(body: &str, is_dropped: impl Fn(&str) -> bool) -> String {
+    let kept = body.lines().filter(|line| !is_dropped(line));
+    kept.fold(String::new(), |all, line| all + line + "\n")
+}
+
+fn without_param(body: &str) -> String {
+    let Some((before, after)) = body.split_once("\"param\":\"") else { return body.to_owned() };
+    let rest = after.split_once('"').map_or("", |(_, rest)| rest);
+    format!("{before}\"param\":null{rest}")
+}
+
+/// The numbers of typed events, one higher each; from the highest down, so that none is raised twice.
+fn with_numbers_from_one(body: &str) -> String {
+    let field = |number: u32| format!("\"sequence_number\":{number},");
+    let mut body = body.to_owned();
+    for number in (0..MAX_TYPED_EVENTS).rev() {
+        body = body.replace(&field(number), &field(number + 1));
+    }
+    body
+}
+
 /// Starts one before a right front at `right`; `first_key` is the first tenant's.
 ///
 /// # Errors
