--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -3,6 +3,7 @@
 #![allow(dead_code)]
 
 pub mod decision_hash;
+pub mod serving;
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- /dev/null
+++ b/crates/router/tests/full_scan/pair.rs
@@ -0,0 +1,335 @@
+//! The router and the oracle side by side, told the same, with what surrounds them as far as that needs it.
+
+use std::collections::BTreeMap;
+
+use dewladder_router::interface::*;
+use dewladder_router::{Load, LoadUpdate};
+
+use crate::decision_hash::DecisionHash;
+use crate::oracle;
+
+pub const SECOND: Micros = 1_000_000;
+
+fn class(at: u32) -> Class {
+    let (effect, dedup_group) = [
+        (Effect::Idempotent, DedupGroup::All),
+        (Effect::AtMostOnce, DedupGroup::All),
+        (Effect::Deduplicated, DedupGroup::Zone),
+        (Effect::Deduplicated, DedupGroup::Cell),
+        (Effect::Deduplicated, DedupGroup::All),
+    ][at as usize % 5];
+    Class {
+        name: format!("class {at}"),
+        default_timeout: 5 * SECOND,
+        max_attempts: 6,
+        retired: false,
+        latency_objective: SECOND / 2 + u64::from(at) * 90_000,
+        latency_objective_per_1000_tokens: 40_000,
+        token_interval_objective: 60_000,
+        effect,
+        dedup_group,
+        dedup_window: 2 * SECOND,
+        priority_weight: 1.0 + f64::from(at),
+    }
+}
+
+pub fn settings(dispatchers: u32) -> Settings {
+    let kind = |role, memory_tokens| Kind { role, memory_tokens };
+    Settings {
+        dispatcher_count: dispatchers,
+        zone: ZoneId(1),
+        classes: (0..5).map(|at| (at, class(at))).collect(),
+        kinds: vec![kind(Role::Reader, 200_000), kind(Role::Writer, 60_000), kind(Role::Mixed, 200_000)],
+        must_subscribe: false,
+        max_list_age: 10 * SECOND,
+        may_cancel: true,
+        peers: true,
+        gossip_price: 0.001,
+        writers_can_read: true,
+        max_retry_after: SECOND,
+        max_hold_time: SECOND / 2,
+        resolution: 4_000,
+        slow_start_min_share: 0.3,
+        slow_start_window: 6 * SECOND,
+        memory_field: Some(0),
+        overload_multiple: 2.5,
+        overload_window: SECOND,
+    }
+}
+
+pub fn entry(server: u32, mixed: bool) -> ServerEntry {
+    let kind = if mixed && server.is_multiple_of(9) { 2 } else { u32::from(server % 20 >= 9) };
+    ServerEntry {
+        server: ServerId(server),
+        zone: ZoneId(server / 8 % 3),
+        cell: CellId(server / 8),
+        weight: 1.0,
+        started: None,
+        health: Health::Ready,
+        kind,
+    }
+}
+
+/// An attempt that is out.
+#[derive(Clone, Debug)]
+struct InFlight {
+    number: u32,
+    server: ServerId,
+    sent_at: Micros,
+    until: Micros,
+    is_streaming: bool,
+}
+
+/// Both routers, told the same.
+pub struct Pair {
+    router: dewladder_router::Router,
+    oracle: oracle::Router,
+    settings: Settings,
+    now: Micros,
+    list: BTreeMap<ServerId, ServerEntry>,
+    in_flight: BTreeMap<RequestId, InFlight>,
+    attempts: BTreeMap<RequestId, u32>,
+    timers: Vec<(Micros, TimerToken)>,
+    last_id: u64,
+    /// All that was decided, which is the same for both.
+    pub decisions: DecisionHash,
+}
+
+impl Pair {
+    pub fn new(settings: Settings, entries: Vec<ServerEntry>, seed: u64) -> Self {
+        let now = 1_000 * SECOND;
+        let mut pair = Self {
+            router: dewladder_router::Router::new(settings.clone(), seed, now),
+            oracle: oracle::Router::new(settings.clone(), seed, now),
+            settings,
+            now,
+            list: entries.iter().map(|entry| (entry.server, entry.clone())).collect(),
+            in_flight: BTreeMap::new(),
+            attempts: BTreeMap::new(),
+            timers: Vec::new(),
+            last_id: 0,
+            decisions: DecisionHash::default(),
+        };
+        pair.handle(Event::EndpointsUpdated { how: ListUpdateKind::Full, entries });
+        pair
+    }
+
+    /// Hands an event to both, compares their actions and the index with a recount, and does as they say.
+    fn handle(&mut self, event: Event) {
+        let (mut actions, mut scanned) = (Vec::new(), Vec::new());
+        self.router.handle(self.now, event.clone(), &mut actions);
+        self.oracle.handle(self.now, event.clone(), &mut scanned);
+        assert_eq!(actions, scanned, "at {} after {event:?}", self.now);
+        assert_eq!(self.router.index_disagreement(), None, "at {} after {event:?}", self.now);
+        self.decisions.decided(0, self.now, &actions, self.router.end_reasons());
+        for action in actions {
+            match action {
+                Action::Assign { id, server, attempt_timeout } => {
+                    let number = self.attempts.entry(id).or_default();
+                    let attempt = InFlight {
+                        number: *number,
+                        server,
+                        sent_at: self.now,
+                        until: self.now + attempt_timeout,
+                        is_streaming: false,
+                    };
+                    *number += 1;
+                    self.in_flight.insert(id, attempt);
+                }
+                Action::StartTimer { delay, token } => self.timers.push((self.now + delay, token)),
+                Action::CancelAttempt { id, .. } => {
+                    let attempt = self.in_flight.remove(&id);
+                    if let Some(attempt) = attempt {
+                        self.end(id, &attempt, Outcome::Cancelled, 0, false);
+                    }
+                }
+                _ => {}
+            }
+        }
+    }
+
+    fn end(&mut self, id: RequestId, attempt: &InFlight, outcome: Outcome, cached_tokens: u64, full: bool) {
+        let mut report = Report::default();
+        report.set("x0", Some(if full { 0.97 } else { 0.4 }));
+        self.handle(Event::AttemptFinished(AttemptFinished {
+            id,
+            attempt: attempt.number,
+            server: attempt.server,
+            taken: self.now - attempt.sent_at,
+            outcome,
+            cached_tokens,
+            last: attempt.is_streaming || outcome == Outcome::Served,
+            report: full.then_some(report),
+        }));
+    }
+
+    /// Lets time pass: timers fire, and attempts that are late time out at the next one.
+    pub fn pass(&mut self, time: Micros) {
+        let end = self.now + time;
+        loop {
+            let due = self.timers.iter().map(|&(at, _)| at).min().filter(|&at| at <= end);
+            let Some(at) = due else { break };
+            self.now = self.now.max(at);
+            let place = self.timers.iter().position(|&(due, _)| due == at).expect("there");
+            let (_, token) = self.timers.swap_remove(place);
+            self.handle(Event::TimerFired(token));
+            let late =
+                |(_, attempt): &(&RequestId, &InFlight)| !attempt.is_streaming && attempt.until <= self.now;
+            let late: Vec<RequestId> = self.in_flight.iter().filter(late).map(|(&id, _)| id).collect();
+            for id in late {
+                let attempt = self.in_flight.remove(&id).expect("out");
+                self.end(id, &attempt, Outcome::Timeout, 0, false);
+            }
+        }
+        self.now = end;
+    }
+
+    fn request(&mut self, draw: u32) {
+        self.last_id += 1;
+        let session = u64::from(draw >> 4) % 23;
+        let shared = (!draw.is_multiple_of(3)).then(|| Key(500 + session % 5));
+        let info = RequestInfo {
+            id: RequestId(self.last_id),
+            class: draw % 5,
+            session: (!draw.is_multiple_of(7)).then_some(Key(session)),
+            shared,
+            shared_tokens: if shared.is_some() { 700 + u64::from(draw % 2) * 6_000 } else { 0 },
+            prompt_tokens: 800 + u64::from(draw >> 8) % 9_000,
+            max_tokens: 400,
+            hint: None,
+            not_after: self.now + SECOND + u64::from(draw >> 12) % (4 * SECOND),
+        };
+        self.handle(Event::RequestArrived(info));
+    }
+
+    fn change(&mut self, server: ServerId, change: impl FnOnce(&mut ServerEntry, Micros)) {
+        let Some(entry) = self.list.get_mut(&server) else { return };
+        change(entry, self.now);
+        let entries = vec![entry.clone()];
+        self.handle(Event::EndpointsUpdated { how: ListUpdateKind::Patch, entries });
+    }
+
+    fn reads(&self, server: ServerId) -> bool {
+        self.list.get(&server).is_some_and(|entry| entry.kind == 0)
+    }
+
+    fn answer(&mut self, draw: u32) {
+        let waiting: Vec<RequestId> = self.in_flight.keys().copied().collect();
+        let Some(&id) = waiting.get(draw as usize % waiting.len().max(1)) else { return };
+        let attempt = self.in_flight[&id].clone();
+        let reads = self.reads(attempt.server);
+        if !reads && !attempt.is_streaming && !draw.is_multiple_of(5) {
+            self.in_flight.get_mut(&id).expect("out").is_streaming = true;
+            let taken = self.now - attempt.sent_at;
+            return self.handle(Event::FirstToken { id, attempt: attempt.number, taken });
+        }
+        self.in_flight.remove(&id);
+        let outcome = if reads { Outcome::Read } else { Outcome::Served };
+        self.end(id, &attempt, outcome, u64::from(draw >> 8) % 900, draw.is_multiple_of(11));
+    }
+
+    fn fail(&mut self, draw: u32) {
+        let waiting: Vec<RequestId> =
+            self.in_flight.iter().filter(|(_, attempt)| !attempt.is_streaming).map(|(&id, _)| id).collect();
+        let Some(&id) = waiting.get(draw as usize % waiting.len().max(1)) else { return };
+        let attempt = self.in_flight.remove(&id).expect("out");
+        let outcome = [
+            Outcome::Full,
+            Outcome::Error,
+            Outcome::Reset,
+            Outcome::ConnectFailed,
+            Outcome::NoState,
+            Outcome::Timeout,
+            Outcome::Unacknowledged,
+            Outcome::NotSent,
+        ][(draw >> 8) as usize % 8];
+        self.end(id, &attempt, outcome, 0, false);
+    }
+
+    /// One step of a series: `what` happens, and `draw` says how and to whom.
+    pub fn step(&mut self, what: u8, draw: u32) {
+        match what {
+            0..=11 => self.request(draw),
+            12..=24 => self.answer(draw),
+            25..=28 => self.fail(draw),
+            29..=35 => self.pass(u64::from(draw % 90) * 1_000),
+            36 => self.pass(u64::from(draw % 3_000) * 1_000),
+            37 => self.disconnect(draw),
+            38 | 39 => self.restart_server(draw),
+            40 => self.change_health(draw),
+            41 => self.add_server(draw),
+            42 => self.remove_servers(draw),
+            43 => self.restart_zone(draw),
+            44 => self.reload_settings(draw),
+            45 => self.handle(Event::LimitShareChanged(f64::from(1 + draw % 4) / 4.0)),
+            _ => self.receive_gossip(draw),
+        }
+    }
+
+    fn any_server(&self, draw: u32) -> Option<ServerId> {
+        self.list.keys().copied().nth(draw as usize % self.list.len().max(1))
+    }
+
+    fn disconnect(&mut self, draw: u32) {
+        if let Some(&id) = self.in_flight.keys().nth(draw as usize % self.in_flight.len().max(1)) {
+            self.handle(Event::ClientDisconnected(id));
+        }
+    }
+
+    fn restart_server(&mut self, draw: u32) {
+        let Some(server) = self.any_server(draw) else { return };
+        self.change(server, |entry, now| (entry.started, entry.health) = (Some(now), Health::Ready));
+    }
+
+    fn change_health(&mut self, draw: u32) {
+        let Some(server) = self.any_server(draw) else { return };
+        let health = [Health::Terminating, Health::Gone, Health::Ready][(draw >> 8) as usize % 3];
+        self.change(server, |entry, _| entry.health = health);
+    }
+
+    fn add_server(&mut self, draw: u32) {
+        let server = ServerId(1_000 + draw % 40);
+        let mut new = entry(server.0, true);
+        new.started = draw.is_multiple_of(2).then_some(self.now);
+        self.list.insert(server, new);
+        self.change(server, |_, _| {});
+    }
+
+    fn remove_servers(&mut self, draw: u32) {
+        self.list.retain(|id, _| !(id.0 + draw).is_multiple_of(13));
+        self.send_full_list();
+    }
+
+    fn restart_zone(&mut self, draw: u32) {
+        let zone = ZoneId(draw % 3);
+        for entry in self.list.values_mut().filter(|entry| entry.zone == zone) {
+            (entry.started, entry.health) = (Some(self.now), Health::Ready);
+        }
+        self.send_full_list();
+    }
+
+    fn send_full_list(&mut self) {
+        let entries = self.list.values().cloned().collect();
+        self.handle(Event::EndpointsUpdated { how: ListUpdateKind::Full, entries });
+    }
+
+    fn reload_settings(&mut self, draw: u32) {
+        let mut settings = self.settings.clone();
+        settings.slow_start_window = SECOND * (1 + u64::from(draw % 9));
+        for class in settings.classes.values_mut() {
+            class.latency_objective = SECOND / 3 + u64::from(draw % 800_000);
+        }
+        settings.dispatcher_count = 1 + draw % 40;
+        self.settings = settings.clone();
+        let class_renumbering = BTreeMap::from([(draw % 5, (draw >> 4) % 5)]);
+        self.handle(Event::SettingsReloaded { settings: Box::new(settings), class_renumbering });
+    }
+
+    fn receive_gossip(&mut self, draw: u32) {
+        let Some(server) = self.any_server(draw) else { return };
+        let amount = u64::from(draw % 900_000);
+        let load = if draw.is_multiple_of(3) { Load::Sent(amount) } else { Load::Waits(amount) };
+        let update = LoadUpdate { server: dewladder_router::tag(server), load, at: self.now };
+        self.handle(Event::GossipReceived(update.to_bytes().to_vec()));
+    }
+}
