--- a/src/edge/admin.rs
+++ b/src/edge/admin.rs
@@ -21,22 +21,22 @@
 use crate::edge::tcp::Uninterrupted;
 
 /// Callers at once. The oldest that has not sent its line yet makes room for a new one.
-const CALLERS: usize = 16;
+const MAX_CALLERS: usize = 16;
 /// But each has so long to send it, however many others come.
-const LEAST: Duration = Duration::from_millis(100);
+const MIN_LINE_TIME: Duration = Duration::from_millis(100);
 /// A line that has not come by then is not waited for.
-const LINE_BY: Duration = Duration::from_secs(6);
+const LINE_TIMEOUT: Duration = Duration::from_secs(6);
 /// A caller that does not read its answer by then is not waited for.
-const READ_BY: Duration = Duration::from_secs(1);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 /// What a caller sends behind its line is read for so long: unread, it would take the answer along.
-const LINGER: Duration = Duration::from_millis(200);
+const LINGER_TIME: Duration = Duration::from_millis(200);
 /// A line holds so many bytes at most.
-const MOST_LINE: usize = 256;
+const MAX_LINE_BYTES: usize = 256;
 /// After an accept that failed.
-const PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// Descriptors of the second address: its listener, its runtime's own, its callers.
-pub const DESCRIPTORS: usize = CALLERS + 6;
+pub const DESCRIPTORS: usize = MAX_CALLERS + 6;
 
 /// The thread that answers; it ends when this is dropped.
 #[derive(Debug)]
@@ -86,50 +86,52 @@
             Ok(stream) => stream,
             Err(error) => {
                 warn!(reason:% = error; "second address: accept failed");
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(ACCEPT_PAUSE).await;
                 continue;
             }
         };
         callers.retain(|(_, caller)| !caller.is_finished());
-        if callers.len() >= CALLERS {
+        if callers.len() >= MAX_CALLERS {
             if let Some((since, caller)) = callers.pop_front() {
-                tokio::time::sleep_until(since + LEAST).await;
+                tokio::time::sleep_until(since + MIN_LINE_TIME).await;
                 caller.abort();
             }
         }
         let now = Instant::now();
-        callers
-            .push_back((now, tokio::spawn(answer(stream, health.clone(), cluster.clone(), now + LINE_BY))));
+        callers.push_back((
+            now,
+            tokio::spawn(answer(stream, health.clone(), cluster.clone(), now + LINE_TIMEOUT)),
+        ));
     }
 }
 
 async fn answer(stream: TcpStream, health: Health, cluster: Option<View>, by: Instant) {
     let mut stream = Uninterrupted(stream);
-    let said = match timeout_at(by, line(&mut stream)).await {
-        Ok(Ok(line)) => said(&line, &health, cluster.as_ref()),
+    let response = match timeout_at(by, read_line(&mut stream)).await {
+        Ok(Ok(line)) => response(&line, &health, cluster.as_ref()),
         Ok(Err(what)) => format!("ERR {what}\n"),
         Err(_) => "ERR no line came\n".to_owned(),
     };
     let write = async {
-        stream.write_all(said.as_bytes()).await?;
+        stream.write_all(response.as_bytes()).await?;
         stream.shutdown().await
     };
     // A caller that has left, or does not read, has no use for the answer.
-    if let Ok(Ok(())) = timeout_at(Instant::now() + READ_BY, write).await {
+    if let Ok(Ok(())) = timeout_at(Instant::now() + ANSWER_TIMEOUT, write).await {
         let mut nowhere = tokio::io::sink();
-        let _ = timeout_at(Instant::now() + LINGER, tokio::io::copy(&mut stream, &mut nowhere)).await;
+        let _ = timeout_at(Instant::now() + LINGER_TIME, tokio::io::copy(&mut stream, &mut nowhere)).await;
     }
 }
 
 /// The line that a caller sends, without its end; a caller that has no more to send has come to its end too.
-async fn line(stream: &mut (impl AsyncRead + Unpin)) -> Result<Vec<u8>, &'static str> {
-    let mut line = Vec::with_capacity(MOST_LINE);
+async fn read_line(stream: &mut (impl AsyncRead + Unpin)) -> Result<Vec<u8>, &'static str> {
+    let mut line = Vec::with_capacity(MAX_LINE_BYTES);
     loop {
         if let Some(end) = line.iter().position(|&byte| byte == b'\n') {
             line.truncate(end);
             return Ok(line);
         }
-        if line.len() >= MOST_LINE {
+        if line.len() >= MAX_LINE_BYTES {
             return Err("the line is too long");
         }
         match stream.read_buf(&mut line).await {
@@ -141,7 +143,7 @@
     }
 }
 
-fn said(line: &[u8], health: &Health, cluster: Option<&View>) -> String {
+fn response(line: &[u8], health: &Health, cluster: Option<&View>) -> String {
     let line = line.strip_suffix(b"\r").unwrap_or(line);
     if let (Some(cluster), Some(path)) = (cluster, line.strip_prefix(b"GET ")) {
         return http(path, cluster);
--- a/src/edge/balancers.rs
+++ b/src/edge/balancers.rs
@@ -19,7 +19,7 @@
 use crate::edge::tcp::Uninterrupted;
 
 /// A balancer that does not read its line by then is not waited for.
-const WRITE: Duration = Duration::from_secs(1);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// What the dispatcher's health is told from.
 #[derive(Clone, Debug)]
@@ -36,7 +36,7 @@
         Self { figures, phase, max_open_requests }
     }
 
-    fn leaving(&self) -> bool {
+    fn is_leaving(&self) -> bool {
         *self.phase.borrow() > Phase::Serving
     }
 
@@ -63,15 +63,15 @@
     /// of requests that there still is room for, 1% at the least.
     #[must_use]
     pub fn line(&self) -> String {
-        if self.leaving() {
+        if self.is_leaving() {
             return "drain\n".to_owned();
         }
         if self.ready().is_err() {
             return "down #no servers\n".to_owned();
         }
         let open = self.figures.open().min(self.max_open_requests);
-        let room = 100 * (self.max_open_requests - open) / self.max_open_requests.max(1);
-        format!("ready up {}%\n", room.max(1))
+        let free_percent = 100 * (self.max_open_requests - open) / self.max_open_requests.max(1);
+        format!("ready up {}%\n", free_percent.max(1))
     }
 }
 
@@ -94,21 +94,21 @@
 pub async fn agent_check(listener: TcpListener, health: Health) {
     loop {
         match accept(&listener).await {
-            Ok(stream) => tell(stream, &health.line()).await,
+            Ok(stream) => write_line(stream, &health.line()).await,
             Err(error) => {
                 warn!(reason:% = error; "agent check: accept failed");
-                tokio::time::sleep(WRITE).await;
+                tokio::time::sleep(WRITE_TIMEOUT).await;
             }
         }
     }
 }
 
-async fn tell(stream: TcpStream, line: &str) {
+async fn write_line(stream: TcpStream, line: &str) {
     let mut stream = Uninterrupted(stream);
     let write = async {
         stream.write_all(line.as_bytes()).await?;
         stream.shutdown().await
     };
     // A balancer that has left has no use for the line.
-    let _ = timeout_at(Instant::now() + WRITE, write).await;
+    let _ = timeout_at(Instant::now() + WRITE_TIMEOUT, write).await;
 }
--- a/src/edge/connections.rs
+++ b/src/edge/connections.rs
@@ -31,36 +31,37 @@
 use crate::edge::transient::{self, is_transient};
 
 /// A server's head, and what is read of its answer at once, hold this many bytes at most.
-const MOST_HEAD: usize = 32 << 10;
+const MAX_HEAD_BYTES: usize = 32 << 10;
 
 /// Servers close idle connections at `limits.keepalive_s` at the latest; what is written then is a reset. So
 /// much of that time an idle one is kept at most.
-const KEPT_SHARE: f64 = 0.6;
+const IDLE_SHARE_OF_KEEPALIVE: f64 = 0.6;
 /// So many dispatchers may each keep idle connections for that time. More keep them for less: a server holds
 /// only so many connections, and what all dispatchers leave idle there must not grow with their number.
-const KEEPERS: f64 = 4.0;
+const DISPATCHERS_AT_FULL_IDLE_TIME: f64 = 4.0;
 /// Shorter than this, not even the two calls for one request would share a connection.
-const LEAST_KEPT: Duration = Duration::from_millis(100);
+const MIN_IDLE_TIME: Duration = Duration::from_millis(100);
 /// A connection takes the next request once nothing has come on it for so long after its last answer: a second answer
 /// may come some milliseconds late (the standing test's word), and would be taken for the next request's.
-const QUIET: Duration = Duration::from_millis(50);
+const QUIET_TIME: Duration = Duration::from_millis(50);
 
 /// No acknowledgement is given up sooner: a machine delays it by up to 40 ms.
-const LEAST_ACKNOWLEDGEMENT: Duration = Duration::from_millis(100);
+const MIN_ACKNOWLEDGEMENT_TIME: Duration = Duration::from_millis(100);
 
 /// How long a connection to a server is kept idle by each of so many dispatchers.
 #[must_use]
-pub fn kept_idle(keepalive: Duration, dispatchers: u32) -> Duration {
-    let share = KEPT_SHARE * (KEEPERS / f64::from(dispatchers.max(1))).min(1.0);
-    keepalive.mul_f64(share).max(LEAST_KEPT.min(keepalive.mul_f64(KEPT_SHARE)))
+pub fn idle_timeout(keepalive: Duration, dispatchers: u32) -> Duration {
+    let share =
+        IDLE_SHARE_OF_KEEPALIVE * (DISPATCHERS_AT_FULL_IDLE_TIME / f64::from(dispatchers.max(1))).min(1.0);
+    keepalive.mul_f64(share).max(MIN_IDLE_TIME.min(keepalive.mul_f64(IDLE_SHARE_OF_KEEPALIVE)))
 }
 
 /// How long what is written to a server may stay unacknowledged: as long as the answer to a connect may take, as the same
 /// machine answers; and half of the time that a state may be held, as it is sent on until that time is over and the protocol
 /// page adds 300 ms.
-fn acknowledged_in(config: &Config) -> Duration {
+fn acknowledgement_timeout(config: &Config) -> Duration {
     let release = Duration::from_micros(config.settings.max_hold_time);
-    config.connect_timeout.min(release / 2).max(LEAST_ACKNOWLEDGEMENT)
+    config.connect_timeout.min(release / 2).max(MIN_ACKNOWLEDGEMENT_TIME)
 }
 
 /// A client without any repeats of its own.
@@ -68,7 +69,7 @@
 
 /// A client that sends each request once: hyper-util would by itself send a request again that a closed connection
 /// gave back.
-pub fn plain_client<B>(config: &Config, most_idle: usize) -> Plain<B>
+pub fn plain_client<B>(config: &Config, max_idle: usize) -> Plain<B>
 where
     B: Body + Send + 'static,
     B::Data: Send,
@@ -80,10 +81,10 @@
         .retry_canceled_requests(false)
         .pool_timer(TokioTimer::new())
         .timer(TokioTimer::new())
-        .pool_idle_timeout(kept_idle(config.keepalive, config.settings.dispatcher_count))
-        .pool_max_idle_per_host(most_idle)
+        .pool_idle_timeout(idle_timeout(config.keepalive, config.settings.dispatcher_count))
+        .pool_max_idle_per_host(max_idle)
         // Bounds a head that does not end.
-        .http1_max_buf_size(MOST_HEAD)
+        .http1_max_buf_size(MAX_HEAD_BYTES)
         .build(connector)
 }
 
@@ -153,11 +154,11 @@
     /// Notified as a connection comes free.
     freed: Notify,
     next: AtomicU64,
-    kept: Duration,
+    idle_timeout: Duration,
     /// What stays unacknowledged for so long breaks its connection (RFC 5482): a machine that is cut off says nothing, and
     /// the system goes on taking in all bytes for it.
-    acknowledged_in: Duration,
-    most_idle: usize,
+    acknowledgement_timeout: Duration,
+    max_idle: usize,
     written: Written,
 }
 
@@ -172,7 +173,7 @@
 
 /// Which idle connections will do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Which {
+pub enum IdleChoice {
     /// Those on which nothing has come lately.
     Quiet,
     /// Any: what its answer says is of no account.
@@ -191,9 +192,9 @@
             idle: Mutex::default(),
             freed: Notify::new(),
             next: AtomicU64::new(0),
-            kept: kept_idle(config.keepalive, config.settings.dispatcher_count),
-            acknowledged_in: acknowledged_in(config),
-            most_idle: config.max_idle_per_server(),
+            idle_timeout: idle_timeout(config.keepalive, config.settings.dispatcher_count),
+            acknowledgement_timeout: acknowledgement_timeout(config),
+            max_idle: config.max_idle_per_server(),
             written: Arc::new(written),
         }))
     }
@@ -207,13 +208,18 @@
     ///
     /// # Errors
     /// What the system says.
-    pub async fn connection(&self, address: &str, which: Which, until: Instant) -> io::Result<Connection<B>> {
-        if let Some(ready) = self.take(address, which) {
+    pub async fn connection(
+        &self,
+        address: &str,
+        choice: IdleChoice,
+        until: Instant,
+    ) -> io::Result<Connection<B>> {
+        if let Some(ready) = self.take(address, choice) {
             return Ok(ready);
         }
         tokio::select! {
             opened = self.new_connection(address, until) => opened,
-            ready = self.freed(address, which) => Ok(ready),
+            ready = self.freed(address, choice) => Ok(ready),
         }
     }
 
@@ -238,18 +244,18 @@
     }
 
     /// The connection that was used last: the others may expire.
-    fn take(&self, address: &str, which: Which) -> Option<Connection<B>> {
+    fn take(&self, address: &str, choice: IdleChoice) -> Option<Connection<B>> {
         let (mut all, now) = (self.idle(), Instant::now());
         let idle = all.get_mut(address)?;
         idle.retain(|idle| !idle.ready.sender.is_closed());
-        let at = idle.iter().rposition(|idle| which == Which::Any || idle.quiet_at <= now)?;
+        let at = idle.iter().rposition(|idle| choice == IdleChoice::Any || idle.quiet_at <= now)?;
         Some(idle.remove(at).ready)
     }
 
-    async fn freed(&self, address: &str, which: Which) -> Connection<B> {
+    async fn freed(&self, address: &str, choice: IdleChoice) -> Connection<B> {
         loop {
             self.0.freed.notified().await;
-            if let Some(ready) = self.take(address, which) {
+            if let Some(ready) = self.take(address, choice) {
                 return ready;
             }
         }
@@ -259,8 +265,9 @@
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         // Where the system can't, an attempt's own time-out ends it, later.
-        if let Err(error) = SockRef::from(&stream).set_tcp_user_timeout(Some(self.0.acknowledged_in)) {
-            debug!("server {address}: no time-out for acknowledgements: {error}");
+        if let Err(error) = SockRef::from(&stream).set_tcp_user_timeout(Some(self.0.acknowledgement_timeout))
+        {
+            debug!(address, reason:% = error; "connection: no time-out for acknowledgements");
         }
         let (tell, open) = watch::channel(());
         let carries = Arc::new(AtomicBool::new(false));
@@ -272,7 +279,7 @@
         };
         let (sender, connection) = http1::Builder::new()
             // Bounds a head that does not end.
-            .max_buf_size(MOST_HEAD)
+            .max_buf_size(MAX_HEAD_BYTES)
             // A line that can't be read, a load report's say, spoils no answer that is good otherwise.
             .ignore_invalid_headers_in_responses(true)
             .handshake(stream)
@@ -289,10 +296,10 @@
     /// Keeps a connection for the next request, once its answer has come to its end.
     pub fn keep(&self, address: String, ready: Connection<B>) {
         let pool = self.clone();
-        tokio::spawn(async move { pool.kept(&address, ready).await });
+        tokio::spawn(async move { pool.keep_until_taken(&address, ready).await });
     }
 
-    async fn kept(&self, address: &str, mut ready: Connection<B>) {
+    async fn keep_until_taken(&self, address: &str, mut ready: Connection<B>) {
         if ready.sender.ready().await.is_err() {
             return;
         }
@@ -302,15 +309,15 @@
         {
             let mut all = self.idle();
             let idle = all.entry(address.to_owned()).or_default();
-            if idle.len() >= self.0.most_idle {
+            if idle.len() >= self.0.max_idle {
                 return;
             }
-            idle.push(Idle { ready, number, quiet_at: now + QUIET, _taken });
+            idle.push(Idle { ready, number, quiet_at: now + QUIET_TIME, _taken });
         }
         let stays = async {
-            sleep_until(now + QUIET).await;
+            sleep_until(now + QUIET_TIME).await;
             self.0.freed.notify_waiters();
-            sleep_until(now + self.0.kept.max(QUIET)).await;
+            sleep_until(now + self.0.idle_timeout.max(QUIET_TIME)).await;
         };
         tokio::select! {
             _ = &mut taken => {}
--- a/src/edge/servers.rs
+++ b/src/edge/servers.rs
@@ -22,7 +22,7 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep_until, Instant};
 
-use crate::edge::connections::{Connection, Handle, Pool, Which};
+use crate::edge::connections::{Connection, Handle, IdleChoice, Pool};
 use crate::edge::servers::answer::read_answer;
 pub use crate::edge::servers::answer::{AttemptOutcome, Opened};
 pub use crate::edge::servers::payload::Payload;
@@ -134,7 +134,7 @@
         if attempt.new_connection {
             self.pool.new_connection(&attempt.address, up_by).await
         } else {
-            self.pool.connection(&attempt.address, Which::Quiet, up_by).await
+            self.pool.connection(&attempt.address, IdleChoice::Quiet, up_by).await
         }
     }
 
--- a/src/edge/servers/release.rs
+++ b/src/edge/servers/release.rs
@@ -10,7 +10,7 @@
 use tokio::task::JoinSet;
 use tokio::time::{timeout_at, Instant};
 
-use crate::edge::connections::{Pool, Which};
+use crate::edge::connections::{IdleChoice, Pool};
 use crate::edge::servers::answer::MAX_ANSWER_BYTES;
 use crate::edge::servers::progress::AttemptBody;
 
@@ -122,7 +122,7 @@
         .header(HOST, address)
         .body(AttemptBody::empty())?;
     let connected = match connection {
-        ReleaseConnection::Any => pool.connection(address, Which::Any, until).await,
+        ReleaseConnection::Any => pool.connection(address, IdleChoice::Any, until).await,
         ReleaseConnection::New => pool.new_connection(address, until).await,
     };
     let mut ready = connected.map_err(ReleaseError::Connect)?;
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use dewladder::edge::clock::Clock;
-use dewladder::edge::connections::kept_idle;
+use dewladder::edge::connections::idle_timeout;
 use dewladder::edge::discovery::listing::{entries, Listing, Names};
 use dewladder::edge::driver::{Driver, Message, Reply};
 use dewladder::edge::gossip_transport::GossipTransport;
@@ -113,7 +113,7 @@
 /// What all dispatchers together leave idle at a server must not grow with their number.
 #[test]
 fn idle_connections_are_kept_the_shorter_the_more_dispatchers_keep_some() {
-    let kept = |dispatchers| kept_idle(Duration::from_secs(30), dispatchers).as_secs_f64();
+    let kept = |dispatchers| idle_timeout(Duration::from_secs(30), dispatchers).as_secs_f64();
     assert_eq!([kept(0), kept(1), kept(4)], [18.0; 3]);
     for dispatchers in [5, 30, 100, 120, 700] {
         let all = kept(dispatchers) * f64::from(dispatchers);
@@ -121,7 +121,7 @@
     }
     // Both calls for one request still share a connection, and a server's own limit still holds.
     assert_eq!(kept(1_000_000), 0.1);
-    assert_eq!(kept_idle(Duration::from_millis(100), 1_000_000), Duration::from_millis(60));
+    assert_eq!(idle_timeout(Duration::from_millis(100), 1_000_000), Duration::from_millis(60));
 }
 
 #[tokio::test]
