--- a/src/edge/admin.rs
+++ b/src/edge/admin.rs
@@ -123,8 +123,19 @@
     }
 }
 
+/// Why a caller's line can't be answered; the words are part of the answer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+enum LineError {
+    #[error("the line is too long")]
+    TooLong,
+    #[error("no line came")]
+    Absent,
+    #[error("the line can't be read")]
+    Unreadable,
+}
+
 /// The line that a caller sends, without its end; a caller that has no more to send has come to its end too.
-async fn read_line(stream: &mut (impl AsyncRead + Unpin)) -> Result<Vec<u8>, &'static str> {
+async fn read_line(stream: &mut (impl AsyncRead + Unpin)) -> Result<Vec<u8>, LineError> {
     let mut line = Vec::with_capacity(MAX_LINE_BYTES);
     loop {
         if let Some(end) = line.iter().position(|&byte| byte == b'\n') {
@@ -132,13 +143,13 @@
             return Ok(line);
         }
         if line.len() >= MAX_LINE_BYTES {
-            return Err("the line is too long");
+            return Err(LineError::TooLong);
         }
         match stream.read_buf(&mut line).await {
-            Ok(0) if line.is_empty() => return Err("no line came"),
+            Ok(0) if line.is_empty() => return Err(LineError::Absent),
             Ok(0) => return Ok(line),
             Ok(_) => {}
-            Err(_) => return Err("the line can't be read"),
+            Err(_) => return Err(LineError::Unreadable),
         }
     }
 }
--- a/src/edge/balancers.rs
+++ b/src/edge/balancers.rs
@@ -21,6 +21,20 @@
 /// A balancer that does not read its line by then is not waited for.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
+/// Why this process can't serve; the words are part of `READY`'s answer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum NotReady {
+    /// Another process still holds the limits.
+    #[error("not listening yet")]
+    Joining,
+    /// The list has no servers that together can serve a request.
+    #[error("no servers are known that can serve")]
+    NoServers,
+    /// It has been told to end.
+    #[error("told to end")]
+    Leaving,
+}
+
 /// What the dispatcher's health is told from.
 #[derive(Clone, Debug)]
 pub struct Health {
@@ -50,12 +64,12 @@
     ///
     /// # Errors
     /// Why it can't.
-    pub fn ready(&self) -> Result<(), &'static str> {
+    pub fn ready(&self) -> Result<(), NotReady> {
         match *self.phase.borrow() {
-            Phase::Joining => Err("not listening yet"),
-            Phase::Serving if !self.figures.serves() => Err("no servers are known that can serve"),
+            Phase::Joining => Err(NotReady::Joining),
+            Phase::Serving if !self.figures.serves() => Err(NotReady::NoServers),
             Phase::Serving => Ok(()),
-            Phase::Leaving | Phase::Yielding | Phase::Closing => Err("told to end"),
+            Phase::Leaving | Phase::Yielding | Phase::Closing => Err(NotReady::Leaving),
         }
     }
 
