--- a/benches/scale/decisions.rs
+++ b/benches/scale/decisions.rs
@@ -18,17 +18,19 @@
 
 const SECOND: Micros = 1_000_000;
 /// Requests a second of one dispatcher: 22,000 over 510.
-const REQUESTS: u64 = 43;
-/// Requests that are played before anything is measured, unless told otherwise: beliefs and rates are as in service then.
-const WARM_UP: u64 = REQUESTS * 20;
-const READ_TAKES: Micros = 300_000;
-const WRITE_TAKES: Micros = 120_000;
-const STREAM_TAKES: Micros = 8 * SECOND;
-/// Servers in slow start stay so for the whole play.
-const COLD_FOR: Micros = 100_000 * SECOND;
+const REQUESTS_PER_SECOND: u64 = 43;
+/// Requests that are played before anything is measured, unless told otherwise: beliefs and rates are as in service
+/// then.
+const WARM_UP_REQUESTS: u64 = REQUESTS_PER_SECOND * 20;
+const READ_US: Micros = 300_000;
+const WRITE_US: Micros = 120_000;
+const STREAM_US: Micros = 8 * SECOND;
+/// Servers in slow start stay so for the whole workload.
+const SLOW_START_WINDOW_US: Micros = 100_000 * SECOND;
 /// Longest time that one sample is played (s); requests measured until then count.
-const MOST_TIME: Duration = Duration::from_secs(40);
+const MAX_SAMPLE_TIME: Duration = Duration::from_secs(40);
 
+/// The router, or the oracle that it is compared with.
 trait Decides {
     fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>);
 }
@@ -59,30 +61,47 @@
 
 /// What happens next in virtual time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    Timer(TimerToken),
-    Ends(RequestId, u32, ServerId, Micros),
-    Begins(RequestId, u32, ServerId, Micros),
-    Streamed(RequestId, u32, ServerId, Micros),
-    Arrives,
+enum Step {
+    TimerFires(TimerToken),
+    /// A prompt has been read.
+    ReadEnds(InFlight),
+    /// An answer begins to stream.
+    StreamStarts(InFlight),
+    StreamEnds(InFlight),
+    RequestArrives,
 }
 
-pub struct Play {
+/// An attempt that was sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct InFlight {
+    id: RequestId,
+    attempt: u32,
+    server: ServerId,
+    sent_at: Micros,
+}
+
+/// Requests before one dispatcher, in virtual time; the router's time is taken on the real clock.
+pub struct Workload {
     router: Box<dyn Decides>,
     size: Size,
     /// Requests a second.
     rate: u64,
-    told: u64,
+    /// Load updates that were sent to other dispatchers.
+    published: u64,
     now: Micros,
-    due: BTreeMap<(Micros, u64), Due>,
-    numbers: u64,
-    asked: u64,
-    lots: Pcg64Mcg,
-    spent: BTreeMap<RequestId, Duration>,
+    schedule: BTreeMap<(Micros, u64), Step>,
+    /// Parts steps of one time, in the order in which they were scheduled.
+    sequence: u64,
+    /// Requests that have arrived.
+    arrived: u64,
+    rng: Pcg64Mcg,
+    /// Time that the router has taken for each open request.
+    decision_times: BTreeMap<RequestId, Duration>,
     attempts: BTreeMap<RequestId, u32>,
     served: u64,
-    whole: Histogram<u64>,
-    sweeps: Histogram<u64>,
+    /// The same of completed requests (ns), and of sweeps.
+    request_times_ns: Histogram<u64>,
+    sweep_times_ns: Histogram<u64>,
 }
 
 fn histogram() -> Histogram<u64> {
@@ -93,195 +112,209 @@
     nanos / 1_000.0
 }
 
-impl Play {
+impl Workload {
     fn new(size: Size) -> Self {
-        Self::with(size, REQUESTS, |_| {})
+        Self::with(size, REQUESTS_PER_SECOND, |_| {})
     }
 
-    /// One with so many requests a second, and settings changed by `tweak`.
+    /// A workload of so many requests a second, and settings changed by `tweak`.
     pub fn with(size: Size, rate: u64, tweak: impl FnOnce(&mut Settings)) -> Self {
-        let mut settings = shape::settings(size.dispatchers, size.classes, COLD_FOR);
+        let mut settings = shape::settings(size.dispatchers, size.classes, SLOW_START_WINDOW_US);
         tweak(&mut settings);
         let now = 1_000 * SECOND;
         let router: Box<dyn Decides> = match size.decider {
             Decider::Indexed => Box::new(dewladder_router::Router::new(settings, 7, now)),
             Decider::FullScan => Box::new(oracle::Router::new(settings, 7, now)),
         };
-        let mut play = Self {
+        let mut workload = Self {
             router,
             size,
             rate,
-            told: 0,
+            published: 0,
             now,
-            due: BTreeMap::new(),
-            numbers: 0,
-            asked: 0,
-            lots: Pcg64Mcg::seed_from_u64(11),
-            spent: BTreeMap::new(),
+            schedule: BTreeMap::new(),
+            sequence: 0,
+            arrived: 0,
+            rng: Pcg64Mcg::seed_from_u64(11),
+            decision_times: BTreeMap::new(),
             attempts: BTreeMap::new(),
             served: 0,
-            whole: histogram(),
-            sweeps: histogram(),
+            request_times_ns: histogram(),
+            sweep_times_ns: histogram(),
         };
-        play.list();
-        play.plan(now, Due::Arrives);
-        play
+        workload.send_list();
+        workload.schedule(now, Step::RequestArrives);
+        workload
     }
 
-    fn cold(&self, server: u32) -> bool {
+    fn is_in_slow_start(&self, server: u32) -> bool {
         // Spread evenly over cells and roles.
         u64::from(server) * 37 % 100 < u64::from(self.size.cold_percent)
     }
 
     fn entries(&self) -> Vec<ServerEntry> {
-        let started = |server| self.cold(server).then_some(999 * SECOND);
+        let started = |server| self.is_in_slow_start(server).then_some(999 * SECOND);
         (0..self.size.servers).map(|server| shape::entry(server, started(server))).collect()
     }
 
-    fn list(&mut self) -> Duration {
+    fn send_list(&mut self) -> Duration {
         let event = Event::EndpointsUpdated { how: ListUpdateKind::Full, entries: self.entries() };
-        self.tell(event, None)
+        self.handle_event(event, None)
     }
 
-    fn plan(&mut self, at: Micros, due: Due) {
-        self.numbers += 1;
-        self.due.insert((at, self.numbers), due);
+    fn schedule(&mut self, at: Micros, step: Step) {
+        self.sequence += 1;
+        self.schedule.insert((at, self.sequence), step);
     }
 
-    /// Tells the router and does as it says; how long it took.
-    fn tell(&mut self, event: Event, of: Option<RequestId>) -> Duration {
+    /// Hands the router an event and does as it says; how long that took it. `of`: the request that it counts for.
+    fn handle_event(&mut self, event: Event, of: Option<RequestId>) -> Duration {
         let mut actions = Vec::new();
         let start = Instant::now();
         self.router.handle(self.now, event, &mut actions);
         let took = start.elapsed();
         if let Some(id) = of {
-            *self.spent.entry(id).or_default() += took;
+            *self.decision_times.entry(id).or_default() += took;
         }
         for action in actions {
             match action {
-                Action::Assign { id, server, .. } => self.assigned(id, server),
-                Action::StartTimer { delay, token } => self.plan(self.now + delay, Due::Timer(token)),
-                Action::Reject { id, .. } | Action::Fail(id) => self.over(id, false),
-                Action::PublishGossip(_) => self.told += 1,
+                Action::Assign { id, server, .. } => self.start_attempt(id, server),
+                Action::StartTimer { delay, token } => {
+                    self.schedule(self.now + delay, Step::TimerFires(token))
+                }
+                Action::Reject { id, .. } | Action::Fail(id) => self.complete(id, false),
+                Action::PublishGossip(_) => self.published += 1,
                 _ => {}
             }
         }
         took
     }
 
-    fn assigned(&mut self, id: RequestId, server: ServerId) {
+    fn start_attempt(&mut self, id: RequestId, server: ServerId) {
         let number = self.attempts.entry(id).or_default();
         let attempt = std::mem::replace(number, *number + 1);
-        let sent = self.now;
+        let in_flight = InFlight { id, attempt, server, sent_at: self.now };
         if shape::reads(server.0) {
-            self.plan(sent + READ_TAKES, Due::Ends(id, attempt, server, sent));
+            self.schedule(self.now + READ_US, Step::ReadEnds(in_flight));
         } else {
-            self.plan(sent + WRITE_TAKES, Due::Begins(id, attempt, server, sent));
+            self.schedule(self.now + WRITE_US, Step::StreamStarts(in_flight));
         }
     }
 
-    fn over(&mut self, id: RequestId, served: bool) {
+    fn complete(&mut self, id: RequestId, served: bool) {
         self.attempts.remove(&id);
-        let Some(spent) = self.spent.remove(&id) else { return };
+        let Some(spent) = self.decision_times.remove(&id) else { return };
         if id.0 > self.size.warm_up {
             self.served += u64::from(served);
-            self.whole.record(spent.as_nanos() as u64).expect("it grows");
+            self.request_times_ns.record(spent.as_nanos() as u64).expect("it grows");
         }
     }
 
-    fn arrives(&mut self) {
-        self.asked += 1;
-        let id = RequestId(self.asked);
-        let lot = self.lots.next_u64();
-        // Turns of some thousand sessions; two in three share one of 200 beginnings, the first ones the most.
-        let session = lot % 4_000;
-        let shared = (lot >> 32) % 200 * ((lot >> 40) % 200) / 200;
+    fn arrive(&mut self) {
+        self.arrived += 1;
+        let id = RequestId(self.arrived);
+        let draw = self.rng.next_u64();
+        // Turns of some thousand sessions; two in three share one of 200 prefixes, the first ones the most.
+        let session = draw % 4_000;
+        let shared = (draw >> 32) % 200 * ((draw >> 40) % 200) / 200;
         let shares = !session.is_multiple_of(3);
-        let call = RequestInfo {
+        let info = RequestInfo {
             id,
             class: session as u32 % self.size.classes,
             session: Some(Key(session)),
             shared: shares.then_some(Key(1 << 40 | shared)),
             shared_tokens: if shares { 1_500 } else { 0 },
-            prompt_tokens: 2_000 + (lot >> 20) % 6_000,
+            prompt_tokens: 2_000 + (draw >> 20) % 6_000,
             max_tokens: 500,
             hint: None,
             not_after: self.now + 5 * SECOND,
         };
-        self.tell(Event::RequestArrived(call), Some(id));
+        self.handle_event(Event::RequestArrived(info), Some(id));
         let gap = SECOND / self.rate;
-        let next = self.now + gap / 2 + self.lots.next_u64() % gap;
-        self.plan(next, Due::Arrives);
+        let next = self.now + gap / 2 + self.rng.next_u64() % gap;
+        self.schedule(next, Step::RequestArrives);
     }
 
-    fn ended(&mut self, id: RequestId, attempt: u32, server: ServerId, sent: Micros, outcome: Outcome) {
-        let (taken, last) = (self.now - sent, outcome == Outcome::Served);
-        let ended =
-            AttemptFinished { id, attempt, server, taken, outcome, cached_tokens: 3_000, last, report: None };
-        self.tell(Event::AttemptFinished(ended), Some(id));
+    fn finish_attempt(&mut self, in_flight: InFlight, outcome: Outcome) {
+        let finished = AttemptFinished {
+            id: in_flight.id,
+            attempt: in_flight.attempt,
+            server: in_flight.server,
+            taken: self.now - in_flight.sent_at,
+            outcome,
+            cached_tokens: 3_000,
+            last: outcome == Outcome::Served,
+            report: None,
+        };
+        self.handle_event(Event::AttemptFinished(finished), Some(in_flight.id));
+    }
+
+    fn start_stream(&mut self, in_flight: InFlight) {
+        let InFlight { id, attempt, sent_at, .. } = in_flight;
+        let taken = self.now - sent_at;
+        self.handle_event(Event::FirstToken { id, attempt, taken }, Some(id));
+        self.schedule(self.now + STREAM_US, Step::StreamEnds(in_flight));
+    }
+
+    fn fire_timer(&mut self, token: TimerToken) {
+        let took = self.handle_event(Event::TimerFired(token), None);
+        if self.arrived > self.size.warm_up {
+            self.sweep_times_ns.record(took.as_nanos() as u64).expect("it grows");
+        }
     }
 
     fn step(&mut self) {
-        let Some(((at, _), due)) = self.due.pop_first() else { return };
+        let Some(((at, _), step)) = self.schedule.pop_first() else { return };
         self.now = at;
-        match due {
-            Due::Timer(token) => {
-                let took = self.tell(Event::TimerFired(token), None);
-                if self.asked > self.size.warm_up {
-                    self.sweeps.record(took.as_nanos() as u64).expect("it grows");
-                }
-            }
-            Due::Arrives => self.arrives(),
-            Due::Ends(id, attempt, server, sent) => self.ended(id, attempt, server, sent, Outcome::Read),
-            Due::Begins(id, attempt, server, sent) => {
-                let taken = self.now - sent;
-                self.tell(Event::FirstToken { id, attempt, taken }, Some(id));
-                self.plan(self.now + STREAM_TAKES, Due::Streamed(id, attempt, server, sent));
-            }
-            Due::Streamed(id, attempt, server, sent) => {
-                self.ended(id, attempt, server, sent, Outcome::Served);
-                self.over(id, true);
+        match step {
+            Step::TimerFires(token) => self.fire_timer(token),
+            Step::RequestArrives => self.arrive(),
+            Step::ReadEnds(in_flight) => self.finish_attempt(in_flight, Outcome::Read),
+            Step::StreamStarts(in_flight) => self.start_stream(in_flight),
+            Step::StreamEnds(in_flight) => {
+                self.finish_attempt(in_flight, Outcome::Served);
+                self.complete(in_flight.id, true);
             }
         }
     }
 
-    /// Plays until so many requests have been asked.
-    pub fn until_asked(&mut self, requests: u64) {
-        while self.asked < requests {
+    /// Runs until so many requests have arrived.
+    pub fn until_arrived(&mut self, requests: u64) {
+        while self.arrived < requests {
             self.step();
         }
     }
 
-    /// Load updates that were told to other dispatchers.
-    pub fn told(&self) -> u64 {
-        self.told
+    /// Load updates that were sent to other dispatchers.
+    pub fn published(&self) -> u64 {
+        self.published
     }
 
     /// Mean time of so many events (us).
-    fn mean(&mut self, count: u32, mut event: impl FnMut(&mut Self, u32) -> Event) -> f64 {
+    fn mean_time_us(&mut self, count: u32, mut event: impl FnMut(&mut Self, u32) -> Event) -> f64 {
         let mut all = Duration::ZERO;
         for at in 0..count {
             self.now += 1_000;
             let event = event(self, at);
-            all += self.tell(event, None);
+            all += self.handle_event(event, None);
         }
         micros(all.as_nanos() as f64 / f64::from(count))
     }
 
     fn changed_entry(&mut self) -> f64 {
-        self.mean(100, |play, at| {
-            let server = at / 2 % play.size.servers;
-            let mut entry = shape::entry(server, play.cold(server).then_some(999 * SECOND));
+        self.mean_time_us(100, |workload, at| {
+            let server = at / 2 % workload.size.servers;
+            let mut entry = shape::entry(server, workload.is_in_slow_start(server).then_some(999 * SECOND));
             entry.health = if at.is_multiple_of(2) { Health::Terminating } else { Health::Ready };
             Event::EndpointsUpdated { how: ListUpdateKind::Patch, entries: vec![entry] }
         })
     }
 
-    fn update_heard(&mut self) -> f64 {
-        self.mean(2_000, |play, at| {
-            let server = tag(ServerId(at * 7 % play.size.servers));
+    fn received_update(&mut self) -> f64 {
+        self.mean_time_us(2_000, |workload, at| {
+            let server = tag(ServerId(at * 7 % workload.size.servers));
             let load = Load::Waits(u64::from(at % 300) * 1_000);
-            Event::GossipReceived(LoadUpdate { server, load, at: play.now }.to_bytes().to_vec())
+            Event::GossipReceived(LoadUpdate { server, load, at: workload.now }.to_bytes().to_vec())
         })
     }
 }
@@ -294,35 +327,39 @@
 
 fn sample(size: Size) -> DecisionSample {
     let before = resident();
-    let mut play = Play::new(size);
+    let mut workload = Workload::new(size);
     let end = size.warm_up + size.requests;
     let start = Instant::now();
-    while play.asked < end && (start.elapsed() < MOST_TIME || play.whole.len() < 50) {
-        play.step();
+    while workload.arrived < end
+        && (start.elapsed() < MAX_SAMPLE_TIME || workload.request_times_ns.len() < 50)
+    {
+        workload.step();
     }
     // Those that are open come to their end; the last ones asked are not measured to it otherwise.
-    let last = play.now + 10 * SECOND;
-    while play.due.first_key_value().is_some_and(|((at, _), _)| *at < last) && start.elapsed() < MOST_TIME {
-        play.step();
+    let last = workload.now + 10 * SECOND;
+    while workload.schedule.first_key_value().is_some_and(|((at, _), _)| *at < last)
+        && start.elapsed() < MAX_SAMPLE_TIME
+    {
+        workload.step();
     }
     let memory = resident().saturating_sub(before);
     let lists = 5;
-    let whole: Duration = (0..lists).map(|_| play.list()).sum();
+    let whole: Duration = (0..lists).map(|_| workload.send_list()).sum();
     DecisionSample {
         decider: size.decider,
         servers: size.servers,
-        slow_start_percent: size.cold_percent,
+        cold_percent: size.cold_percent,
         dispatchers: size.dispatchers,
         classes: size.classes,
-        requests: play.whole.len(),
-        served: play.served,
-        request_mean: micros(play.whole.mean()),
-        request_p99: micros(play.whole.value_at_quantile(0.99) as f64),
-        request_worst: micros(play.whole.max() as f64),
-        sweep_mean: micros(play.sweeps.mean()),
+        requests: workload.request_times_ns.len(),
+        served: workload.served,
+        request_mean: micros(workload.request_times_ns.mean()),
+        request_p99: micros(workload.request_times_ns.value_at_quantile(0.99) as f64),
+        request_worst: micros(workload.request_times_ns.max() as f64),
+        sweep_mean: micros(workload.sweep_times_ns.mean()),
         whole_list: micros(whole.as_nanos() as f64 / f64::from(lists)),
-        changed_entry: play.changed_entry(),
-        update_received: play.update_heard(),
+        changed_entry: workload.changed_entry(),
+        update_heard: workload.received_update(),
         memory,
     }
 }
@@ -345,7 +382,7 @@
         dispatchers: options::number(arguments, "--dispatchers", 510, 1..=100_000)?,
         classes: options::number(arguments, "--classes", 4, 1..=1_000)?,
         requests: options::number(arguments, "--requests", 2_000, 10..=1_000_000)?,
-        warm_up: options::number(arguments, "--warm-up", WARM_UP, 0..=1_000_000)?,
+        warm_up: options::number(arguments, "--warm-up", WARM_UP_REQUESTS, 0..=1_000_000)?,
     })
 }
 
@@ -388,7 +425,7 @@
     let dispatchers = options::numbers(&mut arguments, "--dispatchers", "510,18,60,200", 1..=100_000u32)?;
     let classes = options::numbers(&mut arguments, "--classes", "4,21", 1..=1_000u32)?;
     let requests = options::number(&mut arguments, "--requests", 2_000, 10..=1_000_000)?;
-    let warm_up = options::number(&mut arguments, "--warm-up", WARM_UP, 0..=1_000_000)?;
+    let warm_up = options::number(&mut arguments, "--warm-up", WARM_UP_REQUESTS, 0..=1_000_000)?;
     options::end(arguments)?;
     let (most, first) = (servers[servers.len() - 1], (dispatchers[0], classes[0]));
     let mut sizes: Vec<(u32, u32, u32, u32)> = Vec::new();
@@ -402,24 +439,28 @@
         for &decider in deciders {
             let size = Size { decider, servers, cold_percent, dispatchers, classes, requests, warm_up };
             let sample = in_process(size)?;
-            println!(
-                "{:?} {servers} servers, {cold_percent}% cold, {dispatchers} dispatchers, {classes} classes: {:.1} us \
-                 a request (p99 {:.1}, worst {:.1}; {} of {} served), sweep {:.1}, list {:.0}, entry {:.0}, update {:.2} us, {:.1} MB",
-                decider,
-                sample.request_mean,
-                sample.request_p99,
-                sample.request_worst,
-                sample.served,
-                sample.requests,
-                sample.sweep_mean,
-                sample.whole_list,
-                sample.changed_entry,
-                sample.update_received,
-                sample.memory as f64 / 1e6,
-            );
+            print(&sample);
             samples.push(sample);
         }
     }
     let part = crate::part(samples)?;
     crate::record(&out, |results| results.decisions = Some(part))
 }
+
+fn print(sample: &DecisionSample) {
+    let DecisionSample { decider, servers, cold_percent, dispatchers, classes, .. } = sample;
+    println!(
+        "{decider:?} {servers} servers, {cold_percent}% cold, {dispatchers} dispatchers, {classes} classes: {:.1} us \
+         a request (p99 {:.1}, worst {:.1}; {} of {} served), sweep {:.1}, list {:.0}, entry {:.0}, update {:.2} us, {:.1} MB",
+        sample.request_mean,
+        sample.request_p99,
+        sample.request_worst,
+        sample.served,
+        sample.requests,
+        sample.sweep_mean,
+        sample.whole_list,
+        sample.changed_entry,
+        sample.update_heard,
+        sample.memory as f64 / 1e6,
+    );
+}
--- a/benches/scale/gossip_samples.rs
+++ b/benches/scale/gossip_samples.rs
@@ -4,7 +4,7 @@
 use dewladder_scale::results::{Decider, GossipSample};
 use pico_args::Arguments;
 
-use crate::decisions::{Play, Size};
+use crate::decisions::{Size, Workload};
 use crate::Failure;
 
 /// An update, and the headers of UDP and IPv4 (bytes).
@@ -31,9 +31,9 @@
         requests: PLAYED,
         warm_up: 0,
     };
-    let mut play = Play::with(size, requests, |settings| settings.gossip_price = price);
-    play.until_asked(PLAYED);
-    let told = play.told() as f64 / PLAYED as f64;
+    let mut workload = Workload::with(size, requests, |settings| settings.gossip_price = price);
+    workload.until_arrived(PLAYED);
+    let told = workload.published() as f64 / PLAYED as f64;
     let sent = told * requests as f64;
     let heard = sent * f64::from(dispatchers - 1);
     GossipSample {
