--- a/benches/scale/decisions.rs
+++ b/benches/scale/decisions.rs
@@ -348,7 +348,7 @@
     DecisionSample {
         decider: size.decider,
         servers: size.servers,
-        cold_percent: size.cold_percent,
+        slow_start_percent: size.cold_percent,
         dispatchers: size.dispatchers,
         classes: size.classes,
         requests: workload.request_times_ns.len(),
@@ -359,7 +359,7 @@
         sweep_mean: micros(workload.sweep_times_ns.mean()),
         whole_list: micros(whole.as_nanos() as f64 / f64::from(lists)),
         changed_entry: workload.changed_entry(),
-        update_heard: workload.received_update(),
+        update_received: workload.received_update(),
         memory,
     }
 }
@@ -448,9 +448,9 @@
 }
 
 fn print(sample: &DecisionSample) {
-    let DecisionSample { decider, servers, cold_percent, dispatchers, classes, .. } = sample;
+    let DecisionSample { decider, servers, slow_start_percent, dispatchers, classes, .. } = sample;
     println!(
-        "{decider:?} {servers} servers, {cold_percent}% cold, {dispatchers} dispatchers, {classes} classes: {:.1} us \
+        "{decider:?} {servers} servers, {slow_start_percent}% cold, {dispatchers} dispatchers, {classes} classes: {:.1} us \
          a request (p99 {:.1}, worst {:.1}; {} of {} served), sweep {:.1}, list {:.0}, entry {:.0}, update {:.2} us, {:.1} MB",
         sample.request_mean,
         sample.request_p99,
@@ -460,7 +460,7 @@
         sample.sweep_mean,
         sample.whole_list,
         sample.changed_entry,
-        sample.update_heard,
+        sample.update_received,
         sample.memory as f64 / 1e6,
     );
 }
