--- a/benches/scale/decisions.rs
+++ b/benches/scale/decisions.rs
@@ -180,7 +180,7 @@
             match action {
                 Action::Assign { id, server, .. } => self.start_attempt(id, server),
                 Action::StartTimer { delay, token } => {
-                    self.schedule(self.now + delay, Step::TimerFires(token))
+                    self.schedule(self.now + delay, Step::TimerFires(token));
                 }
                 Action::Reject { id, .. } | Action::Fail(id) => self.complete(id, false),
                 Action::PublishGossip(_) => self.published += 1,
