--- a/crates/idempotency/tests/model.rs
+++ b/crates/idempotency/tests/model.rs
@@ -22,7 +22,7 @@
     Pass(Micros),
 }
 
-/// A run as it was, whatever the ledger remembers.
+/// A run as it was, whatever the store remembers.
 struct Run {
     id: EntryId,
     request: IncomingRequest,
