--- a/crates/scale/src/page/needs/control.rs
+++ b/crates/scale/src/page/needs/control.rs
@@ -92,7 +92,7 @@
         "processor, changes of the list (decisions alone)",
         decisions.changed_entry * 2.0 * target::RESTARTS / target::DAY / 1e6,
         format!("{:.1} us an entry x 2 x {:.0} a day", decisions.changed_entry, target::RESTARTS),
-        "watch with deltas: `src/edge/list.rs`",
+        "watch with deltas: `src/edge/discovery.rs`",
     )
 }
 
@@ -215,7 +215,7 @@
         "bytes, changes of the list",
         replaced.bytes as f64 * 1.5 * target::RESTARTS / target::DAY,
         format!("{} bytes x 1.5 (a drain first) x {:.0} a day", replaced.bytes, target::RESTARTS),
-        "watch with deltas: `src/edge/list.rs`",
+        "watch with deltas: `src/edge/discovery.rs`",
     );
     Some(Need { evidence: Evidence::Computed, ..need })
 }
--- a/crates/scale/src/page/needs/others.rs
+++ b/crates/scale/src/page/needs/others.rs
@@ -121,7 +121,7 @@
         sample.bytes as f64 * times,
         Unit::Bytes,
         format!("{} bytes x {times:.0} {per}", sample.bytes),
-        "an agent on each dispatcher's machine, watched: `src/edge/list.rs`",
+        "an agent on each dispatcher's machine, watched: `src/edge/discovery.rs`",
     )
 }
 
