--- a/tests/replica.rs
+++ b/tests/replica.rs
@@ -53,21 +53,21 @@
 }
 
 #[derive(Debug, Default)]
-struct Came {
-    /// Requests that ran, once or oftener, and those that ran oftener.
-    ran: usize,
-    doubled: usize,
-    /// Retries that were served, and that were told that the first may have run.
+struct TrialCounts {
+    /// Requests that executed, once or more often, and those that did more often.
+    executed: usize,
+    executed_twice: usize,
+    /// Requests of which a retry was served, and of which one was told that the first may have executed.
     served: usize,
-    may_have_run: usize,
+    may_have_executed: usize,
 }
 
-/// In each round an instance is killed while it has requests, and each of them is asked again at the others.
-async fn trials(cluster: &mut Cluster, rounds: usize, each: usize) -> Came {
-    let mut came = Came::default();
+/// In each round an instance is killed while it has requests, and each of them is retried at the others.
+async fn trials(cluster: &mut Cluster, rounds: usize, each: usize) -> TrialCounts {
+    let mut counts = TrialCounts::default();
     for round in 0..rounds {
         let victim = round % 5;
-        let asking: Vec<_> = (0..each)
+        let requests: Vec<_> = (0..each)
             .map(|at| {
                 let to = cluster.ports[victim].address();
                 tokio::spawn(async move {
@@ -80,55 +80,58 @@
         sleep(Duration::from_millis(10 + (round as u64 * 7) % 37)).await;
         cluster.instances[victim].as_ref().unwrap().signal("-KILL");
         cluster.end(victim).await;
-        for one in asking {
-            let _ = one.await;
+        for request in requests {
+            let _ = request.await;
         }
-        let asking: Vec<_> = (0..each)
+        let requests: Vec<_> = (0..each)
             .map(|at| {
                 let to: Vec<_> =
                     (1..4).map(|next| cluster.ports[(victim + 1 + (at + next) % 4) % 5].address()).collect();
                 tokio::spawn(async move {
-                    let mut said = Vec::new();
+                    let mut statuses = Vec::new();
                     for to in to {
-                        said.push(ask(to, &format!("r{round}-{at}")).await);
+                        statuses.push(ask(to, &format!("r{round}-{at}")).await);
                     }
-                    said
+                    statuses
                 })
             })
             .collect();
-        for (at, one) in asking.into_iter().enumerate() {
-            let said = one.await.unwrap();
+        for (at, request) in requests.into_iter().enumerate() {
+            let statuses = request.await.unwrap();
             let runs = cluster.fleet.runs_of(&format!("r{round}-{at}\""));
-            came.ran += usize::from(runs > 0);
-            came.doubled += usize::from(runs > 1);
-            came.served += usize::from(said.contains(&200));
-            came.may_have_run += usize::from(said.contains(&504));
+            counts.executed += usize::from(runs > 0);
+            counts.executed_twice += usize::from(runs > 1);
+            counts.served += usize::from(statuses.contains(&200));
+            counts.may_have_executed += usize::from(statuses.contains(&504));
         }
         cluster.start(victim, KEY).await;
         cluster.all_alive().await;
         until_caught_up(cluster).await;
     }
-    came
+    counts
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn no_request_executes_twice_when_its_instance_is_killed_and_its_client_retries_elsewhere() {
     let mut cluster = Cluster::with("twice", 5, 11, &format!("{SHARED}{FRONT}")).await;
     until_caught_up(&cluster).await;
-    let came = trials(&mut cluster, 25, 40).await;
-    assert_eq!(came.doubled, 0, "{came:?}");
-    println!("{came:?}");
-    assert!(came.ran > 300 && came.served > 20 && came.may_have_run > 20, "each happens: {came:?}");
+    let counts = trials(&mut cluster, 25, 40).await;
+    assert_eq!(counts.executed_twice, 0, "{counts:?}");
+    println!("{counts:?}");
+    assert!(
+        counts.executed > 300 && counts.served > 20 && counts.may_have_executed > 20,
+        "each occurs: {counts:?}"
+    );
 }
 
 /// What the test above would count if instances knew nothing of each other's requests.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn without_the_replicas_the_same_trials_execute_requests_twice() {
     let mut cluster = Cluster::with("alone", 5, 12, FRONT).await;
-    let mut doubled = 0;
+    let mut executed_twice = 0;
     for round in 0..4u64 {
         let to = cluster.ports[0].address();
-        let asking: Vec<_> = (0..40)
+        let requests: Vec<_> = (0..40)
             .map(|at| {
                 tokio::spawn(async move {
                     sleep(Duration::from_millis(at)).await;
@@ -139,16 +142,16 @@
         sleep(Duration::from_millis(30)).await;
         cluster.instances[0].as_ref().unwrap().signal("-KILL");
         cluster.end(0).await;
-        for one in asking {
-            let _ = one.await;
+        for request in requests {
+            let _ = request.await;
         }
         for at in 0..40 {
             ask(cluster.ports[1].address(), &format!("r{round}-{at}")).await;
-            doubled += usize::from(cluster.fleet.runs_of(&format!("r{round}-{at}\"")) > 1);
+            executed_twice += usize::from(cluster.fleet.runs_of(&format!("r{round}-{at}\"")) > 1);
         }
         cluster.start(0, KEY).await;
     }
-    assert!(doubled > 3, "{doubled} ran twice");
+    assert!(executed_twice > 3, "{executed_twice} executed twice");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -156,28 +159,28 @@
     let mut cluster = Cluster::with("cut", 5, 13, &format!("{SHARED}{FRONT}")).await;
     until_caught_up(&cluster).await;
     cluster.net.partition(&[0, 1], true);
-    let mut asking = Vec::new();
+    let mut requests = Vec::new();
     for at in 0..60usize {
         for to in [at % 2, 2 + at % 3] {
             let to = cluster.ports[to].address();
-            asking.push(tokio::spawn(async move { ask(to, &format!("c{at}")).await }));
+            requests.push(tokio::spawn(async move { ask(to, &format!("c{at}")).await }));
         }
     }
     let mut served = 0;
-    for one in asking {
-        served += usize::from(one.await.unwrap() == 200);
+    for request in requests {
+        served += usize::from(request.await.unwrap() == 200);
     }
     assert!(served > 20, "{served} served");
     cluster.net.partition(&[0, 1], false);
     cluster.all_alive().await;
-    // Finished ones do not come back as open ones: wherever they are asked for, they do not run.
+    // Finished ones do not come back as open ones: wherever they are retried, they do not execute.
     for at in 0..60usize {
         for to in 0..5 {
             ask(cluster.ports[to].address(), &format!("c{at}")).await;
         }
         assert!(cluster.fleet.runs_of(&format!("c{at}\"")) <= 1, "c{at}");
     }
-    // One that was away long catches up, and runs nothing of its ranges until then.
+    // One that was away long catches up, and executes nothing of its ranges until then.
     cluster.instances[4].as_ref().unwrap().signal("-KILL");
     cluster.end(4).await;
     cluster.start(4, KEY).await;
