--- a/crates/router/tests/bounds.rs
+++ b/crates/router/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! What a front remembers stays within bounds, however many sessions, beginnings, servers and messages come by.
+//! What a dispatcher remembers stays within bounds, however many sessions, beginnings, servers and messages come by.
 
 mod common;
 
@@ -20,18 +20,18 @@
     pages * 4_096.0 / 1e6
 }
 
-struct Front {
+struct Dispatcher {
     router: Router,
     now: Micros,
 }
 
-impl Front {
+impl Dispatcher {
     fn new(entries: Vec<ServerEntry>) -> Self {
         let mut settings = common::settings();
         settings.peers = true;
-        let mut front = Self { router: Router::new(settings, 7, 1_000 * S), now: 1_000 * S };
-        front.tell(Event::EndpointsUpdated { how: ListUpdateKind::Full, entries });
-        front
+        let mut dispatcher = Self { router: Router::new(settings, 7, 1_000 * S), now: 1_000 * S };
+        dispatcher.tell(Event::EndpointsUpdated { how: ListUpdateKind::Full, entries });
+        dispatcher
     }
 
     fn tell(&mut self, event: Event) -> Vec<Action> {
@@ -80,26 +80,26 @@
 #[test]
 fn sessions_and_beginnings_that_never_come_again_do_not_add_up() {
     let _alone = ALONE.lock();
-    let mut front = Front::new(common::fleet(false));
+    let mut dispatcher = Dispatcher::new(common::fleet(false));
     let mut before = 0.0;
     for id in 1..=100_000u64 {
         if id == 20_000 {
             before = held();
         }
         let (session, shared) = (Some(Key(id)), Some(Key(1 << 40 | id)));
-        front.serves(RequestInfo {
+        dispatcher.serves(RequestInfo {
             session,
             shared,
             shared_tokens: 300,
-            ..common::request_info(id, front.now)
+            ..common::request_info(id, dispatcher.now)
         });
         if id.is_multiple_of(20) {
-            front.tell(Event::TimerFired(TimerToken(1)));
+            dispatcher.tell(Event::TimerFired(TimerToken(1)));
         }
     }
     let grown = held() - before;
     assert!(grown < 6.0, "{grown} MB for 80,000 sessions");
-    let learnt = front.export_state();
+    let learnt = dispatcher.export_state();
     let kept: usize = learnt["servers"]
         .as_array()
         .expect("servers")
@@ -114,24 +114,24 @@
 #[test]
 fn beliefs_that_have_run_out_are_let_go() {
     let _alone = ALONE.lock();
-    let mut front = Front::new(common::fleet(false));
+    let mut dispatcher = Dispatcher::new(common::fleet(false));
     for id in 1..=3_000u64 {
-        front.now += 200_000;
-        front.serves(RequestInfo { session: Some(Key(id)), ..common::request_info(id, front.now) });
+        dispatcher.now += 200_000;
+        dispatcher.serves(RequestInfo { session: Some(Key(id)), ..common::request_info(id, dispatcher.now) });
     }
-    let learnt = front.export_state();
+    let learnt = dispatcher.export_state();
     let servers = learnt["servers"].as_array().expect("servers");
     let kept: usize = servers.iter().map(|one| one["prefixes"].as_array().map_or(0, Vec::len)).sum();
     // Five a second for a minute, and what each server has got since its last.
     assert!(kept < 400, "{kept} beliefs are kept, of which 300 still count");
 }
 
-/// Servers come under new ids all day, each with work, with failures and with word from other fronts: those that the list
-/// names no more are forgotten, with all that was known of them.
+/// Servers come under new ids all day, each with work, with failures and with word from other dispatchers: those that
+/// the list names no more are forgotten, with all that was known of them.
 #[test]
 fn servers_that_come_and_go_are_forgotten_with_all_that_was_known_of_them() {
     let _alone = ALONE.lock();
-    let mut front = Front::new(common::fleet(false));
+    let mut dispatcher = Dispatcher::new(common::fleet(false));
     let (mut before, mut id) = (0.0, 0);
     for day in 0..3_000u32 {
         if day == 600 {
@@ -153,12 +153,12 @@
         let patch =
             Event::EndpointsUpdated { how: ListUpdateKind::Patch, entries: gone.chain(changes).collect() };
         let whole = Event::EndpointsUpdated { how: ListUpdateKind::Full, entries };
-        front.tell(if day.is_multiple_of(2) { whole } else { patch });
+        dispatcher.tell(if day.is_multiple_of(2) { whole } else { patch });
         for fails in 0..6 {
             id += 1;
-            front.now += 50_000;
-            let now = front.now;
-            let out = front.tell(Event::RequestArrived(RequestInfo {
+            dispatcher.now += 50_000;
+            let now = dispatcher.now;
+            let out = dispatcher.tell(Event::RequestArrived(RequestInfo {
                 class: fails % 4,
                 ..common::request_info(id, now)
             }));
@@ -169,10 +169,10 @@
             let Some(server) = sent else { continue };
             let load = Load::Waits(900_000);
             let update = LoadUpdate { server: tag(server), load, at: now };
-            front.tell(Event::GossipReceived(update.to_bytes().to_vec()));
+            dispatcher.tell(Event::GossipReceived(update.to_bytes().to_vec()));
             let (outcome, id) = (Outcome::ConnectFailed, RequestId(id));
             let (attempt, taken, cached_tokens, last, report) = (0, 500, 0, true, None);
-            front.tell(Event::AttemptFinished(AttemptFinished {
+            dispatcher.tell(Event::AttemptFinished(AttemptFinished {
                 id,
                 attempt,
                 server,
@@ -186,17 +186,18 @@
     }
     let grown = held() - before;
     assert!(grown < 4.0, "{grown} MB for 4,800 servers");
-    let known = front.export_state()["servers"].as_array().map_or(0, Vec::len);
+    let known = dispatcher.export_state()["servers"].as_array().map_or(0, Vec::len);
     assert!(known <= 11, "{known} servers are known");
 }
 
-/// A server that the list names no more while work is out there is forgotten once that has ended and the list comes again.
+/// A server that the list names no more while work is out there is forgotten once that has ended and the list comes
+/// again.
 #[test]
 fn a_server_that_goes_with_work_out_is_forgotten_after_it() {
     let _alone = ALONE.lock();
-    let mut front = Front::new(common::fleet(false));
-    let now = front.now;
-    let out = front.tell(Event::RequestArrived(common::request_info(1, now)));
+    let mut dispatcher = Dispatcher::new(common::fleet(false));
+    let now = dispatcher.now;
+    let out = dispatcher.tell(Event::RequestArrived(common::request_info(1, now)));
     let Some(Action::Assign { server, .. }) =
         out.iter().find(|action| matches!(action, Action::Assign { .. }))
     else {
@@ -205,11 +206,11 @@
     let entries: Vec<ServerEntry> =
         common::fleet(false).into_iter().filter(|entry| entry.server != *server).collect();
     let list = || Event::EndpointsUpdated { how: ListUpdateKind::Full, entries: entries.clone() };
-    let known = |front: &Front| front.export_state()["servers"].as_array().map_or(0, Vec::len);
-    front.tell(list());
-    assert_eq!(known(&front), 8, "its work is out");
+    let known = |dispatcher: &Dispatcher| dispatcher.export_state()["servers"].as_array().map_or(0, Vec::len);
+    dispatcher.tell(list());
+    assert_eq!(known(&dispatcher), 8, "its work is out");
     let (id, server, outcome, last) = (RequestId(1), *server, Outcome::Reset, true);
-    front.tell(Event::AttemptFinished(AttemptFinished {
+    dispatcher.tell(Event::AttemptFinished(AttemptFinished {
         id,
         attempt: 0,
         server,
@@ -219,15 +220,15 @@
         last,
         report: None,
     }));
-    front.tell(list());
-    assert_eq!(known(&front), 7);
+    dispatcher.tell(list());
+    assert_eq!(known(&dispatcher), 7);
 }
 
 /// Classes change with every new configuration: what is known of servers for those that are gone goes with them.
 #[test]
 fn classes_that_are_renamed_over_and_over_do_not_add_up() {
     let _alone = ALONE.lock();
-    let mut front = Front::new(common::fleet(false));
+    let mut dispatcher = Dispatcher::new(common::fleet(false));
     let mut before = 0.0;
     for round in 0..20_000u32 {
         if round == 2_000 {
@@ -235,19 +236,19 @@
         }
         let mut settings = common::settings();
         settings.classes = BTreeMap::from([(round, common::class(Effect::Idempotent, DedupGroup::All))]);
-        front.tell(Event::SettingsReloaded {
+        dispatcher.tell(Event::SettingsReloaded {
             settings: Box::new(settings),
             class_renumbering: BTreeMap::new(),
         });
-        let (id, now) = (u64::from(round) + 1, front.now);
-        let out =
-            front.tell(Event::RequestArrived(RequestInfo { class: round, ..common::request_info(id, now) }));
+        let (id, now) = (u64::from(round) + 1, dispatcher.now);
+        let out = dispatcher
+            .tell(Event::RequestArrived(RequestInfo { class: round, ..common::request_info(id, now) }));
         if let Some(Action::Assign { server, .. }) =
             out.iter().find(|action| matches!(action, Action::Assign { .. }))
         {
             let (id, server, outcome) = (RequestId(id), *server, Outcome::Reset);
             let (attempt, taken, cached_tokens, last, report) = (0, 9, 0, true, None);
-            front.tell(Event::AttemptFinished(AttemptFinished {
+            dispatcher.tell(Event::AttemptFinished(AttemptFinished {
                 id,
                 attempt,
                 server,
@@ -258,7 +259,7 @@
                 report,
             }));
         }
-        front.now += 10_000;
+        dispatcher.now += 10_000;
     }
     let grown = held() - before;
     assert!(grown < 4.0, "{grown} MB for 18,000 classes");
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A front's surroundings, as far as tests need them, and a checker of the five rules that shares nothing
+//! A dispatcher's surroundings, as far as tests need them, and a checker of the five rules that shares nothing
 //! with the decision module. It is no simulator: servers do what the test says.
 #![allow(dead_code)]
 
@@ -173,7 +173,7 @@
         self.roster(ListUpdateKind::Patch, vec![entry]);
     }
 
-    /// The front is killed and comes back with its last list; its requests are its clients' to repeat.
+    /// The dispatcher is killed and comes back with its last list; its requests are its clients' to repeat.
     pub fn restart(&mut self, seed: u64) {
         self.router = Router::new(self.settings.clone(), seed, self.now);
         self.known.clear();
@@ -376,8 +376,8 @@
         }
     }
 
-    /// Rule 4, loosely and from outside: since its last start, within a window, no more than one send for the start, one for chance,
-    /// and the cold share of the most that any one server was sent in a window of that length.
+    /// Rule 4, loosely and from outside: since its last start, within a window, no more than one send for the start,
+    /// one for chance, and the cold share of the most that any one server was sent in a window of that length.
     fn check_cold(&self, server: ServerId) {
         let window = self.settings.overload_window;
         let sent_in = |to: ServerId, end: Micros| {
--- a/crates/router/tests/decisions.rs
+++ b/crates/router/tests/decisions.rs
@@ -8,7 +8,7 @@
 use common::decision_hash::DecisionHash;
 use common::SECOND as S;
 use dewladder_router::interface::*;
-use fleet_model::{Does, Model};
+use fleet_model::{Behavior, Model};
 
 /// Time to read a token when nothing hinders, and to fetch one (us).
 const READ: f64 = 55.0;
@@ -26,7 +26,7 @@
     rate: f64,
     peers: bool,
     memory_tokens: u64,
-    first_ones: Option<Does>,
+    first_ones: Option<Behavior>,
 }
 
 const QUIET: Scenario = Scenario {
@@ -66,7 +66,7 @@
             entry.cell = CellId(id % 2 + 2 * u32::from(id.is_multiple_of(5)));
             let slower = if id % 7 == 3 { 3.0 } else { 1.0 };
             let (tokens, attempt) = if kind == 1 { (FETCH, 15_000.0) } else { (READ, 10_000.0) };
-            model.serves(entry, tokens * slower, attempt, 800_000);
+            model.add_server(entry, tokens * slower, attempt, 800_000);
         }
     }
     model.list();
@@ -79,20 +79,20 @@
     let end = model.now + 30 * S;
     let (mut at, mut id) = (model.now as f64, 0);
     while at < end as f64 {
-        at += (0.5 + model.lot()) / of.rate * 1e6;
-        model.until(at as Micros);
+        at += (0.5 + model.unit_draw()) / of.rate * 1e6;
+        model.run_until(at as Micros);
         id += 1;
         let count = of.rate as u64;
         if id == 6 * count {
-            model.restarts(ServerId(1));
-            model.restarts(ServerId(101));
+            model.restart_server(ServerId(1));
+            model.restart_server(ServerId(101));
         }
         if id == 12 * count {
-            model.forgets(0);
+            model.restart_dispatcher(0);
         }
-        let dispatcher = (model.lot() * f64::from(of.dispatchers)) as usize;
-        let (session, class) = ((model.lot() * 40.0) as u64, (model.lot() * 4.0) as u32);
-        let prompt_tokens = 400 + (model.lot() * 9_000.0) as u64;
+        let dispatcher = (model.unit_draw() * f64::from(of.dispatchers)) as usize;
+        let (session, class) = ((model.unit_draw() * 40.0) as u64, (model.unit_draw() * 4.0) as u32);
+        let prompt_tokens = 400 + (model.unit_draw() * 9_000.0) as u64;
         let info = RequestInfo {
             class,
             session: Some(Key(session)),
@@ -103,9 +103,9 @@
         };
         model.ask(dispatcher, info);
     }
-    model.until(end + 8 * S);
+    model.run_until(end + 8 * S);
     let mut decisions: DecisionHash = model.decisions.clone();
-    for dispatcher in 0..model.fronts() {
+    for dispatcher in 0..model.dispatchers() {
         decisions.bytes(model.learnt(dispatcher).as_bytes());
     }
     decisions.value()
@@ -134,7 +134,7 @@
 #[test]
 fn a_fleet_where_servers_hang_or_refuse_is_decided_as_recorded() {
     let hang =
-        Scenario { seed: 10, readers: 9, writers: 9, rate: 25.0, first_ones: Some(Does::Hang), ..QUIET };
-    let refuse = Scenario { seed: 11, first_ones: Some(Does::Refuse), ..hang };
+        Scenario { seed: 10, readers: 9, writers: 9, rate: 25.0, first_ones: Some(Behavior::Hang), ..QUIET };
+    let refuse = Scenario { seed: 11, first_ones: Some(Behavior::Refuse), ..hang };
     assert_eq!([hang, refuse].map(decided), [12542187064425795264, 921226354763836565]);
 }
--- a/crates/router/tests/failures.rs
+++ b/crates/router/tests/failures.rs
@@ -7,7 +7,7 @@
 use dewladder_router::interface::*;
 
 #[test]
-fn a_silent_reader_is_passed_before_its_time_out_and_rested_after_it() {
+fn an_unresponsive_reader_is_passed_over_before_its_time_out_and_ejected_after_it() {
     let mut world = World::new(settings(), fleet(false));
     let silent = serve(&mut world, 1, 5);
     let mut info = request_info(2, world.now);
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn failed_connections_rest_a_server_and_one_request_at_a_time_tries_it() {
+fn failed_connections_eject_a_server_and_one_request_at_a_time_tries_it() {
     let mut world = World::new(settings(), fleet(false));
     let id = world.simple(1);
     let dead = world.out(id).unwrap().server;
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_state_told_as_not_there_is_let_go_and_the_prompt_read_again() {
+fn a_state_reported_missing_is_released_and_the_prompt_read_again() {
     let mut world = World::new(settings(), fleet(false));
     let id = world.simple(1);
     world.end(id, Outcome::Read);
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn one_own_request_among_many_fronts_is_no_full_server() {
+fn one_own_request_among_many_dispatchers_does_not_make_a_server_full() {
     let mut crowd = settings();
     crowd.dispatcher_count = 200;
     let mut world = World::new(crowd, fleet(false));
--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! What the sum of many fronts does: each its own instance with its own seed, in virtual time.
+//! What the sum of many dispatchers does: each its own instance with its own seed, in virtual time.
 
 mod common;
 
@@ -37,23 +37,24 @@
     }
 }
 
-/// Restarts so many fronts at once: when each has its list, and when calls were made.
-fn restart(fronts: u32, again: impl Fn(&mut ListBackoff, u64) -> Micros) -> (Vec<Micros>, Vec<Micros>) {
+/// Restarts so many dispatchers at once: when each has its list, and when calls were made.
+fn restart(dispatchers: u32, again: impl Fn(&mut ListBackoff, u64) -> Micros) -> (Vec<Micros>, Vec<Micros>) {
     let mut service = Service { call_takes: 140_000, most_waiting: 60, free_at: 0, waiting: VecDeque::new() };
-    let mut calls: BTreeSet<(Micros, u32)> = (0..fronts).map(|front| (u64::from(front), front)).collect();
-    let mut state: Vec<_> = (0..fronts)
-        .map(|front| (ListBackoff::default(), Pcg64Mcg::seed_from_u64(7_000 + u64::from(front))))
+    let mut calls: BTreeSet<(Micros, u32)> =
+        (0..dispatchers).map(|dispatcher| (u64::from(dispatcher), dispatcher)).collect();
+    let mut state: Vec<_> = (0..dispatchers)
+        .map(|dispatcher| (ListBackoff::default(), Pcg64Mcg::seed_from_u64(7_000 + u64::from(dispatcher))))
         .collect();
     let (mut told, mut made) = (Vec::new(), Vec::new());
-    while let Some((now, front)) = calls.pop_first().filter(|&(now, _)| now < 300 * S) {
+    while let Some((now, dispatcher)) = calls.pop_first().filter(|&(now, _)| now < 300 * S) {
         made.push(now);
         let (done, answered) = service.call(now);
-        let (asking, lots) = &mut state[front as usize];
+        let (asking, lots) = &mut state[dispatcher as usize];
         if answered {
             asking.answered();
             told.push(done);
         } else {
-            calls.insert((done + again(asking, lots.next_u64()), front));
+            calls.insert((done + again(asking, lots.next_u64()), dispatcher));
         }
     }
     told.sort_unstable();
@@ -62,15 +63,15 @@
 
 #[test]
 fn a_list_service_that_bears_seven_calls_a_second_answers_any_fleet_that_restarts_at_once() {
-    for (fronts, median_by, all_by) in [(1, 1, 1), (4, 1, 1), (30, 10, 30), (120, 40, 90)] {
-        let (told, made) = restart(fronts, |asking, lot| asking.failed(fronts, 10 * S, lot));
-        assert_eq!(told.len(), fronts as usize, "all have their list");
+    for (dispatchers, median_by, all_by) in [(1, 1, 1), (4, 1, 1), (30, 10, 30), (120, 40, 90)] {
+        let (told, made) = restart(dispatchers, |asking, lot| asking.failed(dispatchers, 10 * S, lot));
+        assert_eq!(told.len(), dispatchers as usize, "all have their list");
         let (median, last) = (told[told.len() / 2], told[told.len() - 1]);
-        assert!(median <= median_by * S && last <= all_by * S, "{fronts}: {median} {last}");
+        assert!(median <= median_by * S && last <= all_by * S, "{dispatchers}: {median} {last}");
         // After the first call of each, calls are few in any 100 ms.
         let later: Vec<Micros> = made.into_iter().filter(|&at| at > 10_000).collect();
         let most = later.iter().map(|&at| later.iter().filter(|&&b| b >= at && b < at + 100_000).count());
-        assert!(most.max().unwrap_or(0) <= 9, "{fronts}: {later:?}");
+        assert!(most.max().unwrap_or(0) <= 9, "{dispatchers}: {later:?}");
     }
 }
 
@@ -82,10 +83,10 @@
 }
 
 #[test]
-fn waits_grow_with_fronts_and_failures_up_to_what_the_rule_on_asking_allows() {
-    let longest = |fronts, max_list_age, failures| {
+fn waits_grow_with_dispatchers_and_failures_up_to_what_the_rule_on_asking_allows() {
+    let longest = |dispatchers, max_list_age, failures| {
         let mut asking = ListBackoff::default();
-        (0..failures).map(|_| asking.failed(fronts, max_list_age, u64::MAX)).last().unwrap_or(0)
+        (0..failures).map(|_| asking.failed(dispatchers, max_list_age, u64::MAX)).last().unwrap_or(0)
     };
     assert_eq!(longest(1, 10 * S, 1), 300_000);
     assert_eq!(longest(100, 10 * S, 1), 20_100_000);
@@ -99,45 +100,45 @@
     assert_eq!(asking.failed(100, 10 * S, u64::MAX), first, "an answer starts anew");
 }
 
-// ---- What fronts tell one another ----
+// ---- What dispatchers tell one another ----
 
-/// So many fronts that may tell one another of queues.
+/// So many dispatchers that may tell one another of queues.
 struct Many {
-    fronts: Vec<Router>,
+    dispatchers: Vec<Router>,
     now: Micros,
 }
 
 impl Many {
-    fn new(fronts: u32, peers: bool) -> Self {
+    fn new(dispatchers: u32, peers: bool) -> Self {
         let mut settings = common::settings();
-        (settings.dispatcher_count, settings.peers, settings.gossip_price) = (fronts, peers, 0.0025);
-        let mut many = Self { fronts: Vec::new(), now: 100 * S };
-        for front in 0..fronts {
-            let mut router = Router::new(settings.clone(), 500 + u64::from(front), many.now);
+        (settings.dispatcher_count, settings.peers, settings.gossip_price) = (dispatchers, peers, 0.0025);
+        let mut many = Self { dispatchers: Vec::new(), now: 100 * S };
+        for dispatcher in 0..dispatchers {
+            let mut router = Router::new(settings.clone(), 500 + u64::from(dispatcher), many.now);
             let roster = Event::EndpointsUpdated { how: ListUpdateKind::Full, entries: common::fleet(false) };
             router.handle(many.now, roster, &mut Vec::new());
-            many.fronts.push(router);
+            many.dispatchers.push(router);
         }
         many
     }
 
-    /// What a front does on an event; what it tells has come to all others before this returns.
-    fn tell(&mut self, front: usize, event: Event) -> Vec<Action> {
+    /// What a dispatcher does on an event; what it tells has come to all others before this returns.
+    fn tell(&mut self, dispatcher: usize, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
-        self.fronts[front].handle(self.now, event, &mut out);
+        self.dispatchers[dispatcher].handle(self.now, event, &mut out);
         for action in &out {
             let Action::PublishGossip(bytes) = action else { continue };
-            for (_, other) in self.fronts.iter_mut().enumerate().filter(|(at, _)| *at != front) {
+            for (_, other) in self.dispatchers.iter_mut().enumerate().filter(|(at, _)| *at != dispatcher) {
                 other.handle(self.now, Event::GossipReceived(bytes.clone()), &mut Vec::new());
             }
         }
         out
     }
 
-    /// Where a front sends a request of the one session that all ask for; it is not answered.
-    fn ask(&mut self, front: usize, id: u64) -> Option<ServerId> {
+    /// Where a dispatcher sends a request of the one session that all ask for; it is not answered.
+    fn ask(&mut self, dispatcher: usize, id: u64) -> Option<ServerId> {
         let info = RequestInfo { session: Some(Key(7)), ..common::request_info(id, self.now) };
-        let out = self.tell(front, Event::RequestArrived(info));
+        let out = self.tell(dispatcher, Event::RequestArrived(info));
         out.iter().find_map(|action| match action {
             Action::Assign { server, .. } => Some(*server),
             _ => None,
@@ -145,16 +146,17 @@
     }
 }
 
-/// Each front comes to the buried reader once: without word from others, each at the price of a request.
+/// Each dispatcher comes to the buried reader once: without word from others, each at the price of a request.
 #[test]
-fn a_buried_reader_loses_its_traffic_once_one_front_has_seen_it_and_has_it_back_when_claims_have_faded() {
+fn a_buried_reader_loses_its_traffic_once_one_dispatcher_has_seen_it_and_has_it_back_when_updates_have_faded()
+{
     let to_it = |peers: bool| {
         let mut many = Many::new(40, peers);
         let buried = many.ask(0, 1).expect("sent");
         many.now += 1_500_000;
         many.tell(0, Event::TimerFired(TimerToken(1))); // the sweep sees that it is silent
         let at = many.now;
-        let asked: Vec<_> = (1..39).filter_map(|front| many.ask(front, 1)).collect();
+        let asked: Vec<_> = (1..39).filter_map(|dispatcher| many.ask(dispatcher, 1)).collect();
         assert_eq!(asked.len(), 38, "none is turned away");
         many.now = at + 30 * S;
         let later = many.ask(39, 2);
@@ -166,8 +168,8 @@
 
 #[test]
 fn what_is_told_is_bounded_by_its_price_and_nothing_is_told_where_the_settings_bar_it() {
-    for (fronts, peers, most) in [(4, true, 100), (120, true, 60), (120, false, 0), (1, true, 0)] {
-        let mut many = Many::new(fronts, peers);
+    for (dispatchers, peers, most) in [(4, true, 100), (120, true, 60), (120, false, 0), (1, true, 0)] {
+        let mut many = Many::new(dispatchers, peers);
         let mut told = 0;
         for id in 0..100 {
             let Some(at) = many.ask(0, 1_000 + id) else { continue };
@@ -185,8 +187,8 @@
             let out = many.tell(0, Event::AttemptFinished(ended));
             told += out.iter().filter(|action| matches!(action, Action::PublishGossip(_))).count();
         }
-        assert_eq!(told as u64, many.fronts[0].gossip_counts().sent);
-        assert!(told <= most && (told > 0) == (most > 0), "{fronts} {peers}: {told}");
+        assert_eq!(told as u64, many.dispatchers[0].gossip_counts().sent);
+        assert!(told <= most && (told > 0) == (most > 0), "{dispatchers} {peers}: {told}");
     }
 }
 
@@ -197,7 +199,7 @@
         let mut many = Many::new(2, true);
         let read = LoadUpdate::read(&bytes, many.now);
         many.tell(0, Event::GossipReceived(bytes));
-        let counts = many.fronts[0].gossip_counts();
+        let counts = many.dispatchers[0].gossip_counts();
         proptest::prop_assert_eq!(counts.received + counts.dropped, 1);
         proptest::prop_assert!(counts.dropped == 1 || read.is_some());
     }
--- a/crates/router/tests/fleet_model/mod.rs
+++ b/crates/router/tests/fleet_model/mod.rs
@@ -1,5 +1,5 @@
-//! Many fronts before one fleet of servers, in virtual time: each server works its queue off in turn, a read takes as
-//! long as its prompt wants, and nothing here looks into the decisions.
+//! Many dispatchers before one fleet of servers, in virtual time: each server works its queue off in turn, a read takes
+//! as long as its prompt wants, and nothing here looks into the decisions.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -25,12 +25,12 @@
     /// How long an answer streams after its first token.
     pub streams_for: Micros,
     /// What it does with attempts besides working them off.
-    pub does: Does,
+    pub behavior: Behavior,
     free_at: Micros,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Does {
+pub enum Behavior {
     Work,
     Hang,
     Refuse,
@@ -40,7 +40,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Sent {
     pub at: Micros,
-    pub front: usize,
+    pub dispatcher: usize,
     pub server: ServerId,
 }
 
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug)]
 pub struct Record {
     pub info: RequestInfo,
-    pub front: usize,
+    pub dispatcher: usize,
     pub at: Micros,
     pub attempts: u32,
     /// When its first token came.
@@ -57,7 +57,7 @@
     pub failed: bool,
 }
 
-struct Front {
+struct Dispatcher {
     router: Router,
     life: u32,
     /// For each attempt that is out: its request's number of the attempt, server, when sent.
@@ -79,14 +79,14 @@
     pub servers: BTreeMap<ServerId, Server>,
     pub sends: Vec<Sent>,
     pub records: BTreeMap<RequestId, Record>,
-    /// Timers come due at the next multiple of this: many fronts need not be swept as often as few.
+    /// Timers come due at the next multiple of this: many dispatchers need not be swept as often as few.
     pub sweep: Micros,
     pub lots: Pcg64Mcg,
     /// The servers that are sent something first turn out to do this from then on, up to a third of each role.
-    pub first_ones: Option<Does>,
-    /// All that the fronts have decided.
+    pub first_ones: Option<Behavior>,
+    /// All that the dispatchers have decided.
     pub decisions: DecisionHash,
-    fronts: Vec<Front>,
+    dispatchers: Vec<Dispatcher>,
     steps: BTreeMap<(Micros, u64), (usize, u32, Step)>,
     number: u64,
     zones: Vec<ZoneId>,
@@ -104,83 +104,89 @@
             lots: Pcg64Mcg::seed_from_u64(seed),
             first_ones: None,
             decisions: DecisionHash::default(),
-            fronts: Vec::new(),
+            dispatchers: Vec::new(),
             steps: BTreeMap::new(),
             number: 0,
             zones,
         };
-        for front in 0..model.zones.len() {
-            let router = model.router(front);
-            model.fronts.push(Front { router, life: 0, out: BTreeMap::new() });
+        for dispatcher in 0..model.zones.len() {
+            let router = model.router(dispatcher);
+            model.dispatchers.push(Dispatcher { router, life: 0, out: BTreeMap::new() });
         }
         model
     }
 
-    fn router(&mut self, front: usize) -> Router {
-        let settings = Settings { zone: self.zones[front], ..self.settings.clone() };
+    fn router(&mut self, dispatcher: usize) -> Router {
+        let settings = Settings { zone: self.zones[dispatcher], ..self.settings.clone() };
         Router::new(settings, self.lots.next_u64(), self.now)
     }
 
-    pub fn fronts(&self) -> usize {
-        self.fronts.len()
+    pub fn dispatchers(&self) -> usize {
+        self.dispatchers.len()
     }
 
-    /// What a front has learnt, as it would hand it over.
-    pub fn learnt(&self, front: usize) -> String {
-        serde_json::to_string(&self.fronts[front].router.export_state()).expect("it can be written")
+    /// What a dispatcher has learnt, as it would hand it over.
+    pub fn learnt(&self, dispatcher: usize) -> String {
+        serde_json::to_string(&self.dispatchers[dispatcher].router.export_state()).expect("it can be written")
     }
 
     /// A share of 1.
-    pub fn lot(&mut self) -> f64 {
+    pub fn unit_draw(&mut self) -> f64 {
         self.lots.next_u32() as f64 / (f64::from(u32::MAX) + 1.0)
     }
 
     /// A number from these, the last one not included.
     pub fn draw(&mut self, from: f64, to: f64) -> f64 {
-        from + (to - from) * self.lot()
+        from + (to - from) * self.unit_draw()
     }
 
-    /// Sets a server up; the fronts hear of it with the next list.
-    pub fn serves(&mut self, entry: ServerEntry, token_takes: f64, attempt_takes: f64, streams_for: Micros) {
+    /// Sets a server up; the dispatchers hear of it with the next list.
+    pub fn add_server(
+        &mut self,
+        entry: ServerEntry,
+        token_takes: f64,
+        attempt_takes: f64,
+        streams_for: Micros,
+    ) {
         let role = self.settings.kinds[entry.kind as usize].role;
-        let (does, free_at) = (Does::Work, 0);
+        let (behavior, free_at) = (Behavior::Work, 0);
         let id = entry.server;
         self.servers
-            .insert(id, Server { entry, role, token_takes, attempt_takes, streams_for, does, free_at });
+            .insert(id, Server { entry, role, token_takes, attempt_takes, streams_for, behavior, free_at });
     }
 
-    /// Tells all fronts the whole list.
+    /// Tells all dispatchers the whole list.
     pub fn list(&mut self) {
-        for front in 0..self.fronts.len() {
-            self.list_to(front);
+        for dispatcher in 0..self.dispatchers.len() {
+            self.list_to(dispatcher);
         }
     }
 
-    fn list_to(&mut self, front: usize) {
+    fn list_to(&mut self, dispatcher: usize) {
         let entries = self.servers.values().map(|server| server.entry.clone()).collect();
-        self.tell(front, Event::EndpointsUpdated { how: ListUpdateKind::Full, entries });
+        self.tell(dispatcher, Event::EndpointsUpdated { how: ListUpdateKind::Full, entries });
     }
 
-    /// A server comes back cold; all fronts are told at once.
-    pub fn restarts(&mut self, server: ServerId) {
+    /// A server comes back cold; all dispatchers are told at once.
+    pub fn restart_server(&mut self, server: ServerId) {
         let now = self.now;
         let server = self.servers.get_mut(&server).expect("a server");
         (server.entry.started, server.free_at) = (Some(now), now);
         let entries = vec![server.entry.clone()];
-        for front in 0..self.fronts.len() {
+        for dispatcher in 0..self.dispatchers.len() {
             self.tell(
-                front,
+                dispatcher,
                 Event::EndpointsUpdated { how: ListUpdateKind::Patch, entries: entries.clone() },
             );
         }
     }
 
-    /// A front is killed and comes back without memory; what it had out is nobody's any more.
-    pub fn forgets(&mut self, front: usize) {
-        let router = self.router(front);
-        let life = self.fronts[front].life + 1;
-        self.fronts[front] = Front { router, life, out: BTreeMap::new() };
-        self.list_to(front);
+    /// A dispatcher is killed and comes back without memory; what it had out is nobody's any more.
+    pub fn restart_dispatcher(&mut self, dispatcher: usize) {
+        let router = self.router(dispatcher);
+        let life = self.dispatchers[dispatcher].life + 1;
+        self.dispatchers[dispatcher] = Dispatcher { router, life, out: BTreeMap::new() };
+        self.list_to(dispatcher);
     }
 
     /// The part of its capacity that a server has now, rising evenly while it is cold.
@@ -190,11 +196,11 @@
         (self.settings.slow_start_min_share + (1.0 - self.settings.slow_start_min_share) * age).min(1.0)
     }
 
-    pub fn ask(&mut self, front: usize, info: RequestInfo) {
+    pub fn ask(&mut self, dispatcher: usize, info: RequestInfo) {
         let (id, at, not_after) = (info.id, self.now, info.not_after);
         let record = Record {
             info: info.clone(),
-            front,
+            dispatcher,
             at,
             attempts: 0,
             answered: None,
@@ -202,52 +208,53 @@
             failed: false,
         };
         self.records.insert(id, record);
-        self.plan(not_after, front, Step::Leaves(id));
-        self.tell(front, Event::RequestArrived(info));
+        self.plan(not_after, dispatcher, Step::Leaves(id));
+        self.tell(dispatcher, Event::RequestArrived(info));
     }
 
-    fn plan(&mut self, at: Micros, front: usize, step: Step) {
+    fn plan(&mut self, at: Micros, dispatcher: usize, step: Step) {
         self.number += 1;
-        self.steps.insert((at, self.number), (front, self.fronts[front].life, step));
+        self.steps.insert((at, self.number), (dispatcher, self.dispatchers[dispatcher].life, step));
     }
 
     /// Lets time pass up to this moment.
-    pub fn until(&mut self, end: Micros) {
+    pub fn run_until(&mut self, end: Micros) {
         while let Some((&(at, number), _)) = self.steps.first_key_value().filter(|(key, _)| key.0 <= end) {
-            let (front, life, step) = self.steps.remove(&(at, number)).expect("there");
+            let (dispatcher, life, step) = self.steps.remove(&(at, number)).expect("there");
             self.now = at;
-            if life == self.fronts[front].life {
-                self.step(front, step);
+            if life == self.dispatchers[dispatcher].life {
+                self.step(dispatcher, step);
             }
         }
         self.now = end;
     }
 
-    fn step(&mut self, front: usize, step: Step) {
+    fn step(&mut self, dispatcher: usize, step: Step) {
         match step {
-            Step::Due(token) => self.tell(front, Event::TimerFired(token)),
+            Step::Due(token) => self.tell(dispatcher, Event::TimerFired(token)),
             Step::Leaves(id) => {
                 let record = &self.records[&id];
                 if record.answered.is_none() && !record.refused && !record.failed {
-                    self.tell(front, Event::ClientDisconnected(id));
+                    self.tell(dispatcher, Event::ClientDisconnected(id));
                 }
             }
             Step::Begins(id, attempt) => {
-                let Some(&(_, _, sent)) = self.fronts[front].out.get(&id).filter(|out| out.0 == attempt)
+                let Some(&(_, _, sent)) =
+                    self.dispatchers[dispatcher].out.get(&id).filter(|out| out.0 == attempt)
                 else {
                     return;
                 };
                 self.records.get_mut(&id).expect("known").answered = Some(self.now);
                 let taken = self.now - sent;
-                self.tell(front, Event::FirstToken { id, attempt, taken });
+                self.tell(dispatcher, Event::FirstToken { id, attempt, taken });
             }
             Step::Ends(id, attempt, outcome) => {
-                let out = self.fronts[front].out.get(&id).filter(|out| out.0 == attempt);
+                let out = self.dispatchers[dispatcher].out.get(&id).filter(|out| out.0 == attempt);
                 let Some(&(_, server, sent)) = out else { return };
                 if outcome == Outcome::Timeout && self.records[&id].answered.is_some() {
                     return; // it belongs to the client
                 }
-                self.fronts[front].out.remove(&id);
+                self.dispatchers[dispatcher].out.remove(&id);
                 let record = &self.records[&id];
                 let last = outcome == Outcome::Served || record.refused || record.failed;
                 let taken = self.now - sent;
@@ -261,35 +268,35 @@
                     last,
                     report: None,
                 };
-                self.tell(front, Event::AttemptFinished(ended));
+                self.tell(dispatcher, Event::AttemptFinished(ended));
             }
         }
     }
 
-    fn tell(&mut self, front: usize, event: Event) {
+    fn tell(&mut self, dispatcher: usize, event: Event) {
         let mut actions = Vec::new();
-        let router = &mut self.fronts[front].router;
+        let router = &mut self.dispatchers[dispatcher].router;
         router.handle(self.now, event, &mut actions);
-        self.decisions.decided(front, self.now, &actions, router.end_reasons());
+        self.decisions.decided(dispatcher, self.now, &actions, router.end_reasons());
         for action in actions {
             match action {
                 Action::Assign { id, server, attempt_timeout } => {
-                    self.send(front, id, server, attempt_timeout);
+                    self.send(dispatcher, id, server, attempt_timeout);
                 }
                 Action::Reject { id, .. } => self.records.get_mut(&id).expect("known").refused = true,
                 Action::Fail(id) => self.records.get_mut(&id).expect("known").failed = true,
                 Action::CancelAttempt { id, attempt } => {
-                    self.plan(self.now, front, Step::Ends(id, attempt, Outcome::Cancelled));
+                    self.plan(self.now, dispatcher, Step::Ends(id, attempt, Outcome::Cancelled));
                 }
                 Action::StartTimer { delay, token } => {
                     let due = (self.now + delay).next_multiple_of(self.sweep);
-                    self.plan(due, front, Step::Due(token));
+                    self.plan(due, dispatcher, Step::Due(token));
                 }
                 Action::PublishGossip(bytes) => {
-                    for other in (0..self.fronts.len()).filter(|&other| other != front) {
-                        // Heard without an answer: what a front does next, it does at its next event.
+                    for other in (0..self.dispatchers.len()).filter(|&other| other != dispatcher) {
+                        // Heard without an answer: what a dispatcher does next, it does at its next event.
                         let heard = Event::GossipReceived(bytes.clone());
-                        self.fronts[other].router.handle(self.now, heard, &mut Vec::new());
+                        self.dispatchers[other].router.handle(self.now, heard, &mut Vec::new());
                     }
                 }
                 Action::ReleaseHeldState(_) | Action::Subscribe => {}
@@ -297,31 +304,31 @@
         }
     }
 
-    fn send(&mut self, front: usize, id: RequestId, server: ServerId, attempt_timeout: Micros) {
+    fn send(&mut self, dispatcher: usize, id: RequestId, server: ServerId, attempt_timeout: Micros) {
         let now = self.now;
-        self.sends.push(Sent { at: now, front, server });
+        self.sends.push(Sent { at: now, dispatcher, server });
         let record = self.records.get_mut(&id).expect("known");
         let attempt = record.attempts;
         record.attempts += 1;
         let until = (now + attempt_timeout.max(1)).min(record.info.not_after);
         let tokens = record.info.prompt_tokens as f64;
-        self.fronts[front].out.insert(id, (attempt, server, now));
+        self.dispatchers[dispatcher].out.insert(id, (attempt, server, now));
         let mut model = self.servers.remove(&server).expect("a server");
         let of_role = || self.servers.values().filter(|other| other.role == model.role);
-        let bad = of_role().filter(|other| other.does != Does::Work).count();
-        if let Some(does) = self.first_ones.filter(|_| 3 * (bad + 1) <= of_role().count() + 1) {
-            model.does = does;
+        let bad = of_role().filter(|other| other.behavior != Behavior::Work).count();
+        if let Some(behavior) = self.first_ones.filter(|_| 3 * (bad + 1) <= of_role().count() + 1) {
+            model.behavior = behavior;
         }
         let takes = (tokens * model.token_takes + model.attempt_takes) / self.share(&model, now);
         let (role, streams_for) = (model.role, model.streams_for);
-        let done = match model.does {
-            Does::Hang => Micros::MAX,
-            Does::Refuse => {
-                self.plan(now + 500, front, Step::Ends(id, attempt, Outcome::ConnectFailed));
+        let done = match model.behavior {
+            Behavior::Hang => Micros::MAX,
+            Behavior::Refuse => {
+                self.plan(now + 500, dispatcher, Step::Ends(id, attempt, Outcome::ConnectFailed));
                 self.servers.insert(server, model);
                 return;
             }
-            Does::Work => {
+            Behavior::Work => {
                 let begins = model.free_at.max(now);
                 let done = begins + takes as Micros;
                 // What is given up before its turn is never begun.
@@ -333,12 +340,12 @@
         };
         self.servers.insert(server, model);
         if done > until {
-            self.plan(until, front, Step::Ends(id, attempt, Outcome::Timeout));
+            self.plan(until, dispatcher, Step::Ends(id, attempt, Outcome::Timeout));
         } else if role == Role::Reader {
-            self.plan(done, front, Step::Ends(id, attempt, Outcome::Read));
+            self.plan(done, dispatcher, Step::Ends(id, attempt, Outcome::Read));
         } else {
-            self.plan(done, front, Step::Begins(id, attempt));
-            self.plan(done + streams_for, front, Step::Ends(id, attempt, Outcome::Served));
+            self.plan(done, dispatcher, Step::Begins(id, attempt));
+            self.plan(done + streams_for, dispatcher, Step::Ends(id, attempt, Outcome::Served));
         }
     }
 }
--- a/crates/router/tests/full_scan.rs
+++ b/crates/router/tests/full_scan.rs
@@ -74,8 +74,8 @@
     }
 }
 
-/// Every choice, its order and its draws, for some hundred random steps of each seed, as the program took them when this
-/// was recorded: a change of the code that is to decide alike leaves it.
+/// Every choice, its order and its draws, for some hundred random steps of each seed, as the program took them when
+/// this was recorded: a change of the code that is to decide alike leaves it.
 #[test]
 fn seeded_steps_are_decided_as_recorded() {
     let recorded = [
--- a/crates/router/tests/full_scan/oracle/learning.rs
+++ b/crates/router/tests/full_scan/oracle/learning.rs
@@ -4,14 +4,45 @@
 
 use super::constants::{
     AVERAGE_HALF_LIFE_US, BASE_EJECTION_US, FULL_PAUSE_US, MAX_QUEUEING_OBJECTIVES, MAX_RECENT_SAMPLES,
-    RATE_TIME_CONSTANT_US, SAMPLE_WEIGHT, SLOW_MULTIPLE, STAGE_QUEUEING_FALL, STAGE_QUEUEING_TIME_US,
-    UNLOADED_FALL_WEIGHT, UNLOADED_RISE_WEIGHT,
+    MIN_FOUND_SHARE, RATE_TIME_CONSTANT_US, READ_OVERHEAD_TOKENS, SAMPLE_WEIGHT, SLOW_MULTIPLE,
+    STAGE_QUEUEING_FALL, STAGE_QUEUEING_TIME_US, UNLOADED_FALL_WEIGHT, UNLOADED_RISE_WEIGHT,
 };
 use super::Router;
-use crate::interface::{Micros, Outcome, RequestId};
+use crate::interface::{AttemptFinished, Micros, Outcome, RequestId};
 use crate::records::{Attempt, Stage};
 
 impl Router {
+    /// An attempt has ended: gives its memory back and judges the server, unless its first token has done that.
+    pub(super) fn record_end(
+        &mut self,
+        mut attempt: Attempt,
+        finished: &AttemptFinished,
+        prompt_tokens: u64,
+    ) {
+        let has_served = matches!(finished.outcome, Outcome::Read | Outcome::Served);
+        if let Some(server) = self.servers.get_mut(&attempt.server) {
+            server.memory_tokens_in_flight =
+                server.memory_tokens_in_flight.saturating_sub(attempt.memory_tokens);
+            if let Some(expected) = attempt.expected_prefix.filter(|_| has_served) {
+                let found = finished.cached_tokens as f64 >= MIN_FOUND_SHARE * expected.tokens as f64;
+                server.prefixes.record_lookup(found, expected, attempt.sent_at);
+            }
+        }
+        if attempt.is_streaming {
+            return;
+        }
+        self.record_answered(finished.id, &attempt);
+        if finished.outcome == Outcome::Read {
+            let unread_tokens = prompt_tokens.saturating_sub(finished.cached_tokens);
+            attempt.work_tokens = unread_tokens as f64 + READ_OVERHEAD_TOKENS;
+        }
+        if has_served {
+            self.record_success(&attempt, finished.taken);
+        } else {
+            self.record_failure(&attempt, finished.outcome);
+        }
+    }
+
     pub(super) fn record_answered(&mut self, id: RequestId, attempt: &Attempt) {
         let at = attempt.stage as usize;
         let Some(server) = self.servers.get_mut(&attempt.server) else { return };
--- a/crates/router/tests/full_scan/oracle/requests.rs
+++ b/crates/router/tests/full_scan/oracle/requests.rs
@@ -3,7 +3,7 @@
 use rand_core::RngCore;
 
 use super::constants::{
-    MIN_FOUND_SHARE, RATE_TIME_CONSTANT_US, READ_OVERHEAD_TOKENS, REMOTE_TIMEOUT_MULTIPLE, SWEEP_INTERVAL_US,
+    RATE_TIME_CONSTANT_US, READ_OVERHEAD_TOKENS, REMOTE_TIMEOUT_MULTIPLE, SWEEP_INTERVAL_US,
     TIMEOUT_MULTIPLE, TIMEOUT_SHARE_OF_OBJECTIVE, WRITE_OVERHEAD_TOKENS,
 };
 use super::Router;
@@ -129,25 +129,15 @@
         self.record_success(&attempt, taken);
     }
 
-    pub(super) fn on_attempt_finished(
-        &mut self,
-        on_attempt_finished: AttemptFinished,
-        out: &mut Vec<Action>,
-    ) {
-        let AttemptFinished { id, outcome, .. } = on_attempt_finished;
-        if let (Some(server), Some(report)) =
-            (self.servers.get_mut(&on_attempt_finished.server), on_attempt_finished.report)
-        {
+    pub(super) fn on_attempt_finished(&mut self, finished: AttemptFinished, out: &mut Vec<Action>) {
+        let AttemptFinished { id, outcome, .. } = finished;
+        if let (Some(server), Some(report)) = (self.servers.get_mut(&finished.server), finished.report) {
             server.statistics.report = Some((report, self.now));
         }
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let Some(mut attempt) = request.in_flight.take_if(|out| out.number == on_attempt_finished.attempt)
-        else {
-            return;
-        };
-        let prompt = request.info.prompt_tokens;
-        request.is_completed |= on_attempt_finished.last;
-        let worked = matches!(outcome, Outcome::Read | Outcome::Served);
+        let Some(attempt) = request.in_flight.take_if(|out| out.number == finished.attempt) else { return };
+        let prompt_tokens = request.info.prompt_tokens;
+        request.is_completed |= finished.last;
         match outcome {
             Outcome::Read => request.held_state = Some(HeldState { reader: attempt.server, since: self.now }),
             // Also told where the reader is only cut off from that writer: the state may still be pinned.
@@ -156,33 +146,13 @@
             Outcome::ConnectFailed | Outcome::NotSent | Outcome::Unacknowledged => {}
             _ => request.held_state = request.held_state.map(|held| HeldState { since: self.now, ..held }),
         }
-        if !worked {
+        if !matches!(outcome, Outcome::Read | Outcome::Served) {
             request.failed_at.push(attempt.server);
         }
         if outcome.may_have_run() && attempt.stage != Stage::Read && request.may_have_run.is_none() {
             request.may_have_run = Some(PossibleRun { server: attempt.server, sent_at: attempt.sent_at });
         }
-        if let Some(server) = self.servers.get_mut(&attempt.server) {
-            server.memory_tokens_in_flight =
-                server.memory_tokens_in_flight.saturating_sub(attempt.memory_tokens);
-            if let Some(expected) = attempt.expected_prefix.filter(|_| worked) {
-                let kept =
-                    on_attempt_finished.cached_tokens as f64 >= MIN_FOUND_SHARE * expected.tokens as f64;
-                server.prefixes.record_lookup(kept, expected, attempt.sent_at);
-            }
-        }
-        if !attempt.is_streaming {
-            self.record_answered(id, &attempt);
-            if outcome == Outcome::Read {
-                attempt.work_tokens =
-                    prompt.saturating_sub(on_attempt_finished.cached_tokens) as f64 + READ_OVERHEAD_TOKENS;
-            }
-            if worked {
-                self.record_success(&attempt, on_attempt_finished.taken);
-            } else {
-                self.record_failure(&attempt, outcome);
-            }
-        }
+        self.record_end(attempt, &finished, prompt_tokens);
         if self.requests.get(&id).is_some_and(|request| request.is_completed) {
             self.close(id, out);
         } else {
--- a/crates/router/tests/full_scan/oracle/writers.rs
+++ b/crates/router/tests/full_scan/oracle/writers.rs
@@ -54,7 +54,7 @@
     }
 
     /// Passes writers of a cell that lately queued or timed out over what is permitted and twice the middle
-    /// cell, in proportion, unless links are slow: a front meets the cell often, each writer seldom. Also
+    /// cell, in proportion, unless links are slow: a dispatcher meets the cell often, each writer seldom. Also
     /// catches a cell of slow writers. Harm: one slow writer sends its neighbours' states off.
     pub(super) fn pass_congested(&self, ready: &mut Vec<ServerId>, draw: f64) {
         if self.links_are_slow() {
--- a/crates/router/tests/handover.rs
+++ b/crates/router/tests/handover.rs
@@ -1,4 +1,4 @@
-//! What one front has learnt, taken over by another on the same machine.
+//! What one dispatcher has learnt, taken over by another on the same machine.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use dewladder_router::interface::*;
 use dewladder_router::Handover;
 
-/// A front that has had sessions read, and what it hands over, as text and back.
+/// A dispatcher that has had sessions read, and what it hands over, as text and back.
 fn learnt() -> (World, Handover) {
     let mut world = World::new(settings(), fleet(false));
     for id in 1..40 {
@@ -21,7 +21,7 @@
     (world, serde_json::from_str(&text).unwrap())
 }
 
-/// Where a front sends the next turn of a session.
+/// Where a dispatcher sends the next turn of a session.
 fn reader_of(world: &mut World, session: u64, id: u64) -> ServerId {
     let mut info = request_info(id, world.now);
     info.session = Some(Key(session));
@@ -38,7 +38,7 @@
 #[test]
 fn a_session_goes_on_where_its_text_is_kept() {
     let (mut old, handover) = learnt();
-    // The readers' homes differ for the new front, as two servers were listed after those sessions were read.
+    // The readers' homes differ for the new dispatcher, as two servers were listed after those sessions were read.
     let mut list = fleet(false);
     list.extend([entry(4, 0), entry(5, 0), entry(6, 0), entry(7, 0)]);
     let fresh = |now| {
--- a/crates/router/tests/homes.rs
+++ b/crates/router/tests/homes.rs
@@ -7,7 +7,7 @@
 use dewladder_router::interface::*;
 
 #[test]
-fn the_home_is_the_same_at_every_front_and_a_session_stays_with_its_reader() {
+fn the_home_is_the_same_at_every_dispatcher_and_a_session_stays_with_its_reader() {
     for session in 0..20 {
         let mut first = World::new(settings(), fleet(false));
         let mut second = World::new(settings(), fleet(false));
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn all_fronts_agree_on_who_stands_in_for_a_home() {
+fn all_dispatchers_agree_on_who_stands_in_for_a_home() {
     let second_choice = |seed: u64| {
         let mut world = World::new(settings(), fleet(false));
         world.restart(seed);
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_beginning_too_popular_for_one_reader_has_several_homes() {
+fn a_shared_prefix_too_popular_for_one_reader_has_several_homes() {
     let mut world = World::new(settings(), fleet(false));
     let mut used = std::collections::BTreeSet::new();
     for id in 1..60 {
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn fronts_that_have_seen_nothing_spread_a_beginning_over_the_same_few_homes() {
+fn dispatchers_that_have_seen_nothing_spread_a_shared_prefix_over_the_same_few_homes() {
     let list: Vec<ServerEntry> =
         (0..24).map(|id| entry(id, 0)).chain((30..40).map(|id| entry(id, 1))).collect();
     let mut used = std::collections::BTreeSet::new();
--- a/crates/router/tests/list_orders.rs
+++ b/crates/router/tests/list_orders.rs
@@ -1,4 +1,5 @@
-//! The list of servers, by the pure decisions alone: how soon it is asked for again, and what an order of its news does.
+//! The list of servers, by the pure decisions alone: how soon it is asked for again, and what an order of its news
+//! does.
 
 mod common;
 
@@ -15,14 +16,16 @@
 fn however_often_calls_fail_the_next_one_comes_within_six_seconds() {
     let mut lots = Pcg64Mcg::seed_from_u64(34);
     let mut late = Vec::new();
-    for fronts in [1, 4, 40, 100, 300, 100_000] {
+    for dispatchers in [1, 4, 40, 100, 300, 100_000] {
         for max_list_age in [0, SECOND / 10, SECOND, 2 * SECOND, 10 * SECOND, 1_000 * SECOND] {
             // As the watch of the list has it (`LONGEST_WAIT`); the simulator's wire has a rule of its own.
             let mut asking = ListBackoff::within(2_400_000);
-            let waits = (0..200).map(|_| asking.failed(fronts, max_list_age, lots.next_u64()));
+            let waits = (0..200).map(|_| asking.failed(dispatchers, max_list_age, lots.next_u64()));
             let longest = waits.max().unwrap_or(0);
             if longest > 2_400_000 {
-                late.push(format!("{fronts} fronts, each to ask in {max_list_age} us: {longest} us"));
+                late.push(format!(
+                    "{dispatchers} dispatchers, each to ask in {max_list_age} us: {longest} us"
+                ));
             }
         }
     }
--- a/crates/router/tests/overload.rs
+++ b/crates/router/tests/overload.rs
@@ -7,7 +7,7 @@
 use dewladder_router::interface::*;
 
 #[test]
-fn a_jam_is_answered_by_early_refusal_and_ends_with_it() {
+fn overload_is_answered_by_early_rejection_and_ends_with_it() {
     let mut world = World::new(settings(), fleet(false));
     for id in 0..40 {
         serve(&mut world, id, id);
@@ -34,8 +34,8 @@
     assert_eq!(refused(&world), before, "nothing is refused once the queue is gone");
 }
 
-/// One of 200 fronts, which has served some requests.
-fn warm_front_of_many() -> World {
+/// One of 200 dispatchers, which has served some requests.
+fn warm_dispatcher_of_many() -> World {
     let mut world = World::new(Settings { dispatcher_count: 200, ..settings() }, fleet(false));
     for id in 0..40 {
         serve(&mut world, id, id);
@@ -60,8 +60,8 @@
 }
 
 #[test]
-fn a_front_with_few_requests_out_sees_a_jam_by_what_comes_back() {
-    let mut world = warm_front_of_many();
+fn a_dispatcher_with_few_requests_in_flight_sees_overload_by_what_comes_back() {
+    let mut world = warm_dispatcher_of_many();
     // One request at a time: nothing of its own ever queues, yet each comes back just before its time-out.
     for id in 100..110 {
         let id = world.simple(id);
@@ -78,7 +78,7 @@
 /// Of ten reads, those that `lost` names time out, the others come back at once; how many of 40 further ones
 /// are refused.
 fn refused_after(lost: impl Fn(u64) -> bool) -> usize {
-    let mut world = warm_front_of_many();
+    let mut world = warm_dispatcher_of_many();
     for id in 100..110 {
         let id = world.simple(id);
         if lost(id.0) {
@@ -95,12 +95,12 @@
 }
 
 #[test]
-fn a_jam_does_not_hide_behind_the_few_reads_that_come_back() {
+fn overload_does_not_hide_behind_the_few_reads_that_come_back() {
     assert!(refused_after(|id| id % 5 != 0) > 20, "four of five reads are lost");
 }
 
 #[test]
-fn some_silent_readers_are_no_jam() {
+fn some_unresponsive_readers_are_no_overload() {
     assert_eq!(refused_after(|id| id % 3 == 0), 0, "a third of the reads is lost, the others are prompt");
 }
 
--- a/crates/router/tests/placement.rs
+++ b/crates/router/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Where work goes in a fleet of many fronts that see few requests each: each test stands for a loss seen there.
+//! Where work goes in a fleet of many dispatchers that see few requests each: each test stands for a loss seen there.
 
 mod common;
 
@@ -34,7 +34,7 @@
 }
 
 /// Seen: 545 of 4,226 tries were refused 450 ms after their read had ended well. Four own streams, taken times the
-/// number of fronts, made every writer look full.
+/// number of dispatchers, made every writer look full.
 #[test]
 fn a_few_own_streams_do_not_make_all_writers_look_full() {
     let mut world = one_of_many(false);
@@ -59,7 +59,7 @@
     }
 }
 
-/// The same where the front's own streams are many: it waits, but does not throw the read away in the end.
+/// The same where the dispatcher's own streams are many: it waits, but does not throw the read away in the end.
 #[test]
 fn what_has_been_read_goes_on_to_a_writer_before_it_is_let_go_unless_servers_said_that_they_are_full() {
     let full = |full: bool| {
@@ -91,27 +91,27 @@
 }
 
 /// Seen: 507 of 1,212 follow-up turns came to the reader of the turn before, as the home moved with the prompt's
-/// length and with what a front chanced to have seen of the text.
+/// length and with what a dispatcher chanced to have seen of the text.
 #[test]
-fn turns_of_a_session_find_one_reader_whatever_front_they_come_to() {
+fn turns_of_a_session_find_one_reader_whatever_dispatcher_they_come_to() {
     for text in 0..30 {
-        let went: BTreeSet<ServerId> = (0..8).map(|front| second_turn(text, front)).collect();
+        let went: BTreeSet<ServerId> = (0..8).map(|dispatcher| second_turn(text, dispatcher)).collect();
         assert_eq!(went.len(), 1, "text {text}: {went:?}");
     }
 }
 
-/// Where a front, that may have seen another session with the text, sends a later turn of one.
-fn second_turn(text: u64, front: u64) -> ServerId {
+/// Where a dispatcher, that may have seen another session with the text, sends a later turn of one.
+fn second_turn(text: u64, dispatcher: u64) -> ServerId {
     let mut world = one_of_many(false);
     // Uneven cells draw beginnings towards writers.
     let gone = |id: u32| ServerEntry { health: Health::Gone, ..common::entry(id, 1) };
     world.roster(ListUpdateKind::Patch, [101, 103, 104, 105, 107].map(gone).to_vec());
-    world.restart(500 + front);
+    world.restart(500 + dispatcher);
     let turn = |world: &World, id, session, prompt_tokens| RequestInfo {
         shared: Some(Key(1_000 + text)),
         ..turn(world, id, session, prompt_tokens)
     };
-    for other in 0..front % 2 {
+    for other in 0..dispatcher % 2 {
         let first = turn(&world, 900 + other, 40 + other, 5_000);
         world.ask(first);
         world.pass(150_000);
@@ -121,7 +121,7 @@
         world.end(RequestId(900 + other), Outcome::Served);
         world.pass(700_000);
     }
-    let next = turn(&world, 1, 7, 4_500 + 3_000 * front);
+    let next = turn(&world, 1, 7, 4_500 + 3_000 * dispatcher);
     world.ask(next);
     reader_of(&world, 1)
 }
@@ -162,7 +162,7 @@
     assert_eq!(none, 0);
 }
 
-/// Seen: half of the prompts behind a giant at a reader that other fronts could not know of.
+/// Seen: half of the prompts behind a giant at a reader that other dispatchers could not know of.
 #[test]
 fn work_that_others_say_to_have_sent_sends_new_work_past_that_reader_until_it_is_done() {
     let mut world = one_of_many(true);
--- a/crates/router/tests/properties.rs
+++ b/crates/router/tests/properties.rs
@@ -24,83 +24,93 @@
 /// One step: what happens, and two free numbers for it.
 type Step = (u8, u32, u32);
 
+/// Plays a series of steps and lets all requests come to their end; everything that the router did.
 fn play(mixed: bool, steps: &[Step]) -> Vec<Action> {
     let mut world = World::new(settings(), fleet(mixed));
-    let mut next_id = 1;
-    for &(what, first, second) in steps {
-        let waiting: Vec<RequestId> =
-            world.known.iter().filter(|(_, known)| known.out.is_some()).map(|(&id, _)| id).collect();
-        let any = waiting.get(first as usize % waiting.len().max(1)).copied();
-        match what {
-            0..=5 => {
-                let mut info = request_info(next_id, world.now);
-                next_id += 1;
-                info.class = first % 4;
-                info.session = (second % 5 > 0).then_some(Key(u64::from(second % 7)));
-                info.shared = (first % 3 > 0).then_some(Key(100 + u64::from(first % 4)));
-                info.shared_tokens = 700;
-                info.prompt_tokens = u64::from(second % 9_000);
-                info.not_after = world.now + u64::from(first % 4_000) * 1_000;
-                world.ask(info);
-            }
-            6..=10 => {
-                if let Some(id) = any {
-                    let reads = world.out(id).is_some_and(|out| out.reads);
-                    world.end_with(
-                        id,
-                        if reads { Outcome::Read } else { Outcome::Served },
-                        u64::from(second % 700),
-                    );
-                }
-            }
-            11..=13 => {
-                if let Some(id) = any {
-                    let reads = world.out(id).is_some_and(|out| out.reads);
-                    let mut outcome = OUTCOMES[second as usize % OUTCOMES.len()];
-                    if (outcome == Outcome::Read) != reads
-                        && matches!(outcome, Outcome::Read | Outcome::Served)
-                    {
-                        outcome = Outcome::Full;
-                    }
-                    if !reads && outcome == Outcome::NoState || reads && outcome == Outcome::Served {
-                        outcome = Outcome::Full;
-                    }
-                    world.end(id, outcome);
-                }
-            }
-            14 => {
-                if let Some(id) = any.filter(|&id| world.out(id).is_some_and(|out| !out.reads && !out.begun))
-                {
-                    world.begin(id);
-                }
-            }
-            15 => {
-                if let Some(&id) = world.known.keys().nth(first as usize % world.known.len().max(1)) {
-                    if !world.known[&id].ended {
-                        world.hangup(id);
-                    }
-                }
-            }
-            16 | 17 => {
-                let ids: Vec<u32> = world.list.keys().map(|id| id.0).collect();
-                let now = world.now;
-                world.change(ids[first as usize % ids.len()], |entry| match second % 4 {
-                    0 => entry.health = Health::Terminating,
-                    1 => entry.health = Health::Gone,
-                    2 => (entry.health, entry.started) = (Health::Ready, Some(now)),
-                    _ => entry.health = Health::Ready,
-                });
-            }
-            18 if first % 8 == 0 => world.restart(u64::from(second)),
-            18 => world.tell(Event::TimerFired(TimerToken(u64::from(second)))),
-            19 => world.tell(Event::ClientDisconnected(RequestId(u64::from(first) << 32))),
-            _ => world.pass(u64::from(first % 400) * 1_000),
-        }
+    let mut last_id = 0;
+    for &step in steps {
+        last_id += u64::from(step.0 <= 5);
+        take_step(&mut world, last_id, step);
     }
     world.pass(12 * SECOND);
     world.log
 }
 
+fn take_step(world: &mut World, last_id: u64, (what, first, second): Step) {
+    let in_flight = world.known.iter().filter(|(_, known)| known.out.is_some());
+    let in_flight: Vec<RequestId> = in_flight.map(|(&id, _)| id).collect();
+    let any = in_flight.get(first as usize % in_flight.len().max(1)).copied();
+    match (what, any) {
+        (0..=5, _) => arrive(world, last_id, first, second),
+        (6..=10, Some(id)) => serve(world, id, second),
+        (11..=13, Some(id)) => fail(world, id, second),
+        (14, Some(id)) => start_stream(world, id),
+        (15, _) => disconnect(world, first),
+        (16 | 17, _) => change_server(world, first, second),
+        (18, _) if first.is_multiple_of(8) => world.restart(u64::from(second)),
+        (18, _) => world.tell(Event::TimerFired(TimerToken(u64::from(second)))),
+        (19, _) => world.tell(Event::ClientDisconnected(RequestId(u64::from(first) << 32))),
+        (6..=14, None) => {}
+        _ => world.pass(u64::from(first % 400) * 1_000),
+    }
+}
+
+fn arrive(world: &mut World, id: u64, first: u32, second: u32) {
+    let mut info = request_info(id, world.now);
+    info.class = first % 4;
+    info.session = (!second.is_multiple_of(5)).then_some(Key(u64::from(second % 7)));
+    info.shared = (!first.is_multiple_of(3)).then_some(Key(100 + u64::from(first % 4)));
+    info.shared_tokens = 700;
+    info.prompt_tokens = u64::from(second % 9_000);
+    info.not_after = world.now + u64::from(first % 4_000) * 1_000;
+    world.ask(info);
+}
+
+fn is_read(world: &World, id: RequestId) -> bool {
+    world.out(id).is_some_and(|attempt| attempt.reads)
+}
+
+fn serve(world: &mut World, id: RequestId, second: u32) {
+    let outcome = if is_read(world, id) { Outcome::Read } else { Outcome::Served };
+    world.end_with(id, outcome, u64::from(second % 700));
+}
+
+/// Ends an attempt in any way; what is not played for its stage is taken as turned away.
+fn fail(world: &mut World, id: RequestId, second: u32) {
+    let reads = is_read(world, id);
+    let outcome = OUTCOMES[second as usize % OUTCOMES.len()];
+    let is_possible = match outcome {
+        Outcome::Read | Outcome::NoState => reads,
+        Outcome::Served => !reads,
+        _ => true,
+    };
+    world.end(id, if is_possible { outcome } else { Outcome::Full });
+}
+
+fn start_stream(world: &mut World, id: RequestId) {
+    if world.out(id).is_some_and(|attempt| !attempt.reads && !attempt.begun) {
+        world.begin(id);
+    }
+}
+
+fn disconnect(world: &mut World, first: u32) {
+    let Some(&id) = world.known.keys().nth(first as usize % world.known.len().max(1)) else { return };
+    if !world.known[&id].ended {
+        world.hangup(id);
+    }
+}
+
+fn change_server(world: &mut World, first: u32, second: u32) {
+    let ids: Vec<u32> = world.list.keys().map(|id| id.0).collect();
+    let now = world.now;
+    world.change(ids[first as usize % ids.len()], |entry| match second % 4 {
+        0 => entry.health = Health::Terminating,
+        1 => entry.health = Health::Gone,
+        2 => (entry.health, entry.started) = (Health::Ready, Some(now)),
+        _ => entry.health = Health::Ready,
+    });
+}
+
 proptest! {
     #![proptest_config(ProptestConfig {
         cases: 300,
@@ -119,8 +129,8 @@
     }
 }
 
-/// Failures of all kinds, restarts of the front and of servers, in steps that a seed gives: decided as they were when
-/// this was recorded.
+/// Failures of all kinds, restarts of the dispatcher and of servers, in steps that a seed gives: decided as they were
+/// when this was recorded.
 #[test]
 fn seeded_orders_of_events_are_decided_as_recorded() {
     let recorded = [13383258104366578817, 9768121777338194781, 18390634471075789233, 9561319631280990499];
--- a/crates/router/tests/rules.rs
+++ b/crates/router/tests/rules.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn rule_4_a_cold_server_gets_a_small_share_also_after_own_restart() {
+fn rule_4_a_server_in_slow_start_gets_a_small_share_also_after_own_restart() {
     let mut world = World::new(settings(), fleet(false));
     let now = world.now;
     world.change(0, |entry| entry.started = Some(now));
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn rule_5_a_read_that_comes_back_after_the_client_left_is_let_go() {
+fn rule_5_a_read_that_comes_back_after_the_client_left_is_released() {
     let mut settings = settings();
     settings.may_cancel = false;
     let mut world = World::new(settings, fleet(false));
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn rule_4_many_fronts_together_stay_within_a_cold_servers_budget() {
+fn rule_4_many_dispatchers_together_stay_within_the_slow_start_budget_of_a_server() {
     const FRONTS: u64 = 60;
     let mut crowd = settings();
     crowd.dispatcher_count = FRONTS as u32;
@@ -130,7 +130,7 @@
             world
         })
         .collect();
-    // One request a second at each front, spread over sessions; all hear of the cold server at once.
+    // One request a second at each dispatcher, spread over sessions; all hear of the cold server at once.
     let mut id = 0;
     let mut round = |worlds: &mut Vec<World>| {
         for world in worlds.iter_mut() {
