--- a/src/edge/driver/clients.rs
+++ b/src/edge/driver/clients.rs
@@ -1,4 +1,4 @@
-//! The clients of open requests: what is sent on for each, and where its reply goes.
+//! The clients of open requests: the payload to send for each, and the channel for its reply.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,21 +11,21 @@
 
 /// The client of an open request.
 pub(super) struct Client {
-    /// What is sent on for it.
+    /// The request as it is sent to servers.
     pub(super) payload: Arc<Payload>,
-    /// Its class, by number.
+    /// The number of the class of the request.
     pub(super) class: u32,
-    /// Taken once it has its reply.
+    /// `None` once the client has got its reply.
     reply: Option<oneshot::Sender<Reply>>,
-    /// Is told whether the request may have run, once it is completed.
+    /// Receives whether the request may have run, once it is completed.
     completed: oneshot::Sender<bool>,
-    /// The attempt whose stream the client is given.
+    /// The attempt whose stream is relayed to the client, if one is.
     streaming: Option<u32>,
     end_is_counted: bool,
 }
 
 impl Client {
-    /// One that waits for its reply.
+    /// A client that waits for its reply.
     pub(super) fn new(
         payload: Arc<Payload>,
         class: u32,
@@ -36,7 +36,7 @@
     }
 }
 
-/// The clients of open requests, by request. See the [module](self).
+/// The clients of open requests, by request id. See the [module](self).
 #[derive(Default)]
 pub(super) struct Clients(HashMap<RequestId, Client>);
 
@@ -49,24 +49,24 @@
         self.0.insert(id, client);
     }
 
-    /// What is sent on for a request.
+    /// The payload of an open request.
     pub(super) fn payload(&self, id: RequestId) -> Option<&Arc<Payload>> {
         self.0.get(&id).map(|client| &client.payload)
     }
 
-    /// Whether a client has disconnected before its reply.
+    /// Whether the client of an open request has disconnected before it got its reply.
     pub(super) fn has_disconnected(&self, id: RequestId) -> bool {
         let reply = self.0.get(&id).and_then(|client| client.reply.as_ref());
         reply.is_some_and(oneshot::Sender::is_closed)
     }
 
-    /// Whether a client is given the stream of this attempt.
+    /// Whether the stream of this attempt is relayed to the client.
     pub(super) fn is_streaming(&self, id: RequestId, attempt: u32) -> bool {
         self.0.get(&id).is_some_and(|client| client.streaming == Some(attempt))
     }
 
-    /// A client is given the stream of this attempt. Its prompt is not sent again: held as long as streams last, prompts
-    /// would add up.
+    /// Records that the stream of this attempt is relayed to the client. The body of the request is dropped, as
+    /// it is not sent again: bodies kept for as long as streams last would accumulate in memory.
     pub(super) fn start_streaming(&mut self, id: RequestId, attempt: u32) {
         if let Some(client) = self.0.get_mut(&id) {
             client.payload = Arc::new(client.payload.without_body());
@@ -74,25 +74,26 @@
         }
     }
 
-    /// Gives a client its reply. One that has just disconnected drops it; a stream that is dropped says so by itself.
+    /// Sends a client its reply, if it still waits for one. A client that has just disconnected drops the
+    /// reply; a [`Reply::Stream`] that is dropped reports the disconnect by itself.
     pub(super) fn reply(&mut self, id: RequestId, reply: Reply) {
-        let waiting = self.0.get_mut(&id).and_then(|client| client.reply.take());
-        if let Some(waiting) = waiting {
-            let _ = waiting.send(reply);
+        let reply_sender = self.0.get_mut(&id).and_then(|client| client.reply.take());
+        if let Some(reply_sender) = reply_sender {
+            let _ = reply_sender.send(reply);
         }
     }
 
-    /// The class of a request whose end has not been counted yet; from now on it is.
+    /// Marks the end of a request as counted; returns its class if the end had not been counted before.
     pub(super) fn take_uncounted_end(&mut self, id: RequestId) -> Option<u32> {
         let client = self.0.get_mut(&id)?;
         let was_counted = std::mem::replace(&mut client.end_is_counted, true);
         (!was_counted).then_some(client.class)
     }
 
-    /// Forgets a request that is completed, and tells whether it may have run to who wants to know.
+    /// Removes a completed request, and reports whether it may have run to the receiver of its completion.
     pub(super) fn complete(&mut self, id: RequestId, may_have_run: bool) {
         if let Some(client) = self.0.remove(&id) {
-            let _ = client.completed.send(may_have_run); // few want to know
+            let _ = client.completed.send(may_have_run); // most receivers are dropped early
         }
     }
 }
--- a/src/edge/driver/summary.rs
+++ b/src/edge/driver/summary.rs
@@ -1,4 +1,4 @@
-//! The log line about what clients got lately, for the engineers on call.
+//! A periodic log line with the counts of requests by outcome, for the engineers on call.
 
 use log::info;
 
@@ -10,7 +10,7 @@
 const INTERVAL_US: Micros = 10_000_000;
 const INTERVAL_S: Micros = INTERVAL_US / 1_000_000;
 
-/// Writes a summary every ten seconds; nothing while nothing happens.
+/// Writes a summary every ten seconds, unless the counts have not changed.
 #[derive(Default)]
 pub(super) struct Summary {
     due_us: Micros,
@@ -23,8 +23,8 @@
         now >= self.due_us
     }
 
-    /// Writes the summary, if anything has changed since the last one; so many histories of requests were left out of the
-    /// log meanwhile.
+    /// Writes the summary, if the counts have changed since the last one. `left_out` is the number of request
+    /// histories that were left out of the log since then.
     pub(super) fn write(&mut self, now: Micros, counts: Counts, gossip: GossipCounts, left_out: u64) {
         if left_out > 0 {
             info!(interval_s = INTERVAL_S, left_out; "driver: histories of requests left out of the log");
--- a/src/edge/servers/report.rs
+++ b/src/edge/servers/report.rs
@@ -1,15 +1,16 @@
-//! What servers report in headers and at the end of streams: their load, and the tokens found in their cache.
+//! What servers report in headers and at the end of streams: their load, and the prompt tokens found in their
+//! cache.
 
 use crate::interface::Report;
 
-/// The header, and the name of the comment in a stream, with a load report.
+/// The response header with a load report.
 pub(super) const LOAD_HEADER: &str = "x-pressure";
-/// The same in a stream, which ends with it.
+/// The start of the comment with a load report, at the end of a stream.
 pub(super) const LOAD_COMMENT: &str = ": X-Pressure:";
-/// The JSON name of the tokens that a server found in its cache.
+/// The JSON name, with quotes, of the number of prompt tokens that a server found in its cache.
 pub(super) const CACHED_TOKENS: &[u8] = b"\"cached_tokens\"";
 
-/// A load report's text: `TEXT name=value, name=value`.
+/// Parses a load report: `TEXT name=value, name=value`. A value that is not a finite number counts as missing.
 pub(super) fn load_report(text: &str) -> Option<Report> {
     let pairs = text.trim().strip_prefix("TEXT")?;
     let mut report = Report::default();
@@ -20,7 +21,7 @@
     Some(report)
 }
 
-/// The number that follows a JSON name the last time it stands there; 0 if none does.
+/// The number that follows the last occurrence of a JSON name; 0 if the name does not occur.
 pub(super) fn number_after(text: &[u8], name: &[u8]) -> u64 {
     let Some(at) = text.windows(name.len()).rposition(|window| window == name) else { return 0 };
     let digits = text[at + name.len()..].iter().skip_while(|byte| matches!(byte, b':' | b' '));
--- a/src/edge/servers/send_error.rs
+++ b/src/edge/servers/send_error.rs
@@ -1,18 +1,18 @@
-//! Why a request could not be sent, and what that says of whether it was executed.
+//! Why a request got no response, and what that says about whether it may have run.
 
 use std::error::Error as _;
 use std::io;
 
 use crate::interface::Outcome;
 
-/// Why a request could not be sent, or its answer not be read.
+/// Why a request could not be sent, or its response could not be read.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum SendError {
-    /// The connection took a part of it only.
-    #[error("it takes no more bytes")]
+    /// The connection accepted only a part of the request in time.
+    #[error("the connection accepts no more bytes")]
     Stuck,
-    /// The server's machine did not acknowledge all of it in time.
-    #[error("what was written is not acknowledged")]
+    /// The server's machine did not acknowledge all of the request in time.
+    #[error("written bytes were not acknowledged in time")]
     Unacknowledged,
     /// The connection broke.
     #[error("{0}")]
@@ -23,7 +23,7 @@
     fn from(error: hyper::Error) -> Self {
         let cause = error.source().and_then(|cause| cause.downcast_ref::<io::Error>());
         match cause.map(io::Error::kind) {
-            // A peer's own word, or this side's close.
+            // The peer reset or closed the connection, or this side closed it.
             Some(
                 io::ErrorKind::ConnectionReset
                 | io::ErrorKind::ConnectionAborted
@@ -31,14 +31,15 @@
                 | io::ErrorKind::NotConnected,
             )
             | None => Self::Broken(error),
-            // ETIMEDOUT, or in its place what routers have said meanwhile (tcp(7)): EHOSTUNREACH, ENETUNREACH and others.
+            // ETIMEDOUT, or instead of it an error that routers have reported in the meantime (tcp(7)):
+            // EHOSTUNREACH, ENETUNREACH and others.
             Some(_) => Self::Unacknowledged,
         }
     }
 }
 
 impl SendError {
-    /// What becomes of an attempt whose last byte had been written.
+    /// The outcome of an attempt whose last byte had been written before this error.
     pub(super) fn outcome(&self) -> Outcome {
         match self {
             Self::Unacknowledged => Outcome::Unacknowledged,
