--- a/src/edge/connections.rs
+++ b/src/edge/connections.rs
@@ -1,9 +1,10 @@
-//! Connections to servers: opened in time, never used for a repeat, and closed beyond doubt when an attempt
-//! is given up.
+//! Connections to servers: opened within a time limit, never used to resend a request by themselves, and closed
+//! for certain when an attempt is cancelled.
 //!
-//! Hyper's own connections, pooled here. hyper-util's client fixes a request's head before it has a connection: with
-//! connects of a second, servers were told of a second more than was left. It also hands a kept connection on in the
-//! moment its answer has ended: a second answer, written some milliseconds later, was the next request's.
+//! This module pools hyper's plain connections. The client of hyper-util is not used for attempts, for two
+//! reasons. It fixes the head of a request before it has a connection: where a connect took a second, servers
+//! were told that a second more was left than really was. And it reuses a connection the moment a response has
+//! ended: a second response, written some milliseconds later, was taken for that of the next request.
 
 mod stream;
 
@@ -24,31 +25,34 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::time::{sleep_until, timeout_at, Instant};
 
-pub use crate::edge::connections::stream::{Handle, WrittenCallback};
-use crate::edge::connections::stream::{Stream, Written};
+pub use crate::edge::connections::stream::{ConnectionHandle, WrittenCallback};
+use crate::edge::connections::stream::{Stream, WriteObserver};
 use crate::edge::core::ConnectionKind;
 use crate::edge::settings::Config;
 use crate::edge::transient::{self, is_transient};
 
-/// A server's head, and what is read of its answer at once, hold this many bytes at most.
+/// Buffer size of a connection: limits the head of a response, and how much of a response is read at once.
 const MAX_HEAD_BYTES: usize = 32 << 10;
 
-/// Servers close idle connections at `limits.keepalive_s` at the latest; what is written then is a reset. So
-/// much of that time an idle one is kept at most.
+/// Servers close idle connections after `limits.keepalive_s` at the latest, and a request that is written then
+/// is reset. An idle connection is kept for this share of that time at most.
 const IDLE_SHARE_OF_KEEPALIVE: f64 = 0.6;
-/// So many dispatchers may each keep idle connections for that time. More keep them for less: a server holds
-/// only so many connections, and what all dispatchers leave idle there must not grow with their number.
+/// Up to this many dispatchers each keep idle connections for the full time. If there are more, each keeps them
+/// for less: a server holds a limited number of connections, and the idle ones of all dispatchers together must
+/// not grow with the number of dispatchers.
 const DISPATCHERS_AT_FULL_IDLE_TIME: f64 = 4.0;
-/// Shorter than this, not even the two calls for one request would share a connection.
+/// With less idle time, not even the two calls for one request would share a connection.
 const MIN_IDLE_TIME: Duration = Duration::from_millis(100);
-/// A connection takes the next request once nothing has come on it for so long after its last answer: a second answer
-/// may come some milliseconds late (the standing test's word), and would be taken for the next request's.
+/// A connection takes the next request only once nothing has arrived on it for this long after its last
+/// response. A second response may arrive some milliseconds late, as the platform's standing test says, and
+/// would be taken for that of the next request.
 const QUIET_TIME: Duration = Duration::from_millis(50);
 
-/// No acknowledgement is given up sooner: a machine delays it by up to 40 ms.
+/// Lower limit of the acknowledgement timeout: a machine delays acknowledgements by up to 40 ms.
 const MIN_ACKNOWLEDGEMENT_TIME: Duration = Duration::from_millis(100);
 
-/// How long a connection to a server is kept idle by each of so many dispatchers.
+/// How long each of `dispatchers` dispatchers keeps an idle connection to a server that closes idle connections
+/// after `keepalive`.
 #[must_use]
 pub fn idle_timeout(keepalive: Duration, dispatchers: u32) -> Duration {
     let share =
@@ -56,19 +60,19 @@
     keepalive.mul_f64(share).max(MIN_IDLE_TIME.min(keepalive.mul_f64(IDLE_SHARE_OF_KEEPALIVE)))
 }
 
-/// How long what is written to a server may stay unacknowledged: as long as the answer to a connect may take, as the same
-/// machine answers; and half of the time that a state may be held, as it is sent on until that time is over and the protocol
-/// page adds 300 ms.
+/// How long bytes written to a server may stay unacknowledged. At most as long as a connect may take, as the
+/// same machine answers both; and at most half of the time that state may be held, as held state is sent on
+/// until that time is over, and the protocol page adds 300 ms to it.
 fn acknowledgement_timeout(config: &Config) -> Duration {
-    let release = Duration::from_micros(config.settings.max_hold_time);
-    config.connect_timeout.min(release / 2).max(MIN_ACKNOWLEDGEMENT_TIME)
+    let max_hold_time = Duration::from_micros(config.settings.max_hold_time);
+    config.connect_timeout.min(max_hold_time / 2).max(MIN_ACKNOWLEDGEMENT_TIME)
 }
 
-/// A client without any repeats of its own.
+/// An HTTP client that never resends a request by itself.
 pub type Plain<B> = Client<HttpConnector, B>;
 
-/// A client that sends each request once: hyper-util would by itself send a request again that a closed connection
-/// gave back.
+/// Creates a client that sends each request once. By default, hyper-util resends a request that a closing
+/// connection has returned unsent.
 pub fn plain_client<B>(config: &Config, max_idle: usize) -> Plain<B>
 where
     B: Body + Send + 'static,
@@ -83,45 +87,45 @@
         .timer(TokioTimer::new())
         .pool_idle_timeout(idle_timeout(config.keepalive, config.settings.dispatcher_count))
         .pool_max_idle_per_host(max_idle)
-        // Bounds a head that does not end.
+        // Limits a response head that does not end.
         .http1_max_buf_size(MAX_HEAD_BYTES)
         .build(connector)
 }
 
-/// A connection that takes a request.
+/// A connection that is ready for a request.
 pub struct Connection<B> {
-    /// Where requests are handed over.
+    /// Sends requests over the connection.
     pub sender: SendRequest<B>,
-    /// What is known of it.
-    pub handle: Handle,
-    /// Whether it has carried a request before.
+    /// Observes and closes the connection.
+    pub handle: ConnectionHandle,
+    /// Whether the connection was opened for this request or has carried one before.
     pub kind: ConnectionKind,
 }
 
-struct Idle<B> {
+struct IdleConnection<B> {
     ready: Connection<B>,
     number: u64,
-    /// From then on it takes requests.
+    /// From when on requests with [`IdleChoice::Quiet`] may take the connection.
     quiet_at: Instant,
-    /// Dropped as it is taken.
+    /// Dropped when the connection is taken, which ends the task that expires it.
     _taken: oneshot::Sender<()>,
 }
 
 struct Shared<B> {
-    /// By the servers' addresses; only those that have some.
-    idle: Mutex<HashMap<String, Vec<Idle<B>>>>,
-    /// Notified as a connection comes free.
+    /// Idle connections by server address; servers without any have no entry.
+    idle: Mutex<HashMap<String, Vec<IdleConnection<B>>>>,
+    /// Notified when connections may be taken.
     freed: Notify,
-    next: AtomicU64,
+    next_number: AtomicU64,
     idle_timeout: Duration,
-    /// What stays unacknowledged for so long breaks its connection (RFC 5482): a machine that is cut off says nothing, and
-    /// the system goes on taking in all bytes for it.
+    /// The TCP user timeout (RFC 5482): a connection breaks if written bytes stay unacknowledged for this long.
+    /// Otherwise a machine that is cut off causes no error, and the system goes on accepting bytes for it.
     acknowledgement_timeout: Duration,
     max_idle: usize,
-    written: Written,
+    write_observer: WriteObserver,
 }
 
-/// Connections to all servers; each carries one request at a time.
+/// A pool of connections to all servers. Each connection carries one request at a time. Clones share one pool.
 pub struct Pool<B>(Arc<Shared<B>>);
 
 impl<B> Clone for Pool<B> {
@@ -130,12 +134,12 @@
     }
 }
 
-/// Which idle connections will do.
+/// Which idle connections a request may take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdleChoice {
-    /// Those on which nothing has come lately.
+    /// Only those on which nothing has arrived for [`QUIET_TIME`] since their last response.
     Quiet,
-    /// Any: what its answer says is of no account.
+    /// Any, where it does no harm to take a late response for that of this request.
     Any,
 }
 
@@ -145,35 +149,35 @@
     B::Data: Send,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    /// An empty one. `written` is told of each request whose last byte has been written.
-    pub fn new(config: &Config, written: impl Fn() + Send + Sync + 'static) -> Self {
+    /// Creates an empty pool. `write_observer` is called for each request whose last byte has been written.
+    pub fn new(config: &Config, write_observer: impl Fn() + Send + Sync + 'static) -> Self {
         Self(Arc::new(Shared {
             idle: Mutex::default(),
             freed: Notify::new(),
-            next: AtomicU64::new(0),
+            next_number: AtomicU64::new(0),
             idle_timeout: idle_timeout(config.keepalive, config.settings.dispatcher_count),
             acknowledgement_timeout: acknowledgement_timeout(config),
             max_idle: config.max_idle_per_server(),
-            written: Arc::new(written),
+            write_observer: Arc::new(write_observer),
         }))
     }
 
-    fn idle(&self) -> MutexGuard<'_, HashMap<String, Vec<Idle<B>>>> {
+    fn idle(&self) -> MutexGuard<'_, HashMap<String, Vec<IdleConnection<B>>>> {
         self.0.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A connection to a server: one that is idle, else whichever comes first, a new one or one that comes free.
-    /// None comes up after `until`.
+    /// Returns a connection to a server: an idle one, or else whichever comes first of a new one and one that
+    /// becomes idle. No new connection is opened after `until`.
     ///
     /// # Errors
-    /// What the system says.
+    /// The error of the system, as for [`new_connection`](Self::new_connection).
     pub async fn connection(
         &self,
         address: &str,
         choice: IdleChoice,
         until: Instant,
     ) -> io::Result<Connection<B>> {
-        if let Some(ready) = self.take(address, choice) {
+        if let Some(ready) = self.take_idle(address, choice) {
             return Ok(ready);
         }
         tokio::select! {
@@ -182,19 +186,21 @@
         }
     }
 
-    /// A new connection to a server. None comes up after `until`.
+    /// Opens a new connection to a server, by `until` at the latest.
     ///
     /// # Errors
-    /// What the system says; `TimedOut` where nobody answers. Where a connect began late for want of something on this
-    /// machine, that too little time was left says nothing of the server: then it is what was wanting.
+    /// The error of the system; `TimedOut` if the server's machine does not answer. If local failures, such as a
+    /// lack of descriptors, delayed the connect, too little time was left to say anything about the server: then
+    /// the error is the last local failure.
     pub async fn new_connection(&self, address: &str, until: Instant) -> io::Result<Connection<B>> {
-        let mut failed_here = None;
+        let mut local_failure = None;
         loop {
             match timeout_at(until, self.open(address)).await {
-                Err(_) => return Err(failed_here.unwrap_or_else(|| io::ErrorKind::TimedOut.into())),
-                // It says nothing of the server; what this machine lacks may be there in a moment.
+                Err(_) => return Err(local_failure.unwrap_or_else(|| io::ErrorKind::TimedOut.into())),
+                // A local failure says nothing about the server, and the missing resource may be free in a
+                // moment.
                 Ok(Err(error)) if is_transient(&error) && Instant::now() + transient::PAUSE < until => {
-                    failed_here = Some(error);
+                    local_failure = Some(error);
                     sleep_until(Instant::now() + transient::PAUSE).await;
                 }
                 Ok(opened) => return opened,
@@ -202,8 +208,8 @@
         }
     }
 
-    /// The connection that was used last: the others may expire.
-    fn take(&self, address: &str, choice: IdleChoice) -> Option<Connection<B>> {
+    /// Takes the connection that was used last, so that the others may expire.
+    fn take_idle(&self, address: &str, choice: IdleChoice) -> Option<Connection<B>> {
         let (mut all, now) = (self.idle(), Instant::now());
         let idle = all.get_mut(address)?;
         idle.retain(|idle| !idle.ready.sender.is_closed());
@@ -211,51 +217,55 @@
         Some(Connection { kind: ConnectionKind::Kept, ..idle.remove(at).ready })
     }
 
+    /// Waits until an idle connection can be taken.
     async fn freed(&self, address: &str, choice: IdleChoice) -> Connection<B> {
         loop {
             self.0.freed.notified().await;
-            if let Some(ready) = self.take(address, choice) {
+            if let Some(ready) = self.take_idle(address, choice) {
                 return ready;
             }
         }
     }
 
+    /// Connects to a server, and spawns the task of the connection.
     async fn open(&self, address: &str) -> io::Result<Connection<B>> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
-        // Where the system can't, an attempt's own time-out ends it, later.
+        // Without this timeout, the timeout of the attempt still applies, later.
         if let Err(error) = SockRef::from(&stream).set_tcp_user_timeout(Some(self.0.acknowledgement_timeout))
         {
-            debug!(address, reason:% = error; "connection: no time-out for acknowledgements");
+            debug!(address, reason:% = error; "connection: the timeout for acknowledgements could not be set");
         }
-        let (stream, opened) = Stream::new(stream, self.0.written.clone());
+        let (stream, opened) = Stream::new(stream, self.0.write_observer.clone());
         let (sender, connection) = http1::Builder::new()
-            // Bounds a head that does not end.
+            // Limits a response head that does not end.
             .max_buf_size(MAX_HEAD_BYTES)
-            // A line that can't be read, a load report's say, spoils no answer that is good otherwise.
+            // An unreadable header line, for example of a load report, must not spoil a response that is good
+            // otherwise.
             .ignore_invalid_headers_in_responses(true)
             .handshake(stream)
             .await
             .map_err(io::Error::other)?;
         let task = tokio::spawn(async move {
-            // How it ends, its requests are told.
+            // The requests of the connection get its errors, so the result is not needed here.
             let _ = connection.await;
         });
         let handle = opened.handle(task.abort_handle());
         Ok(Connection { sender, handle, kind: ConnectionKind::New })
     }
 
-    /// Keeps a connection for the next request, once its answer has come to its end.
+    /// Keeps a connection for later requests, once its current response has ended.
     pub fn keep(&self, address: String, ready: Connection<B>) {
         let pool = self.clone();
         tokio::spawn(async move { pool.keep_until_taken(&address, ready).await });
     }
 
+    /// Keeps an idle connection in the pool until it is taken, it is closed, or its idle time is over.
     async fn keep_until_taken(&self, address: &str, mut ready: Connection<B>) {
         if ready.sender.ready().await.is_err() {
             return;
         }
-        let (number, now) = (self.0.next.fetch_add(1, Ordering::Relaxed), Instant::now());
+        let (number, now) = (self.0.next_number.fetch_add(1, Ordering::Relaxed), Instant::now());
         let closed = ready.handle.clone().closed();
         let (_taken, mut taken) = oneshot::channel();
         {
@@ -264,9 +274,9 @@
             if idle.len() >= self.0.max_idle {
                 return;
             }
-            idle.push(Idle { ready, number, quiet_at: now + QUIET_TIME, _taken });
+            idle.push(IdleConnection { ready, number, quiet_at: now + QUIET_TIME, _taken });
         }
-        let stays = async {
+        let idle_time = async {
             sleep_until(now + QUIET_TIME).await;
             self.0.freed.notify_waiters();
             sleep_until(now + self.0.idle_timeout.max(QUIET_TIME)).await;
@@ -274,7 +284,7 @@
         tokio::select! {
             _ = &mut taken => {}
             () = closed => {}
-            () = stays => {}
+            () = idle_time => {}
         }
         let mut all = self.idle();
         if let Some(idle) = all.get_mut(address) {
--- a/src/edge/connections/stream.rs
+++ b/src/edge/connections/stream.rs
@@ -1,4 +1,4 @@
-//! The bytes of a connection to a server, and what the attempt that goes over it can see and do.
+//! The byte stream of a connection to a server, and the handle with which an attempt observes and closes it.
 
 use std::io;
 use std::pin::Pin;
@@ -14,15 +14,15 @@
 
 use crate::edge::tcp::Uninterrupted;
 
-/// Is told of each request whose last byte has been handed to the system.
-pub(super) type Written = Arc<dyn Fn() + Send + Sync>;
-/// Called once the last byte of one request has been handed to the system.
+/// Called for each request whose last byte has been handed to the operating system.
+pub(super) type WriteObserver = Arc<dyn Fn() + Send + Sync>;
+/// Called once the last byte of one particular request has been handed to the operating system.
 pub type WrittenCallback = Box<dyn FnOnce() + Send>;
 
-/// The request that a connection carries.
+/// The write state of the request that a connection carries.
 #[derive(Default)]
 struct CarriedRequest {
-    /// Its body has been taken in hand, and its last byte is not written yet.
+    /// The body has been handed to the connection, and its last byte is not written yet.
     is_unfinished: AtomicBool,
     on_written: Mutex<Option<WrittenCallback>>,
 }
@@ -38,12 +38,14 @@
         self.is_unfinished.load(Ordering::Relaxed)
     }
 
+    /// Records that the body of a request is being written.
     fn begin(&self, on_written: Option<WrittenCallback>) {
         *self.on_written.lock().unwrap_or_else(PoisonError::into_inner) = on_written;
         self.is_unfinished.store(true, Ordering::Relaxed);
     }
 
-    /// All that was handed over is written; whether a request was among it.
+    /// Records that all bytes handed to the connection have been written; returns whether a request was among
+    /// them.
     fn finish(&self) -> bool {
         if !self.is_unfinished.swap(false, Ordering::Relaxed) {
             return false;
@@ -56,56 +58,58 @@
     }
 }
 
-/// A connection's bytes; `_open` is dropped once it has been closed, so the fields must stay in this order.
+/// The byte stream of a connection. `_open` must be dropped after `io` is closed, so the order of the fields
+/// matters.
 pub(super) struct Stream {
     io: TokioIo<Uninterrupted>,
-    written: Written,
+    write_observer: WriteObserver,
     request: Arc<CarriedRequest>,
     _open: watch::Sender<()>,
 }
 
-/// What remains to be made a handle of once the connection's task runs.
-pub(super) struct OpenedStream {
+/// The parts of a [`ConnectionHandle`], until the task of the connection has been spawned.
+pub(super) struct HandleParts {
     request: Arc<CarriedRequest>,
     open: watch::Receiver<()>,
 }
 
-impl OpenedStream {
-    pub(super) fn handle(self, task: AbortHandle) -> Handle {
-        Handle { request: self.request, open: self.open, task }
+impl HandleParts {
+    pub(super) fn handle(self, task: AbortHandle) -> ConnectionHandle {
+        ConnectionHandle { request: self.request, open: self.open, task }
     }
 }
 
 impl Stream {
-    pub(super) fn new(stream: TcpStream, written: Written) -> (Self, OpenedStream) {
+    pub(super) fn new(stream: TcpStream, write_observer: WriteObserver) -> (Self, HandleParts) {
         let (sender, open) = watch::channel(());
         let request = Arc::<CarriedRequest>::default();
         let io = TokioIo::new(Uninterrupted(stream));
-        (Self { io, written, request: request.clone(), _open: sender }, OpenedStream { request, open })
+        (Self { io, write_observer, request: request.clone(), _open: sender }, HandleParts { request, open })
     }
 }
 
-/// A connection as seen by the attempt that goes over it.
+/// The handle with which an attempt observes and closes its connection.
 #[derive(Clone, Debug)]
-pub struct Handle {
+pub struct ConnectionHandle {
     request: Arc<CarriedRequest>,
     open: watch::Receiver<()>,
     task: AbortHandle,
 }
 
-impl Handle {
-    /// An attempt's last bytes are handed over to be written; then `on_written` is called.
-    pub fn carries(&self, on_written: Option<WrittenCallback>) {
+impl ConnectionHandle {
+    /// Records that the body of a request is handed to the connection; `on_written` is called once its last byte
+    /// is written.
+    pub fn start_writing(&self, on_written: Option<WrittenCallback>) {
         self.request.begin(on_written);
     }
 
-    /// Whether bytes that were handed over have not all been written.
+    /// Whether a request is being written: its body was handed to the connection, and not all of it is written.
     #[must_use]
-    pub fn carrying(&self) -> bool {
+    pub fn is_writing(&self) -> bool {
         self.request.is_unfinished()
     }
 
-    /// Closes the connection, whatever is still to come on it, and waits until that is done.
+    /// Closes the connection, even in the middle of a response, and waits until it is closed.
     pub async fn close(self) {
         self.task.abort();
         self.closed().await;
@@ -138,9 +142,9 @@
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         ready!(Pin::new(&mut self.io).poll_flush(context))?;
-        // Nothing is left to be written: hyper flushes once all that it has is out.
+        // hyper flushes once it has written all that it has, so nothing is left to be written.
         if self.request.finish() {
-            (self.written)();
+            (self.write_observer)();
         }
         Poll::Ready(Ok(()))
     }
--- a/src/edge/driver.rs
+++ b/src/edge/driver.rs
@@ -1,7 +1,7 @@
-//! The loop round the reducer: it takes what clients, attempts and the list tell, steps the reducer, and carries out the
-//! effects that it asks for. Nothing is decided here.
+//! The event loop around the reducer: it receives messages from clients, attempts and service discovery, steps
+//! the reducer with them, and executes the effects that the reducer returns. It makes no decisions of its own.
 //!
-//! The driver owns what the reducer has no words for: the clients that wait ([`clients`]), the tasks of attempts
+//! The driver owns what the reducer has no types for: the waiting clients ([`clients`]), the tasks of attempts
 //! ([`attempts`]) and of releases ([`releases`]), and the addresses of servers ([`addresses`]).
 
 mod addresses;
@@ -36,17 +36,18 @@
     ListUpdateKind, Micros, Outcome, RequestId, RequestInfo, ServerEntry, ServerId, Settings,
 };
 
-/// Servers that are avoided are counted so often (us): it goes through all of them, and a step is taken for each event.
-const AVOIDED_SERVERS_INTERVAL: Micros = 100_000;
-/// Histories of open requests that are shown at once.
+/// Time between two counts of the avoided servers (us). A count visits all listed servers, so it does not run
+/// at every step: there is a step for each event.
+const AVOIDED_COUNT_INTERVAL: Micros = 100_000;
+/// Maximum number of requests in one description of the open requests.
 const MAX_HISTORIES: usize = 64;
 
-/// The loop. See the [module](self).
+/// The event loop around the reducer. See the [module](self).
 pub struct Driver {
     core: Core,
     clock: Clock,
     inbox: mpsc::UnboundedReceiver<Message>,
-    to_self: DriverHandle,
+    own_handle: DriverHandle,
     servers: Servers,
     gossip: GossipTransport,
     addresses: Addresses,
@@ -54,20 +55,20 @@
     attempts: Attempts,
     releases: Releases,
     figures: Figures,
-    /// The settings in which fronts look classes up.
-    published: watch::Sender<Arc<Settings>>,
+    /// Publishes the settings in which fronts look up classes.
+    published_settings: watch::Sender<Arc<Settings>>,
     summary: Summary,
-    /// When the servers that are avoided are counted next (us).
-    avoided_due: Micros,
+    /// When the avoided servers are counted next (us).
+    avoided_count_due: Micros,
 }
 
 impl Driver {
-    /// A driver for a configuration, with the way to send it messages.
+    /// Creates the driver for a configuration, and the handle through which messages are sent to it.
     #[must_use]
     pub fn new(config: &Config, clock: Clock) -> (Self, DriverHandle) {
         let (messages, inbox) = mpsc::unbounded_channel();
-        let (published, settings) = watch::channel(Arc::new(config.settings.clone()));
-        let to_self = DriverHandle::new(messages, settings);
+        let (published_settings, settings) = watch::channel(Arc::new(config.settings.clone()));
+        let own_handle = DriverHandle::new(messages, settings);
         let max_open_requests = config.max_open_requests();
         let core = Core::new(config.settings.clone(), config.seed, clock.now(), max_open_requests);
         let figures = Figures::default();
@@ -77,33 +78,33 @@
             core,
             clock,
             inbox,
-            attempts: Attempts::new(servers.clone(), to_self.clone()),
-            releases: Releases::new(servers.clone(), to_self.clone(), figures.clone()),
-            to_self: to_self.clone(),
+            attempts: Attempts::new(servers.clone(), own_handle.clone()),
+            releases: Releases::new(servers.clone(), own_handle.clone(), figures.clone()),
+            own_handle: own_handle.clone(),
             servers,
             gossip: GossipTransport::default(),
             addresses: Addresses::default(),
             clients: Clients::default(),
             figures,
-            published,
+            published_settings,
             summary: Summary::default(),
-            avoided_due: 0,
+            avoided_count_due: 0,
         };
-        (driver, to_self)
+        (driver, own_handle)
     }
 
-    /// What others may see.
+    /// The figures that this driver records, for metrics and the admin page; all clones share one record.
     #[must_use]
     pub fn figures(&self) -> Figures {
         self.figures.clone()
     }
 
-    /// Has load gossip sent there.
+    /// Sets the transport over which load gossip is sent. Without this call none is sent.
     pub fn set_gossip_transport(&mut self, gossip: GossipTransport) {
         self.gossip = gossip;
     }
 
-    /// Runs for ever.
+    /// Runs the loop. It never returns, as the driver itself holds a sender to its inbox.
     pub async fn run(mut self) {
         loop {
             let message = match self.core.next_due() {
@@ -117,21 +118,23 @@
                 },
             };
             let Some(message) = message else { return };
-            if let Some(input) = self.receive(message) {
+            if let Some(input) = self.handle_message(message) {
                 self.step(input);
             }
         }
     }
 
-    /// What a message is to the reducer, if it is anything.
-    fn receive(&mut self, message: Message) -> Option<Input> {
+    /// Handles a message; returns the input that it is for the reducer, if it is one.
+    fn handle_message(&mut self, message: Message) -> Option<Input> {
         match message {
             Message::RequestArrived { info, payload, reply, completed } => {
                 self.open_request(info, payload, reply, completed)
             }
             Message::EndpointsUpdated { how, entries } => Some(self.update_endpoints(how, entries)),
             Message::StreamOpened { id, attempt, opened } => self.attempts.stream_opened(id, attempt, opened),
-            // Guards the request that has this id: another client, rejected for it, may be the one that disconnected.
+            // A client rejected for a duplicate id sends this message with the id of another client's open
+            // request. The check protects that request: it ends only if its own client has closed the reply
+            // channel.
             Message::ClientDisconnected(id) => {
                 if !self.clients.has_disconnected(id) {
                     return None;
@@ -143,8 +146,8 @@
                 self.describe(message);
                 None
             }
-            Message::ExportState(to) => {
-                let _ = to.send(Box::new(self.core.export_state())); // who asked may have gone
+            Message::ExportState(reply) => {
+                let _ = reply.send(Box::new(self.core.export_state())); // the receiver may have gone
                 None
             }
             Message::StateImported(learned) => Some(Input::StateImported(learned)),
@@ -156,13 +159,14 @@
                 None
             }
             Message::Input(input) => {
-                self.note_input(&input);
+                self.track_input(&input);
                 Some(input)
             }
         }
     }
 
-    /// Keeps the client of a request; one whose id is open already gets its reply at once.
+    /// Registers the client of a new request. If its id belongs to an open request, the client gets
+    /// [`Reply::DuplicateId`] at once, and there is no input for the reducer.
     fn open_request(
         &mut self,
         info: RequestInfo,
@@ -181,6 +185,7 @@
         Some(Input::RequestArrived(info))
     }
 
+    /// Applies an update of the list of servers to the addresses and the figures; returns it for the reducer.
     fn update_endpoints(&mut self, how: ListUpdateKind, entries: Vec<(ServerEntry, String)>) -> Input {
         let entries = self.addresses.apply(how, entries);
         let mut record = self.figures.record();
@@ -190,20 +195,23 @@
         Input::EndpointsUpdated { how, entries }
     }
 
-    /// In one step: what is published and what the reducer goes by are never of two files.
+    /// Passes new settings to the reducer and publishes them, in one call: the published settings and those of
+    /// the reducer never come from two different files. The published classes have the numbers that the reducer
+    /// gave them.
     fn reload_settings(&mut self, settings: Box<Settings>) {
-        let mut published = (*settings).clone();
+        let mut published_settings = (*settings).clone();
         self.step(Input::SettingsReloaded(settings));
-        published.classes = self.core.classes().clone();
-        published.classes.retain(|_, class| !class.retired);
+        published_settings.classes = self.core.classes().clone();
+        published_settings.classes.retain(|_, class| !class.retired);
         let mut record = self.figures.record();
-        published.current().for_each(|class| record.know(&class.name));
+        published_settings.current().for_each(|class| record.know(&class.name));
         drop(record);
-        self.published.send_replace(Arc::new(published));
+        self.published_settings.send_replace(Arc::new(published_settings));
     }
 
-    /// Follows what attempts tell the reducer: which are in flight, and which requests have ended.
-    fn note_input(&mut self, input: &Input) {
+    /// Follows the inputs that attempts send to the reducer: removes attempts that are no longer in flight, and
+    /// counts the requests that have ended.
+    fn track_input(&mut self, input: &Input) {
         match *input {
             Input::AttemptFinished { id, attempt, result } => {
                 self.attempts.remove(id, attempt);
@@ -221,7 +229,7 @@
         }
     }
 
-    /// Counts a request's end, once.
+    /// Counts the end of a request, unless it has been counted already.
     fn count_end(&mut self, id: RequestId, end: End) {
         let Some(class) = self.clients.take_uncounted_end(id) else { return };
         if let Some(class) = self.core.classes().get(&class) {
@@ -229,6 +237,7 @@
         }
     }
 
+    /// Steps the reducer with an input, and with the inputs that follow at once from its effects.
     fn step(&mut self, input: Input) {
         if !matches!(input, Input::Tick) {
             debug!("driver: input {input:?}");
@@ -236,12 +245,13 @@
         let mut inputs = VecDeque::from([input]);
         while let Some(input) = inputs.pop_front() {
             for effect in self.core.step(self.clock.now(), input) {
-                inputs.extend(self.carry_out(effect));
+                inputs.extend(self.execute(effect));
             }
         }
         self.publish_figures();
     }
 
+    /// Updates the figures from the reducer, and writes the summary to the log if it is due.
     fn publish_figures(&mut self) {
         let mut record = self.figures.record();
         record.open = self.core.open();
@@ -250,23 +260,23 @@
         record.transitions = *self.core.transitions();
         record.messages_dropped = self.core.gossip().dropped;
         let now = self.clock.now();
-        if now >= self.avoided_due {
-            self.avoided_due = now + AVOIDED_SERVERS_INTERVAL;
+        if now >= self.avoided_count_due {
+            self.avoided_count_due = now + AVOIDED_COUNT_INTERVAL;
             record.members_unavailable = self.core.avoided();
         }
         if !self.summary.is_due(now) {
             return;
         }
         let counts = record.all();
-        drop(record); // who asks for the figures does not wait for a log line
+        drop(record); // readers of the figures do not wait for a log line
         self.summary.write(now, counts, self.core.gossip(), self.core.take_reports_left_out());
     }
 
-    /// Shows what open requests and their held state are like to who asks, or writes it to the log.
+    /// Describes the open requests or their held state, to the sender of the message or in the log.
     fn describe(&self, message: Message) {
         let now = self.clock.now();
         match message {
-            // Who asked may have gone.
+            // The receiver may have gone.
             Message::DescribeRequests(reply) => drop(reply.send(self.core.histories(now, MAX_HISTORIES))),
             Message::DescribeHeldState(reply) => drop(reply.send(self.core.held_figures(now))),
             _ => {
@@ -278,8 +288,8 @@
         }
     }
 
-    /// Carries an effect out; what comes of it at once is the next input.
-    fn carry_out(&mut self, effect: Effect) -> Option<Input> {
+    /// Executes an effect; returns the input that follows from it at once, if any.
+    fn execute(&mut self, effect: Effect) -> Option<Input> {
         debug!("driver: effect {effect:?}");
         match effect {
             Effect::Send { id, attempt, server, reads, until, begin_by, new_connection } => {
@@ -290,8 +300,9 @@
                 };
                 let (address, payload) = (address.clone(), payload.clone());
                 let (until, begin_by) = (self.clock.instant(until), self.clock.instant(begin_by));
-                let after = reads.then(|| self.releases.unanswered(id));
-                let request = Attempt { address, payload, reads, until, begin_by, new_connection, after };
+                let unanswered_releases = reads.then(|| self.releases.unanswered(id));
+                let request =
+                    Attempt { address, payload, reads, until, begin_by, new_connection, unanswered_releases };
                 self.attempts.send(id, attempt, request);
             }
             Effect::CancelUnwritten { id, attempt } => return self.attempts.cancel_unwritten(id, attempt),
@@ -311,7 +322,7 @@
             }
             Effect::PublishGossip(bytes) => self.gossip.publish(&bytes),
             Effect::Evict { id, may_have_run } => {
-                // Guards the figures: a request that is completed has ended, whatever way that came about.
+                // Keeps the figures consistent: a completed request has ended, however it came to its end.
                 self.count_end(id, End::Failed);
                 self.releases.forget(id);
                 self.clients.complete(id, may_have_run);
@@ -323,12 +334,13 @@
     /// Passes the stream of an attempt on to its client.
     fn relay(&mut self, id: RequestId, attempt: u32) {
         let Some(opened) = self.attempts.take_stream(id, attempt) else { return };
-        self.releases.abort(id); // with the first token all that is held is let go of by itself
+        self.releases.abort(id); // once the first token is there, servers release all held state by themselves
         self.clients.start_streaming(id, attempt);
-        let relay = self.servers.relay(*opened, id, attempt, Box::new(self.to_self.clone()));
+        let relay = self.servers.relay(*opened, id, attempt, Box::new(self.own_handle.clone()));
         self.clients.reply(id, Reply::Stream(relay));
     }
 
+    /// Starts the releases that the reducer has requested.
     fn release(&mut self, request: ReleaseRequest, holders: &[ServerId]) {
         let Some(payload) = self.clients.payload(request.id) else { return };
         self.releases.start(request, &payload.txn, holders, &self.addresses);
--- a/src/edge/driver/addresses.rs
+++ b/src/edge/driver/addresses.rs
@@ -1,4 +1,4 @@
-//! Where the servers of the list are reached.
+//! The network addresses of the listed servers.
 
 use std::collections::BTreeMap;
 
@@ -10,18 +10,18 @@
     is_ready: bool,
 }
 
-/// Addresses of the servers of the list.
+/// The addresses of the listed servers, by server id.
 #[derive(Default)]
 pub(super) struct Addresses(BTreeMap<ServerId, Endpoint>);
 
 impl Addresses {
-    /// Applies an update of the list, and gives its entries without their addresses.
+    /// Applies an update of the list; returns its entries without their addresses.
     pub(super) fn apply(
         &mut self,
-        how: ListUpdateKind,
+        kind: ListUpdateKind,
         entries: Vec<(ServerEntry, String)>,
     ) -> Vec<ServerEntry> {
-        if how != ListUpdateKind::Patch {
+        if kind != ListUpdateKind::Patch {
             self.0.clear();
         }
         let mut listed = Vec::with_capacity(entries.len());
@@ -37,33 +37,34 @@
         listed
     }
 
-    /// How many servers the list has.
+    /// Number of listed servers.
     pub(super) fn count(&self) -> usize {
         self.0.len()
     }
 
-    /// How many servers of the list take new work.
+    /// Number of listed servers that accept new work.
     pub(super) fn count_ready(&self) -> usize {
         self.0.values().filter(|endpoint| endpoint.is_ready).count()
     }
 
-    /// The address of a server.
+    /// The address of a server, `None` if it is not listed.
     pub(super) fn get(&self, server: ServerId) -> Option<&String> {
         self.0.get(&server).map(|endpoint| &endpoint.address)
     }
 
-    /// Addresses of so many servers that take new work and are none of these. Not the same few for every request and
-    /// every dispatcher: those would have no connection left.
-    pub(super) fn ready_but(&self, excluded: &[ServerId], id: RequestId, count: usize) -> Vec<&String> {
-        let mut others = Vec::new();
+    /// Addresses of up to `count` servers that accept new work, without the `excluded` ones. The selection
+    /// depends on the request: the same few servers for all requests and all dispatchers would run out of
+    /// connections.
+    pub(super) fn ready_except(&self, excluded: &[ServerId], id: RequestId, count: usize) -> Vec<&String> {
+        let mut candidates = Vec::new();
         for (server, endpoint) in &self.0 {
             if endpoint.is_ready && !excluded.contains(server) {
-                others.push(&endpoint.address);
+                candidates.push(&endpoint.address);
             }
         }
-        let first = (mix(id.0) % others.len().max(1) as u64) as usize;
-        others.rotate_left(first);
-        others.truncate(count);
-        others
+        let offset = (mix(id.0) % candidates.len().max(1) as u64) as usize;
+        candidates.rotate_left(offset);
+        candidates.truncate(count);
+        candidates
     }
 }
--- a/src/edge/driver/attempts.rs
+++ b/src/edge/driver/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts in flight: each runs in a task of its own, can be cancelled, and tells the driver how it went.
+//! Attempts in flight: each runs in its own task, can be cancelled, and reports its outcome to the driver.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,18 +8,20 @@
 use crate::edge::core::Input;
 use crate::edge::driver::handle::DriverHandle;
 use crate::edge::driver::messages::Message;
-use crate::edge::servers::{Attempt, AttemptOutcome, Opened, Progress, Servers, StreamEnd as _};
+use crate::edge::servers::{
+    Attempt, AttemptOutcome, OpenedStream, Progress, Servers, StreamEndListener as _,
+};
 use crate::interface::RequestId;
 
 struct InFlight {
     progress: Arc<Progress>,
-    /// Taken once the attempt has been told to stop.
+    /// Stops the task of the attempt; `None` once it has been told to stop.
     stop: Option<oneshot::Sender<()>>,
-    /// Its stream, while it waits to be passed on.
-    opened: Option<Box<Opened>>,
+    /// The stream that has begun, until it is relayed to the client.
+    opened: Option<Box<OpenedStream>>,
 }
 
-/// Attempts in flight, by request and number. See the [module](self).
+/// The attempts in flight, by request id and attempt number. See the [module](self).
 pub(super) struct Attempts {
     servers: Servers,
     driver: DriverHandle,
@@ -31,77 +33,80 @@
         Self { servers, driver, in_flight: HashMap::new() }
     }
 
-    /// Sends a request to a server.
+    /// Starts an attempt: spawns the task that sends the request to a server.
     pub(super) fn send(&mut self, id: RequestId, number: u32, attempt: Attempt) {
         let written = self.driver.clone();
         let progress = Arc::new(Progress::new(move |connection| {
             written.send(Message::Input(Input::AttemptWritten { id, attempt: number, connection }));
         }));
         let (stop, stopped) = oneshot::channel();
-        let (servers, driver, marks) = (self.servers.clone(), self.driver.clone(), progress.clone());
+        let (servers, driver, attempt_progress) =
+            (self.servers.clone(), self.driver.clone(), progress.clone());
         tokio::spawn(async move {
-            match servers.attempt(attempt, marks, stopped).await {
-                AttemptOutcome::Opened(opened) => {
+            match servers.attempt(attempt, attempt_progress, stopped).await {
+                AttemptOutcome::OpenedStream(opened) => {
                     driver.send(Message::StreamOpened { id, attempt: number, opened });
                 }
                 AttemptOutcome::Ended(result) => driver.finished(id, number, result),
                 AttemptOutcome::Stopped { written } => {
                     driver.send(Message::Input(Input::AttemptStopped { id, attempt: number, written }));
                 }
-                // Told already: by now the request may be over, and another have its id.
-                AttemptOutcome::CalledOff => {}
+                // `cancel` has already reported it. By now the request may be completed, and its id in use by
+                // another request, which a report from here would hit.
+                AttemptOutcome::CancelledBeforeWrite => {}
             }
         });
         self.in_flight.insert((id, number), InFlight { progress, stop: Some(stop), opened: None });
     }
 
-    /// An attempt has ended: nothing of it is in flight any more.
+    /// Removes an attempt that has ended.
     pub(super) fn remove(&mut self, id: RequestId, attempt: u32) {
         self.in_flight.remove(&(id, attempt));
     }
 
-    /// The stream of an attempt has begun; it waits to be passed on. One that began just as it was told to stop is given
-    /// up instead, and is no input.
+    /// Keeps the stream of an attempt that has begun, until it is relayed. If the attempt was told to stop just
+    /// before, its stream is closed instead, and there is no input for the reducer.
     pub(super) fn stream_opened(
         &mut self,
         id: RequestId,
         attempt: u32,
-        opened: Box<Opened>,
+        opened: Box<OpenedStream>,
     ) -> Option<Input> {
         let in_flight = self.in_flight.get_mut(&(id, attempt))?;
         if in_flight.stop.is_none() {
-            self.give_up(id, attempt, opened);
+            self.close_stream(id, attempt, opened);
             return None;
         }
         in_flight.opened = Some(opened);
         Some(Input::StreamStarted { id, attempt })
     }
 
-    /// Takes the stream of an attempt, to be passed on.
-    pub(super) fn take_stream(&mut self, id: RequestId, attempt: u32) -> Option<Box<Opened>> {
+    /// Removes an attempt and returns its stream, which is to be relayed.
+    pub(super) fn take_stream(&mut self, id: RequestId, attempt: u32) -> Option<Box<OpenedStream>> {
         self.in_flight.remove(&(id, attempt)).and_then(|in_flight| in_flight.opened)
     }
 
-    /// Cancels an attempt if nothing of it has been written yet.
+    /// Cancels an attempt, unless some of its request may have been written already.
     pub(super) fn cancel_unwritten(&mut self, id: RequestId, attempt: u32) -> Option<Input> {
         let in_flight = self.in_flight.get(&(id, attempt))?;
-        if in_flight.progress.call_off() {
+        if in_flight.progress.cancel_before_write() {
             return None;
         }
         self.cancel(id, attempt)
     }
 
-    /// Cancels an attempt. One of which nothing has been written has stopped at once, as nothing ever will be. Of any
-    /// other that is told once its connection is closed; one that has just ended tells that instead.
+    /// Cancels an attempt. If nothing of its request has been written, nothing will be, and the attempt has
+    /// stopped at once: that is the returned input. Otherwise [`Input::AttemptStopped`] follows once its
+    /// connection is closed, or [`Input::AttemptFinished`] if the attempt has just ended by itself.
     pub(super) fn cancel(&mut self, id: RequestId, attempt: u32) -> Option<Input> {
         let in_flight = self.in_flight.get_mut(&(id, attempt))?;
         if let Some(opened) = in_flight.opened.take() {
-            self.give_up(id, attempt, opened);
+            self.close_stream(id, attempt, opened);
             return None;
         }
         let stop = in_flight.stop.take()?;
-        let may_be_written = in_flight.progress.call_off();
-        let _ = stop.send(()); // it may just have ended
+        let may_be_written = in_flight.progress.cancel_before_write();
+        let _ = stop.send(()); // the attempt may just have ended
         if may_be_written {
             return None;
         }
@@ -109,8 +114,8 @@
         Some(Input::AttemptStopped { id, attempt, written: false })
     }
 
-    /// Gives up a stream that has begun and will not be passed on.
-    fn give_up(&self, id: RequestId, attempt: u32, opened: Box<Opened>) {
+    /// Closes a stream that has begun and will not be relayed, then reports that its attempt has stopped.
+    fn close_stream(&self, id: RequestId, attempt: u32, opened: Box<OpenedStream>) {
         let driver = self.driver.clone();
         tokio::spawn(async move {
             opened.close().await;
--- a/src/edge/driver/handle.rs
+++ b/src/edge/driver/handle.rs
@@ -1,4 +1,4 @@
-//! The way to the driver, for everything that runs beside it.
+//! The handle through which other tasks talk to the driver.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -7,10 +7,10 @@
 
 use crate::edge::core::{AttemptResult, Input};
 use crate::edge::driver::messages::{Message, Reply};
-use crate::edge::servers::{Payload, StreamEnd};
+use crate::edge::servers::{Payload, StreamEndListener};
 use crate::interface::{Class, RequestId, RequestInfo, Settings};
 
-/// Sends messages to the driver, and reads the settings that it has published.
+/// Sends messages to the driver, and reads the settings that the driver has published.
 #[derive(Clone, Debug)]
 pub struct DriverHandle {
     messages: mpsc::UnboundedSender<Message>,
@@ -25,32 +25,34 @@
         Self { messages, settings }
     }
 
-    /// The settings that hold now: their classes are those that new requests may have.
+    /// The current settings. Their classes are those that new requests may have.
     #[must_use]
     pub fn settings(&self) -> Arc<Settings> {
         self.settings.borrow().clone()
     }
 
-    /// A class by its name, with its number, if new requests may have it.
+    /// The number and the settings of the class with this name, `None` if new requests can't have it.
     #[must_use]
     pub fn class(&self, name: &str) -> Option<(u32, Class)> {
         let settings = self.settings();
-        let mut named = settings.classes.iter().filter(|(_, class)| class.name == name);
-        named.next().map(|(&number, class)| (number, class.clone()))
+        let mut matching = settings.classes.iter().filter(|(_, class)| class.name == name);
+        matching.next().map(|(&number, class)| (number, class.clone()))
     }
 
-    /// Sends a message to the driver. One that has ended needs none.
+    /// Sends a message to the driver. It is dropped if the driver has ended.
     pub fn send(&self, message: Message) {
         let _ = self.messages.send(message);
     }
 
-    /// Hands a request in and waits for its reply. Dropping the future tells that the client has disconnected.
+    /// Submits a request and waits for its reply. Dropping the future before the reply reports that the client
+    /// has disconnected.
     pub async fn ask(&self, info: RequestInfo, payload: Arc<Payload>) -> Reply {
         self.begin(info, payload).0.await
     }
 
-    /// Hands a request in. Besides its reply, as of [`ask`](Self::ask), there is told whether it may have run:
-    /// once nothing of it is in flight any more, also where the client has disconnected before.
+    /// Submits a request. The future resolves to its reply, as that of [`ask`](Self::ask) does. The receiver
+    /// gets whether the request may have run, once none of its attempts is in flight any more, even if the
+    /// client has disconnected before that.
     pub fn begin(
         &self,
         info: RequestInfo,
@@ -69,22 +71,23 @@
     }
 }
 
-impl StreamEnd for DriverHandle {
+impl StreamEndListener for DriverHandle {
     fn finished(&self, id: RequestId, attempt: u32, result: AttemptResult) {
         self.send(Message::Input(Input::AttemptFinished { id, attempt, result }));
     }
 
-    fn client_gone(&self, id: RequestId) {
+    fn client_disconnected(&self, id: RequestId) {
         self.send(Message::Input(Input::ClientDisconnected(id)));
     }
 }
 
-/// Tells that the client has disconnected when it is dropped before the reply: the handler of a request is dropped when
-/// its connection closes, and nothing else would say so.
+/// Reports that the client has disconnected if it is dropped before the reply has arrived: the handler of a
+/// request is dropped when its connection closes, and nothing else reports that.
 struct DisconnectGuard(Option<(DriverHandle, RequestId)>);
 
 impl DisconnectGuard {
-    /// The client has its reply: what becomes of it from now on is told otherwise.
+    /// Turns the guard off once the reply has arrived: from then on, the relay of the stream reports a
+    /// disconnect.
     fn disarm(mut self) {
         self.0 = None;
     }
--- a/src/edge/driver/messages.rs
+++ b/src/edge/driver/messages.rs
@@ -1,84 +1,85 @@
-//! What the driver is sent, and what it replies to clients.
+//! The messages that the driver receives, and the replies that it sends to clients.
 
 use std::sync::Arc;
 
 use tokio::sync::oneshot;
 
 use crate::edge::core::Input;
-use crate::edge::servers::{Opened, Payload, Relay};
+use crate::edge::servers::{OpenedStream, Payload, Relay};
 use crate::interface::{ListUpdateKind, Micros, RequestId, RequestInfo, ServerEntry, Settings};
 use dewladder_router::Handover;
 
-/// What the driver is told.
+/// A message to the driver.
 #[derive(Debug)]
 pub enum Message {
     /// A client's request has arrived.
     RequestArrived {
-        /// What it asks for.
+        /// The properties of the request that the reducer decides by.
         info: RequestInfo,
-        /// What is sent on for it.
+        /// The request as it is sent to servers.
         payload: Arc<Payload>,
-        /// Where its reply goes.
+        /// Receives the reply to the client.
         reply: oneshot::Sender<Reply>,
-        /// Is told whether it may have run, once nothing of it is in flight any more.
+        /// Receives whether the request may have run, once none of its attempts is in flight any more.
         completed: oneshot::Sender<bool>,
     },
-    /// An update of the list: entries with their addresses.
+    /// An update of the list of servers.
     EndpointsUpdated {
-        /// How to read the entries.
+        /// How the entries change the list.
         how: ListUpdateKind,
-        /// The entries.
+        /// The entries, each with the address of its server.
         entries: Vec<(ServerEntry, String)>,
     },
-    /// An attempt's stream has begun.
+    /// The first event of the stream of an attempt has arrived.
     StreamOpened {
-        /// The request.
+        /// The request that the attempt belongs to.
         id: RequestId,
-        /// Which attempt.
+        /// The number of the attempt within its request.
         attempt: u32,
-        /// The stream.
-        opened: Box<Opened>,
+        /// The stream, from its first event on.
+        opened: Box<OpenedStream>,
     },
-    /// A client has disconnected before its reply.
+    /// A client has disconnected before it got a reply.
     ClientDisconnected(RequestId),
-    /// Settings that hold from now on.
+    /// The settings were reloaded; these apply from now on.
     SettingsReloaded(Box<Settings>),
-    /// Asks for the histories of open requests, a line each.
+    /// Requests a description of the open requests: their histories, one per line.
     DescribeRequests(oneshot::Sender<String>),
-    /// Asks for the figures of held state, in lines.
+    /// Requests the statistics of held state, as lines of text.
     DescribeHeldState(oneshot::Sender<String>),
-    /// Has the histories of open requests written to the log.
+    /// Requests that the histories of the open requests are written to the log.
     LogRequests,
-    /// Asks for what has been learned by now.
+    /// Requests the state that the router has learned so far, to hand it over to another process.
     ExportState(oneshot::Sender<Box<Handover>>),
-    /// What the process whose place this one takes has learned.
+    /// The state that the process replaced by this one had learned.
     StateImported(Box<Handover>),
-    /// Another process of this dispatcher runs beside this one, or has ended: the share of the limits that this one has.
+    /// Another process of this dispatcher has started or ended beside this one, so the share of the limits that
+    /// this process may use has changed.
     LimitShareChanged {
-        /// Which share, of 1.
+        /// The limit share of this process, 0 to 1.
         part: f64,
-        /// Requests that are open at once.
+        /// Maximum number of open requests in this process.
         max_open_requests: usize,
     },
-    /// Something that the reducer takes as it is.
+    /// An input that is passed to the reducer unchanged.
     Input(Input),
 }
 
-/// What a client gets.
+/// The reply to a client.
 #[derive(Debug)]
 pub enum Reply {
-    /// A server's stream.
+    /// The stream of a server.
     Stream(Relay),
-    /// Rejected: trying again is harmless.
+    /// The request was rejected: a retry is harmless.
     Rejected {
-        /// After this (us).
+        /// When the client may retry, from now on (us).
         retry_in: Micros,
     },
-    /// Failed.
+    /// The request failed.
     Failed {
-        /// Whether it may have run.
+        /// Whether the request may have run.
         may_have_run: bool,
     },
-    /// Another request with this id is open: nothing was done, and that one goes on.
+    /// Another request with this id is open: this one was ignored, and the open one goes on.
     DuplicateId,
 }
--- a/src/edge/driver/releases.rs
+++ b/src/edge/driver/releases.rs
@@ -1,4 +1,5 @@
-//! Releases of what servers hold for requests: each runs in a task of its own until a server has taken it.
+//! Releases of the state that servers hold for requests. Each runs in its own task until a server has answered
+//! it, or its time is over.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,37 +12,38 @@
 use crate::edge::driver::addresses::Addresses;
 use crate::edge::driver::handle::DriverHandle;
 use crate::edge::driver::messages::Message;
-use crate::edge::servers::{Servers, UnansweredReleases, BEFORE_READ};
+use crate::edge::servers::{Servers, UnansweredReleases, BEFORE_READ_TIMEOUT};
 use crate::edge::stats::Figures;
 use crate::interface::{RequestId, ServerId};
 
-/// Servers that a release turns to where the holders don't answer.
+/// Number of other servers that a release is sent to if the holder does not answer.
 const FALLBACK_SERVERS: usize = 8;
-/// They are the ones of so many that answered last.
+/// The fallback servers are those of this many candidates that answered last.
 const FALLBACK_CANDIDATES: usize = 64;
 
-/// A server that holds something for a request that goes on.
+/// The release of the state that one server holds for an open request.
 struct Release {
     holder: ServerId,
-    /// The task that asks for the release; without one, the holder is still to be asked.
+    /// The task that sends the release; `None` once it was aborted, so that the holder is asked again by the
+    /// next release.
     task: Option<JoinHandle<()>>,
     /// Closed once a server has answered, or the task has ended.
     unanswered: watch::Receiver<()>,
 }
 
-/// A release that is asked for.
+/// The properties of a release that the reducer has requested.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReleaseRequest {
     pub(super) id: RequestId,
-    /// The number by which its end is told.
+    /// The number under which the end of the release is reported to the reducer.
     pub(super) number: u64,
-    /// Once more after [`CLOSE_SEEN`].
+    /// Whether the release is sent a second time after [`CLOSE_SEEN`].
     pub(super) again: bool,
-    /// It is given up after [`BEFORE_READ`].
+    /// Whether the release is aborted after [`BEFORE_READ_TIMEOUT`], as a read waits for it.
     pub(super) before_read: bool,
 }
 
-/// Releases under way, by request. See the [module](self).
+/// The releases in flight, by request id. See the [module](self).
 pub(super) struct Releases {
     servers: Servers,
     driver: DriverHandle,
@@ -54,20 +56,20 @@
         Self { servers, driver, figures, by_request: HashMap::new() }
     }
 
-    /// The releases of a request that are not answered yet.
+    /// The releases of a request that no server has answered yet.
     pub(super) fn unanswered(&self, id: RequestId) -> UnansweredReleases {
         let releases = self.by_request.get(&id).into_iter().flatten();
         UnansweredReleases::new(releases.map(|release| release.unanswered.clone()).collect())
     }
 
-    /// A request is completed: its releases end by themselves.
+    /// Forgets the releases of a completed request. Their tasks run on until they end by themselves.
     pub(super) fn forget(&mut self, id: RequestId) {
         self.by_request.remove(&id);
     }
 
-    /// Aborts the releases for a request as something new is held for it: a release lets go of all that is held for a
-    /// request, and one that is still under way would let go of that too. Holders that have not answered are asked again
-    /// together with the new one.
+    /// Aborts the releases of a request because new state is held for it. A release frees all state that is
+    /// held for a request, so one still in flight would free the new state too. The holders that have not
+    /// answered are asked again together with the new holder.
     pub(super) fn abort(&mut self, id: RequestId) {
         let Some(releases) = self.by_request.get_mut(&id) else { return };
         releases.retain(|release| release.task.as_ref().is_none_or(|task| !task.is_finished()));
@@ -78,8 +80,9 @@
         }
     }
 
-    /// Asks each holder, and once more where `again` says so; where it does not answer, any other server takes the call.
-    /// `transaction` is the request's id as servers know it.
+    /// Sends a release to each holder, and a second time if `again` is set. If a holder does not answer, the
+    /// release is sent to other servers, any of which can free the state. `transaction` is the request id in
+    /// the form that servers know.
     pub(super) fn start(
         &mut self,
         request: ReleaseRequest,
@@ -89,7 +92,7 @@
     ) {
         let id = request.id;
         if request.before_read {
-            self.abort(id); // what is still under way is asked for together with this one
+            self.abort(id); // their holders are added to those of this release
         }
         let releases = self.by_request.entry(id).or_default();
         let mut holders = holders.to_vec();
@@ -98,40 +101,40 @@
         releases.retain(|release| release.task.is_some());
         holders.sort_unstable();
         holders.dedup();
-        let mut fallbacks = addresses.ready_but(&holders, id, FALLBACK_CANDIDATES);
-        self.servers.last_answers().sort(&mut fallbacks);
+        let mut fallbacks = addresses.ready_except(&holders, id, FALLBACK_CANDIDATES);
+        self.servers.last_answers().sort_by_recency(&mut fallbacks);
         fallbacks.truncate(FALLBACK_SERVERS);
         for holder in holders {
-            let first = addresses.get(holder);
-            let asked: Vec<String> = first.into_iter().chain(fallbacks.clone()).cloned().collect();
-            let release = self.spawn(request, holder, transaction.to_owned(), asked);
+            let holder_address = addresses.get(holder);
+            let targets: Vec<String> = holder_address.into_iter().chain(fallbacks.clone()).cloned().collect();
+            let release = self.spawn(request, holder, transaction.to_owned(), targets);
             self.by_request.entry(id).or_default().push(release);
         }
     }
 
-    /// Starts the task that asks these servers, the holder first.
+    /// Spawns the task that sends a release to the target servers, the holder first.
     fn spawn(
         &self,
         request: ReleaseRequest,
         holder: ServerId,
         transaction: String,
-        asked: Vec<String>,
+        targets: Vec<String>,
     ) -> Release {
         let ReleaseRequest { id, number, again, before_read } = request;
         let (servers, driver) = (self.servers.clone(), self.driver.clone());
         let counted = CountedRelease::new(self.figures.clone());
-        let (until_answered, unanswered) = watch::channel(());
+        let (pending_answer, unanswered) = watch::channel(());
         let task = tokio::spawn(async move {
-            let asking = servers.release(&transaction, &asked);
+            let answer = servers.release(&transaction, &targets);
             let answered = match before_read {
-                true => timeout(BEFORE_READ, asking).await.unwrap_or(false),
-                false => asking.await,
+                true => timeout(BEFORE_READ_TIMEOUT, answer).await.unwrap_or(false),
+                false => answer.await,
             };
-            drop(until_answered);
+            drop(pending_answer);
             driver.send(Message::Input(Input::ReleaseFinished { id, number, answered }));
             if again {
                 sleep(Duration::from_micros(CLOSE_SEEN)).await;
-                servers.release(&transaction, &asked).await;
+                servers.release(&transaction, &targets).await;
             }
             drop(counted);
         });
@@ -139,7 +142,7 @@
     }
 }
 
-/// A release under way, as the figures count it until it is dropped.
+/// Counts a release in flight in the figures until it is dropped.
 struct CountedRelease(Figures);
 
 impl CountedRelease {
--- a/src/edge/servers.rs
+++ b/src/edge/servers.rs
@@ -1,8 +1,8 @@
-//! Servers: attempts ([`Servers::attempt`]), the relay of their streams ([`relay`]), and the release of what they hold
-//! ([`release`]).
+//! Communication with servers: attempts ([`Servers::attempt`]), the relay of their streams ([`relay`]), and the
+//! release of the state that servers hold ([`release`]).
 //!
-//! What an attempt comes to says whether it may have been executed: only a last byte that was never written, or a server's
-//! own word, proves that it was not ([`progress`], [`answer`]).
+//! The outcome of an attempt says whether it may have run. Only two things prove that it has not: its last byte
+//! was never written, or the server itself says so ([`progress`], [`answer`]).
 
 mod answer;
 mod last_answers;
@@ -24,44 +24,46 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep_until, timeout_at, Instant};
 
-use crate::edge::connections::{Connection, Handle, IdleChoice, Pool};
+use crate::edge::connections::{Connection, ConnectionHandle, IdleChoice, Pool};
 use crate::edge::servers::answer::read_answer;
-pub use crate::edge::servers::answer::{AttemptOutcome, Opened};
+pub use crate::edge::servers::answer::{AttemptOutcome, OpenedStream};
 pub use crate::edge::servers::last_answers::LastAnswers;
 pub use crate::edge::servers::payload::Payload;
 use crate::edge::servers::progress::AttemptBody;
 pub use crate::edge::servers::progress::Progress;
-pub use crate::edge::servers::relay::{Cut, Relay, StreamEnd};
+pub use crate::edge::servers::relay::{Cut, Relay, StreamEndListener};
 use crate::edge::servers::send_error::SendError;
-pub use crate::edge::servers::unanswered_releases::{UnansweredReleases, BEFORE_READ};
+pub use crate::edge::servers::unanswered_releases::{UnansweredReleases, BEFORE_READ_TIMEOUT};
 use crate::edge::settings::Config;
 use crate::edge::stats::Figures;
 use crate::edge::transient::is_transient;
 use crate::interface::{Outcome, RequestId};
 
-/// The header by which a repeat is known, from clients and at servers.
+/// The header with the idempotency key, by which a retry is recognized; from clients and to servers.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// One sending of a request.
+/// One attempt: a request that is sent to one server, once.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// Where the server listens.
+    /// The address on which the server listens.
     pub address: String,
-    /// What is sent.
+    /// The request to send.
     pub payload: Arc<Payload>,
-    /// Whether the server is to read only: then it answers so, and any other server does not.
+    /// Whether the server is to read only. It answers a read with 202, and a write with 200 and a stream; the
+    /// success status of the other one is an error.
     pub reads: bool,
-    /// How long the server may take.
+    /// When the reducer cancels the attempt at the latest. The time left until then is sent to the server.
     pub until: Instant,
-    /// Nothing of it is written from then on.
+    /// Writing must begin before this; a request of which only a part is written by then is given up.
     pub begin_by: Instant,
-    /// It may go over a new connection only, which is not used again.
+    /// Whether the attempt must open a new connection, which is closed afterwards instead of being kept.
     pub new_connection: bool,
-    /// It begins once these are answered, or have had their time: a release that comes later would let go of what it reads.
-    pub after: Option<UnansweredReleases>,
+    /// The attempt waits until these are answered, or for [`BEFORE_READ_TIMEOUT`] at most: a release that
+    /// arrives after the read would free the state that the read leaves.
+    pub unanswered_releases: Option<UnansweredReleases>,
 }
 
-/// The servers, as attempts reach them.
+/// Sends attempts and releases to the servers. Clones share one connection pool.
 #[derive(Clone)]
 pub struct Servers {
     pool: Pool<AttemptBody>,
@@ -71,7 +73,7 @@
 }
 
 impl Servers {
-    /// The servers of a configuration.
+    /// Creates the connection pool for a configuration. `figures` count the attempts that were written whole.
     #[must_use]
     pub fn new(config: &Config, figures: Figures) -> Self {
         let written = move || figures.record().sent_whole += 1;
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Sends a request once; `stop` gives the attempt up.
+    /// Sends a request to its server once, without retries. A message on `stop` cancels the attempt.
     pub async fn attempt(
         self,
         attempt: Attempt,
@@ -97,42 +99,43 @@
         };
         match outcome {
             Some(outcome) => outcome,
-            None if progress.call_off() => {
+            None if progress.cancel_before_write() => {
                 progress.close().await;
                 AttemptOutcome::Stopped { written: progress.written() }
             }
-            None => AttemptOutcome::CalledOff,
+            None => AttemptOutcome::CancelledBeforeWrite,
         }
     }
 
+    /// Sends the request of an attempt over a connection, and reads the response up to the first event of a stream.
     async fn send(&self, attempt: &Attempt, progress: &Arc<Progress>) -> AttemptOutcome {
-        if let Some(after) = &attempt.after {
-            // One that nobody answers is not waited for.
-            let until = attempt.begin_by.min(Instant::now() + BEFORE_READ);
-            let _ = timeout_at(until, after.clone().answered()).await;
+        if let Some(unanswered_releases) = &attempt.unanswered_releases {
+            // A release that no server answers must not block the read.
+            let until = attempt.begin_by.min(Instant::now() + BEFORE_READ_TIMEOUT);
+            let _ = timeout_at(until, unanswered_releases.clone().all_answered()).await;
         }
         let address = &attempt.address;
-        let mut ready = match self.connect(attempt).await {
-            Ok(ready) => ready,
-            // Not the server's doing: nothing is held against it.
+        let mut connection = match self.connect(attempt).await {
+            Ok(connection) => connection,
+            // The failure is local, so it does not count against the server.
             Err(error) if is_transient(&error) => {
-                debug!(address = address.as_str(), reason:% = error; "attempt: not sent for want of something here");
+                debug!(address = address.as_str(), reason:% = error; "attempt: not sent; local failure");
                 return AttemptOutcome::Ended(Outcome::NotSent.into());
             }
             Err(error) => return never_executed(address, &error),
         };
-        let handle = ready.handle.clone();
-        progress.set_connection(handle.clone(), ready.kind);
+        let handle = connection.handle.clone();
+        progress.set_connection(handle.clone(), connection.kind);
         let request = match request(attempt, progress) {
             Ok(request) => request,
             Err(error) => return never_executed(address, &error),
         };
-        match send_on(&mut ready, request, attempt.begin_by).await {
+        match send_on(&mut connection, request, attempt.begin_by).await {
             Ok(response) => {
                 self.last_answers.record(address);
-                // One that nothing else may be sent over would only take a place at the server.
+                // A connection that no other request may use would only occupy a connection slot at the server.
                 if !attempt.new_connection {
-                    self.pool.keep(address.clone(), ready);
+                    self.pool.keep(address.clone(), connection);
                 }
                 read_answer(response, attempt.reads, handle).await
             }
@@ -140,39 +143,46 @@
         }
     }
 
-    /// A connection for an attempt. One that was open before may have fallen silent with no error: the system takes all
-    /// that is written, and something between may acknowledge it. Nothing shows that but waiting, for which what is held
-    /// has no time.
+    /// Opens or reuses a connection for an attempt. An existing connection may have gone silent without any
+    /// error: the local system accepts all that is written to it, and a machine in between may acknowledge it.
+    /// Only waiting shows that, and held state leaves no time to wait: then the attempt asks for a new
+    /// connection.
     async fn connect(&self, attempt: &Attempt) -> std::io::Result<Connection<AttemptBody>> {
-        let up_by = attempt.begin_by.min(Instant::now() + self.connect_timeout);
+        let connect_by = attempt.begin_by.min(Instant::now() + self.connect_timeout);
         if attempt.new_connection {
-            self.pool.new_connection(&attempt.address, up_by).await
+            self.pool.new_connection(&attempt.address, connect_by).await
         } else {
-            self.pool.connection(&attempt.address, IdleChoice::Quiet, up_by).await
+            self.pool.connection(&attempt.address, IdleChoice::Quiet, connect_by).await
         }
     }
 
-    /// Has everything that is held for a request released, by the first of these servers that takes the call; whether one
-    /// has answered that it did.
+    /// Releases all state that is held for a request. The release is sent to these servers in turn, until one
+    /// has answered; returns whether one has.
     pub async fn release(&self, transaction: &str, addresses: &[String]) -> bool {
         release::release(&self.pool, &self.last_answers, transaction, addresses).await
     }
 
-    /// When servers last answered.
+    /// The times at which servers last answered.
     #[must_use]
     pub fn last_answers(&self) -> &LastAnswers {
         &self.last_answers
     }
 
-    /// The relay of an attempt's stream; its end goes to `end`.
+    /// Relays the stream of an attempt to its client; `listener` is told how the relay ends.
     #[must_use]
-    pub fn relay(&self, opened: Opened, id: RequestId, attempt: u32, end: Box<dyn StreamEnd>) -> Relay {
-        Relay::new(opened, self.stall, id, attempt, end)
+    pub fn relay(
+        &self,
+        opened: OpenedStream,
+        id: RequestId,
+        attempt: u32,
+        listener: Box<dyn StreamEndListener>,
+    ) -> Relay {
+        Relay::new(opened, self.stall, id, attempt, listener)
     }
 }
 
-/// The request of an attempt. It tells what is left now, with the connection up: a server must not wait for longer than
-/// the client.
+/// Builds the request of an attempt. It is built only once the connection is open, so that the remaining time
+/// in it is up to date: a server must not wait longer than the client does.
 fn request(attempt: &Attempt, progress: &Arc<Progress>) -> Result<Request<AttemptBody>, hyper::http::Error> {
     let payload = &attempt.payload;
     let body = AttemptBody::new(payload.body.clone(), attempt.begin_by, progress.clone());
@@ -190,32 +200,34 @@
     request.body(body)
 }
 
-/// Sends a request over a connection. One that takes only a part of it in time is as one that does not come up.
+/// Sends a request over a connection. A request that is written in part only by `begin_by` is given up, as if
+/// no connection had been established.
 async fn send_on(
-    ready: &mut Connection<AttemptBody>,
+    connection: &mut Connection<AttemptBody>,
     request: Request<AttemptBody>,
     begin_by: Instant,
 ) -> Result<Response<Incoming>, SendError> {
-    let handle = ready.handle.clone();
+    let handle = connection.handle.clone();
     let stuck = async {
         sleep_until(begin_by).await;
-        if !handle.carrying() {
+        if !handle.is_writing() {
             std::future::pending::<()>().await;
         }
     };
     tokio::select! {
-        sent = ready.sender.try_send_request(request) => sent.map_err(|error| SendError::from(error.into_error())),
+        sent = connection.sender.try_send_request(request) =>
+            sent.map_err(|error| SendError::from(error.into_error())),
         () = stuck => Err(SendError::Stuck),
     }
 }
 
-/// What an attempt comes to whose connection gave no answer: only a last byte that was not written proves that it was
-/// never executed.
+/// The outcome of an attempt whose connection gave no response. The attempt may have run, unless its last byte
+/// was never written.
 async fn not_answered(
     address: &str,
     error: &SendError,
     progress: &Progress,
-    handle: Handle,
+    handle: ConnectionHandle,
 ) -> AttemptOutcome {
     handle.close().await;
     if !progress.written() {
@@ -230,7 +242,7 @@
     AttemptOutcome::Ended(Outcome::ConnectFailed.into())
 }
 
-/// A header's text, if it is there and readable.
+/// The text of a header without surrounding blanks, `None` if it is missing or not visible ASCII.
 #[must_use]
 pub fn header<'a>(headers: &'a HeaderMap<HeaderValue>, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok()).map(str::trim)
--- a/src/edge/servers/answer.rs
+++ b/src/edge/servers/answer.rs
@@ -1,4 +1,4 @@
-//! What the answer of a server means for its attempt.
+//! The outcome of an attempt, from the response of its server.
 
 use std::time::Duration;
 
@@ -9,67 +9,78 @@
 use hyper::{Response, StatusCode};
 use tokio::time::{timeout_at, Instant};
 
-use crate::edge::connections::Handle;
+use crate::edge::connections::ConnectionHandle;
 use crate::edge::core::AttemptResult;
 use crate::edge::event_shape::EventShape;
 use crate::edge::servers::report::{load_report, number_after, CACHED_TOKENS, LOAD_HEADER};
 use crate::interface::Outcome;
 
-/// The header by which a server says that it has turned a request away without executing it.
-const TURNED_AWAY: &str = "x-turned-away";
-/// What is left of an answer whose meaning is known is read for so long; then its connection is closed. Where a read
-/// has ended, what it left has to be let go or sent on within half a second.
+/// The header by which a server says that it has rejected a request without executing it.
+const TURNED_AWAY_HEADER: &str = "x-turned-away";
+/// Once the status has settled the outcome, the rest of the response is read for this long at most, then the
+/// connection is closed. After a read, what it left must be released or used by a write within 500 ms.
 const DRAIN_TIME: Duration = Duration::from_millis(50);
-/// An answer that is no stream is this long at most.
+/// Maximum size of a response that is not a stream.
 pub(super) const MAX_ANSWER_BYTES: usize = 64 << 10;
 
-/// A stream whose first event is here.
+/// The stream of a server whose first event has arrived.
 #[derive(Debug)]
-pub struct Opened {
+pub struct OpenedStream {
     pub(super) first: Option<Bytes>,
     pub(super) rest: Incoming,
     pub(super) shape: EventShape,
-    handle: Handle,
+    handle: ConnectionHandle,
 }
 
-impl Opened {
-    /// Gives the stream up: its connection is closed.
+impl OpenedStream {
+    /// Closes the connection of the stream and drops its remaining events.
     pub async fn close(self) {
         drop(self.rest);
         self.handle.close().await;
     }
 }
 
-/// What an attempt comes to.
+/// How an attempt went, up to the first event of its stream.
 #[derive(Debug)]
 pub enum AttemptOutcome {
-    /// A stream has begun.
-    Opened(Box<Opened>),
-    /// It has ended.
+    /// The first event of its stream has arrived.
+    OpenedStream(Box<OpenedStream>),
+    /// The attempt has ended by itself, without a stream.
     Ended(AttemptResult),
-    /// It was stopped, and its connection has been closed.
+    /// The attempt was cancelled after its request may have been written, and its connection has been closed.
     Stopped {
-        /// Whether its last byte may have been written.
+        /// Whether the last byte of the request may have been written.
         written: bool,
     },
-    /// It was called off before anything was written, as who called it off knows.
-    CalledOff,
+    /// The attempt was cancelled before any byte was written. Whoever cancelled it knows that already.
+    CancelledBeforeWrite,
 }
 
-/// What an answer means. A server that answers as only those of another role do is taken at no word of it: it may
-/// have run. Where an answer does not come to its end, the connection is closed before that is told.
-pub(super) async fn read_answer(response: Response<Incoming>, reads: bool, handle: Handle) -> AttemptOutcome {
+/// Reads a response and returns the outcome of its attempt. A success status that only servers of the other role
+/// send is not trusted: the outcome is an error, and the attempt may have run. If the end of a response is not
+/// reached, its connection is closed before the outcome is returned.
+pub(super) async fn read_answer(
+    response: Response<Incoming>,
+    reads: bool,
+    handle: ConnectionHandle,
+) -> AttemptOutcome {
     let (head, mut body) = response.into_parts();
     let report = head.headers.get(LOAD_HEADER).and_then(|text| text.to_str().ok()).and_then(load_report);
-    let turned_away = head.headers.get(TURNED_AWAY).is_some_and(|value| value == "1");
-    let framed = head.headers.contains_key(TRANSFER_ENCODING) || head.headers.contains_key(CONTENT_LENGTH);
+    let turned_away = head.headers.get(TURNED_AWAY_HEADER).is_some_and(|value| value == "1");
+    let is_framed = head.headers.contains_key(TRANSFER_ENCODING) || head.headers.contains_key(CONTENT_LENGTH);
     let mut cached_tokens = 0;
     let mut outcome = match head.status {
-        // Where the connection's end is the answer's, a break looks just like it: such a head is spoilt.
-        StatusCode::OK | StatusCode::ACCEPTED if !framed => Outcome::Reset,
+        // Without a length or chunks, the response ends with its connection, and a break can't be told from the
+        // end: the head must have been damaged.
+        StatusCode::OK | StatusCode::ACCEPTED if !is_framed => Outcome::Reset,
         StatusCode::OK if !reads => match first_event(&mut body).await {
             Some((first, shape)) => {
-                return AttemptOutcome::Opened(Box::new(Opened { first, rest: body, shape, handle }))
+                return AttemptOutcome::OpenedStream(Box::new(OpenedStream {
+                    first,
+                    rest: body,
+                    shape,
+                    handle,
+                }))
             }
             None => Outcome::Reset,
         },
@@ -97,15 +108,16 @@
     AttemptOutcome::Ended(AttemptResult { outcome, cached_tokens, report })
 }
 
-/// What a stream opens with, to the end of its first event; no bytes for one that ended in good order without
-/// any, `None` if it broke or is none: it may have run, and nothing of it has been passed on.
+/// Reads the beginning of a stream, to the end of its first event. Returns no bytes for a stream that ended
+/// properly without any, and `None` if the stream broke or is not one of events: then the attempt may have run,
+/// and nothing of it has been relayed.
 async fn first_event(body: &mut Incoming) -> Option<(Option<Bytes>, EventShape)> {
     let (mut shape, mut first) = (EventShape::default(), Bytes::new());
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame.ok()?.into_data() else { continue };
-        let ends = shape.take(&data)?;
+        let event_ended = shape.take(&data)?;
         first = if first.is_empty() { data } else { [first, data].concat().into() };
-        if ends {
+        if event_ended {
             return Some((Some(first), shape));
         }
     }
--- a/src/edge/servers/last_answers.rs
+++ b/src/edge/servers/last_answers.rs
@@ -1,5 +1,5 @@
-//! When servers last answered anything. Where most of them have fallen silent together, a call that any server takes goes
-//! first to those that have answered lately.
+//! The times at which servers last answered anything. A call that any server can take goes first to those that
+//! answered lately: most servers may have fallen silent together.
 
 use std::num::NonZeroUsize;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -8,22 +8,22 @@
 use lru::LruCache;
 use tokio::time::Instant;
 
-/// Servers that are remembered, those that answered last.
+/// Maximum number of servers in the table; the one whose answer is the oldest is evicted first.
 const MAX_SERVERS: NonZeroUsize = NonZeroUsize::new(1_024).expect("above 0");
-/// Answers that are less old than this are alike: they say that the server ran just now.
+/// Answers younger than this rank the same: each shows that the server is running now.
 const JUST_NOW: Duration = Duration::from_millis(300);
-/// An older answer than this says nothing any more.
+/// An answer older than this says nothing about the server.
 const RECENT: Duration = Duration::from_secs(3);
 
-/// How long ago a server answered, as far as that matters. Those that are to be preferred come first.
+/// The age class of the last answer of a server. Preferred servers sort first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Answered {
+enum AnswerAge {
     JustNow,
     Recently,
-    Not,
+    LongAgoOrNever,
 }
 
-/// By the servers' addresses. See the [module](self).
+/// The time of the last answer of each server, by address. Clones share one table. See the [module](self).
 #[derive(Clone, Debug)]
 pub struct LastAnswers(Arc<Mutex<LruCache<String, Instant>>>);
 
@@ -38,7 +38,7 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A server has answered just now.
+    /// Records that a server has answered now.
     pub fn record(&self, address: &str) {
         let (mut table, now) = (self.table(), Instant::now());
         match table.get_mut(address) {
@@ -47,13 +47,14 @@
         }
     }
 
-    /// Sorts addresses so that servers that have answered lately come first; their order is kept otherwise.
-    pub fn sort(&self, addresses: &mut [&String]) {
+    /// Sorts addresses by the age class of their last answers, the most recent first. Addresses of one class
+    /// keep their order.
+    pub fn sort_by_recency(&self, addresses: &mut [&String]) {
         let (table, now) = (self.table(), Instant::now());
         addresses.sort_by_cached_key(|address| match table.peek(address.as_str()) {
-            Some(&at) if now < at + JUST_NOW => Answered::JustNow,
-            Some(&at) if now < at + RECENT => Answered::Recently,
-            _ => Answered::Not,
+            Some(&at) if now < at + JUST_NOW => AnswerAge::JustNow,
+            Some(&at) if now < at + RECENT => AnswerAge::Recently,
+            _ => AnswerAge::LongAgoOrNever,
         });
     }
 }
--- a/src/edge/servers/relay.rs
+++ b/src/edge/servers/relay.rs
@@ -11,123 +11,128 @@
 use tokio::time::{sleep_until, Instant, Sleep};
 
 use crate::edge::core::AttemptResult;
-use crate::edge::servers::answer::Opened;
+use crate::edge::servers::answer::OpenedStream;
 use crate::edge::servers::report::{load_report, number_after, CACHED_TOKENS, LOAD_COMMENT};
 use crate::interface::{Outcome, RequestId};
 
-/// The end of a stream that tells of cached tokens and load (bytes).
+/// Length of the end of a stream that is searched for cached tokens and the load report (bytes).
 const TAIL_BYTES: usize = 512;
 
-/// Is told how a relay ends; exactly one of the two, once.
-pub trait StreamEnd: std::fmt::Debug + Send {
-    /// The attempt has ended.
+/// Is told how a relay ends: exactly one of the methods is called, once.
+pub trait StreamEndListener: std::fmt::Debug + Send {
+    /// The stream has ended or was cut, and with it the attempt.
     fn finished(&self, id: RequestId, attempt: u32, result: AttemptResult);
-    /// The client has left before the end.
-    fn client_gone(&self, id: RequestId);
+    /// The client has disconnected before the end of the stream.
+    fn client_disconnected(&self, id: RequestId);
 }
 
-/// Passes a server's stream on, byte for byte and as it comes. It ends without error only if the server's
-/// stream did; one that breaks or stalls is an error, so that the client's connection is cut.
+/// Relays a server's stream to the client: all bytes unchanged, and as soon as they arrive. The relay ends
+/// without an error only if the server's stream did; a stream that breaks or stalls ends in an error, so that
+/// the client's connection is cut.
 #[derive(Debug)]
 pub struct Relay {
-    opened: Opened,
+    opened: OpenedStream,
     tail: Vec<u8>,
-    stall: Pin<Box<Sleep>>,
-    stalled_after: Duration,
-    /// Why it is cut, until that has been said.
-    why: Option<Cut>,
-    /// Where the end is told; taken then.
-    end: Option<Box<dyn StreamEnd>>,
+    stall_timer: Pin<Box<Sleep>>,
+    stall_timeout: Duration,
+    /// Why the stream was cut, until the error has been returned to the HTTP server.
+    cut_reason: Option<Cut>,
+    /// Taken once it has been told how the relay ended.
+    listener: Option<Box<dyn StreamEndListener>>,
     id: RequestId,
     attempt: u32,
 }
 
-type Piece = Result<Frame<Bytes>, Cut>;
+type FrameResult = Result<Frame<Bytes>, Cut>;
 
 /// Why a relay was cut.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Cut {
-    /// The server's connection broke.
+    /// The connection to the server broke.
     #[error("the server's stream broke")]
     Broken,
-    /// The server fell silent, or came to the end of no event any more.
+    /// The server sent nothing more, or did not come to the end of an event, for the stall timeout.
     #[error("the server's stream stalled")]
     Stalled,
-    /// What came are no events.
+    /// The server sent data that is not an event stream.
     #[error("the server's stream is spoilt")]
     Spoilt,
-    /// The client took so long that what it had still to get is not kept any more.
+    /// The client read so slowly that data which it had not received yet is no longer kept.
     #[error("the stream went on without this client, which was too slow")]
     Behind,
 }
 
 impl Relay {
-    /// The relay of an attempt's stream, which is cut where it stalls for so long; its end goes to `end`.
+    /// Creates the relay of a stream, which is cut if no event ends for `stall_timeout`; `listener` is told how
+    /// the relay ends.
     pub(super) fn new(
-        opened: Opened,
-        stalled_after: Duration,
+        opened: OpenedStream,
+        stall_timeout: Duration,
         id: RequestId,
         attempt: u32,
-        end: Box<dyn StreamEnd>,
+        listener: Box<dyn StreamEndListener>,
     ) -> Self {
         Self {
             opened,
             tail: Vec::new(),
-            stall: Box::pin(sleep_until(Instant::now() + stalled_after)),
-            stalled_after,
-            why: None,
-            end: Some(end),
+            stall_timer: Box::pin(sleep_until(Instant::now() + stall_timeout)),
+            stall_timeout,
+            cut_reason: None,
+            listener: Some(listener),
             id,
             attempt,
         }
     }
 
+    /// Keeps the last [`TAIL_BYTES`] bytes of the stream.
     fn keep_tail(&mut self, data: &Bytes) {
         let new = &data[data.len().saturating_sub(TAIL_BYTES)..];
-        let over = (self.tail.len() + new.len()).saturating_sub(TAIL_BYTES);
-        self.tail.drain(..over.min(self.tail.len()));
+        let excess = (self.tail.len() + new.len()).saturating_sub(TAIL_BYTES);
+        self.tail.drain(..excess.min(self.tail.len()));
         self.tail.extend_from_slice(new);
     }
 
-    /// Passes on what has come, unless it is no event or none has come to its end for too long.
-    fn pass_on(&mut self, context: &mut Context<'_>, data: Bytes) -> Poll<Option<Piece>> {
-        let Some(ends) = self.opened.shape.take(&data) else {
+    /// Relays a piece of the stream, unless it is not part of an event stream, or no event has ended for too
+    /// long.
+    fn forward(&mut self, context: &mut Context<'_>, data: Bytes) -> Poll<Option<FrameResult>> {
+        let Some(event_ended) = self.opened.shape.take(&data) else {
             return self.cut(context, Outcome::Reset, Cut::Spoilt);
         };
-        if ends {
-            let stalled = Instant::now() + self.stalled_after;
-            self.stall.as_mut().reset(stalled);
-        } else if self.stall.as_mut().poll(context).is_ready() {
+        if event_ended {
+            let stall_deadline = Instant::now() + self.stall_timeout;
+            self.stall_timer.as_mut().reset(stall_deadline);
+        } else if self.stall_timer.as_mut().poll(context).is_ready() {
             return self.cut(context, Outcome::Timeout, Cut::Stalled);
         }
         self.keep_tail(&data);
         Poll::Ready(Some(Ok(Frame::data(data))))
     }
 
-    /// Ends the stream with an error, in the next turn: hyper drops what it has not written yet when a body
-    /// fails, and a client that got not even the head of its answer would count as lost.
-    fn cut(&mut self, context: &Context<'_>, outcome: Outcome, why: Cut) -> Poll<Option<Piece>> {
-        warn!(request_id:% = self.id, attempt = self.attempt, reason:% = why; "relay: stream cut");
-        self.ended(outcome);
-        self.why = Some(why);
+    /// Ends the stream with an error, but only at the next poll: when a body fails, hyper drops what it has not
+    /// written yet, and a client that did not even get the head of its response would count as lost.
+    fn cut(&mut self, context: &Context<'_>, outcome: Outcome, cut_reason: Cut) -> Poll<Option<FrameResult>> {
+        warn!(request_id:% = self.id, attempt = self.attempt, reason:% = cut_reason; "relay: stream cut");
+        self.report_end(outcome);
+        self.cut_reason = Some(cut_reason);
         context.waker().wake_by_ref();
         Poll::Pending
     }
 
-    fn ended(&mut self, outcome: Outcome) {
-        let Some(end) = self.end.take() else { return };
+    /// Tells the listener how the stream ended, with the cached tokens and the load report that end it.
+    fn report_end(&mut self, outcome: Outcome) {
+        let Some(listener) = self.listener.take() else { return };
         let cached_tokens = number_after(&self.tail, CACHED_TOKENS);
         let text = String::from_utf8_lossy(&self.tail);
         let report = text.lines().find_map(|line| line.strip_prefix(LOAD_COMMENT)).and_then(load_report);
-        end.finished(self.id, self.attempt, AttemptResult { outcome, cached_tokens, report });
+        listener.finished(self.id, self.attempt, AttemptResult { outcome, cached_tokens, report });
     }
 }
 
 impl Drop for Relay {
-    /// Dropped before its end: the client has left.
+    /// A relay that is dropped before its end: the client has disconnected.
     fn drop(&mut self) {
-        if let Some(end) = self.end.take() {
-            end.client_gone(self.id);
+        if let Some(listener) = self.listener.take() {
+            listener.client_disconnected(self.id);
         }
     }
 }
@@ -136,9 +141,9 @@
     type Data = Bytes;
     type Error = Cut;
 
-    fn poll_frame(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<Piece>> {
-        if let Some(why) = self.why.take() {
-            return Poll::Ready(Some(Err(why)));
+    fn poll_frame(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<FrameResult>> {
+        if let Some(cut_reason) = self.cut_reason.take() {
+            return Poll::Ready(Some(Err(cut_reason)));
         }
         if let Some(first) = self.opened.first.take() {
             self.keep_tail(&first);
@@ -148,18 +153,18 @@
             match Pin::new(&mut self.opened.rest).poll_frame(context) {
                 Poll::Ready(Some(Ok(frame))) => {
                     let Ok(data) = frame.into_data() else { continue };
-                    return self.pass_on(context, data);
+                    return self.forward(context, data);
                 }
                 Poll::Ready(Some(Err(error))) => {
                     debug!(request_id:% = self.id, attempt = self.attempt, reason:% = error; "relay: stream broke");
                     return self.cut(context, Outcome::Reset, Cut::Broken);
                 }
                 Poll::Ready(None) => {
-                    self.ended(Outcome::Served);
+                    self.report_end(Outcome::Served);
                     return Poll::Ready(None);
                 }
                 Poll::Pending => {
-                    ready!(self.stall.as_mut().poll(context));
+                    ready!(self.stall_timer.as_mut().poll(context));
                     return self.cut(context, Outcome::Timeout, Cut::Stalled);
                 }
             }
--- a/src/edge/servers/release.rs
+++ b/src/edge/servers/release.rs
@@ -1,4 +1,4 @@
-//! The release of what servers hold for a request.
+//! The release of the state that servers hold for a request.
 
 use std::time::Duration;
 
@@ -15,50 +15,53 @@
 use crate::edge::servers::last_answers::LastAnswers;
 use crate::edge::servers::progress::AttemptBody;
 
-/// A release that has no answer yet asks one more server after each such step, waits so long for each, and goes on
-/// for so long. What is held is to be let go within half a second, and where the network is split several servers
-/// in a row may be silent.
-const STEP: Duration = Duration::from_millis(40);
+/// Interval at which a release without an answer is sent to one more server. Held state must be released within
+/// 500 ms, and in a network split several servers in a row may be silent.
+const NEXT_SERVER_INTERVAL: Duration = Duration::from_millis(40);
+/// How long a release waits for the answer of one server.
 const TRY_TIMEOUT: Duration = Duration::from_millis(160);
+/// How long a release goes on without an answer of any server.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Over which connection a server is asked for a release.
+/// The kind of connection over which a release is sent to a server.
 #[derive(Clone, Copy, Debug)]
 enum ReleaseConnection {
-    /// Any that is open, else a new one.
+    /// An idle connection, or a new one if there is none.
     Any,
-    /// A new one: those that are open may have fallen silent, one and all.
+    /// A new connection: all open ones may have fallen silent.
     New,
 }
 
 impl ReleaseConnection {
-    /// Servers that have no place for a new connection still have the open ones.
-    const EACH_IN_TURN: [Self; 2] = [Self::Any, Self::New];
+    /// Servers without a free connection slot can still be reached over open connections, so both kinds take
+    /// turns.
+    const ALTERNATION: [Self; 2] = [Self::Any, Self::New];
 }
 
-/// Why a server has not released what it holds.
+/// Why a server has not released the state.
 #[derive(Debug, Error)]
 enum ReleaseError {
-    /// The id or the address is no part of a request.
+    /// The request id or the address can't be part of an HTTP request.
     #[error("{0}")]
     Request(#[from] hyper::http::Error),
-    /// No connection.
+    /// No connection could be opened.
     #[error("{0}")]
     Connect(std::io::Error),
-    /// The connection broke.
+    /// The connection broke before the response.
     #[error("{0}")]
     Send(hyper::Error),
-    /// The server refused.
+    /// The server answered with a status other than 2xx.
     #[error("status {}", .0.as_u16())]
     Status(StatusCode),
-    /// No answer in time.
+    /// The server did not answer in time.
     #[error("no answer")]
     Timeout,
 }
 
-/// Has everything that is held for a request released: the holder is asked first, then, as any server takes the call, the
-/// others, until one has answered; whether one has. It takes the connection on which the holder has just answered a read: where a server's
-/// places for connections are all taken, a new one would be refused. Each second try goes over a new one.
+/// Releases all state that is held for a request. The holder, the first of the addresses, is asked first, then
+/// the others, as any server accepts the call, until one has answered; returns whether one has. The first try
+/// takes the connection on which the holder has just answered a read: if all connection slots of the server are
+/// taken, a new connection would be refused. Every second try uses a new connection.
 pub(super) async fn release(
     pool: &Pool<AttemptBody>,
     last_answers: &LastAnswers,
@@ -66,16 +69,16 @@
     addresses: &[String],
 ) -> bool {
     if addresses.is_empty() {
-        warn!(transaction; "release: no server to ask for the release of what is held");
+        warn!(transaction; "release: no server address to send the release of held state to");
     }
-    let end = Instant::now() + RELEASE_TIMEOUT;
-    // Dropped at the return, and with it all tries that are still out.
+    let give_up_at = Instant::now() + RELEASE_TIMEOUT;
+    // Dropping the set at the return aborts all tries that are still in flight.
     let mut tries = JoinSet::new();
-    let connections = ReleaseConnection::EACH_IN_TURN.into_iter().cycle();
+    let connections = ReleaseConnection::ALTERNATION.into_iter().cycle();
     for (address, connection) in addresses.iter().cycle().zip(connections) {
         let start = Instant::now();
-        if start >= end {
-            warn!(transaction; "release: no server took the release of what is held");
+        if start >= give_up_at {
+            warn!(transaction; "release: no server confirmed the release of held state");
             return false;
         }
         let (pool, last_answers) = (pool.clone(), last_answers.clone());
@@ -87,15 +90,15 @@
             }
             released
         });
-        // One that refuses at once must not be asked in a tight loop: its step is waited for all the same.
-        if timeout_at(start + STEP, any_released(&mut tries)).await.is_ok() {
+        // The full interval passes even if a server refuses at once: servers must not be asked in a tight loop.
+        if timeout_at(start + NEXT_SERVER_INTERVAL, any_released(&mut tries)).await.is_ok() {
             return true;
         }
     }
     false
 }
 
-/// Waits until a server has released what it held.
+/// Waits until one of the tries has succeeded; forever if none does.
 async fn any_released(tries: &mut JoinSet<bool>) {
     while let Some(released) = tries.join_next().await {
         if released.is_ok_and(|released| released) {
@@ -105,7 +108,7 @@
     std::future::pending::<()>().await;
 }
 
-/// Asks one server to release what is held; whether it says that it has.
+/// Sends the release to one server; returns whether the server has confirmed it.
 async fn release_at(
     pool: &Pool<AttemptBody>,
     transaction: &str,
@@ -113,15 +116,16 @@
     connection: ReleaseConnection,
     until: Instant,
 ) -> bool {
-    let answer = ask(pool, transaction, address, connection, until);
+    let answer = send_release(pool, transaction, address, connection, until);
     let released = timeout_at(until, answer).await.unwrap_or(Err(ReleaseError::Timeout));
     if let Err(error) = &released {
-        debug!(transaction, address, reason:% = error; "release: not taken");
+        debug!(transaction, address, reason:% = error; "release: server did not confirm");
     }
     released.is_ok()
 }
 
-async fn ask(
+/// Sends the release to one server, and reads the response.
+async fn send_release(
     pool: &Pool<AttemptBody>,
     transaction: &str,
     address: &str,
@@ -141,7 +145,7 @@
     let response = ready.sender.send_request(request).await.map_err(ReleaseError::Send)?;
     pool.keep(address.to_owned(), ready);
     let status = response.status();
-    // Read to its end, so that the connection can be used again; how it ends does not matter.
+    // The body is read to its end so that the connection can be reused; errors in it do not matter.
     let _ = Limited::new(response.into_body(), MAX_ANSWER_BYTES).collect().await;
     if status.is_success() {
         Ok(())
--- a/tests/local_connect_failures.rs
+++ b/tests/local_connect_failures.rs
@@ -46,7 +46,7 @@
         until,
         begin_by: until,
         new_connection,
-        after: None,
+        unanswered_releases: None,
     };
     let (_keep, stopped) = oneshot::channel();
     match servers.attempt(attempt, std::sync::Arc::default(), stopped).await {
--- a/tests/silent_releases.rs
+++ b/tests/silent_releases.rs
@@ -70,7 +70,7 @@
         until,
         begin_by: until,
         new_connection: false,
-        after: None,
+        unanswered_releases: None,
     };
     let (_keep, stopped) = oneshot::channel();
     let result = servers.attempt(attempt, Arc::default(), stopped).await;
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -218,7 +218,7 @@
         until,
         begin_by: until,
         new_connection: false,
-        after: None,
+        unanswered_releases: None,
     };
     servers.attempt(attempt, Arc::default(), stop)
 }
