--- a/src/bin/dewladder-simulator-adapter.rs
+++ b/src/bin/dewladder-simulator-adapter.rs
@@ -1,4 +1,5 @@
-//! Hosts many routers that share nothing and speaks the simulator's wire on standard input and output.
+//! Runs the routers of many simulated dispatchers, which share no state, and speaks the simulator's protocol on
+//! standard input and output.
 
 #![forbid(unsafe_code)]
 
@@ -11,7 +12,7 @@
 use dewladder::Router;
 
 fn main() -> ExitCode {
-    match serve() {
+    match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("dewladder-simulator-adapter: {error}");
@@ -20,7 +21,8 @@
     }
 }
 
-fn serve() -> Result<(), WireError> {
+/// Answers each batch with the actions of its dispatchers until the input ends.
+fn run() -> Result<(), WireError> {
     let mut input = BatchReader::new(BufReader::with_capacity(1 << 16, stdin().lock()));
     let mut output = BufWriter::with_capacity(1 << 16, stdout().lock());
     let mut routers: BTreeMap<u32, Router> = BTreeMap::new();
@@ -32,7 +34,7 @@
         owners.clear();
         for (dispatcher, message) in batch.messages.drain(..) {
             if message == Message::Killed {
-                forget_actions(dispatcher, &mut actions, &mut owners);
+                discard_actions(dispatcher, &mut actions, &mut owners);
             }
             deliver(&mut routers, dispatcher, batch.now, message, &mut actions);
             owners.resize(actions.len(), dispatcher);
@@ -42,13 +44,15 @@
     Ok(())
 }
 
-/// A dispatcher killed in this batch says nothing more: what it wanted a moment ago goes with it.
-fn forget_actions(dispatcher: u32, actions: &mut Vec<Action>, owners: &mut Vec<u32>) {
+/// Discards the pending actions of a dispatcher killed in this batch: the simulator must not see them.
+fn discard_actions(dispatcher: u32, actions: &mut Vec<Action>, owners: &mut Vec<u32>) {
     let mut owner = owners.iter();
     actions.retain(|_| owner.next() != Some(&dispatcher));
     owners.retain(|&owner| owner != dispatcher);
 }
 
+/// Starts or removes the router of a dispatcher, or passes it an event. Events for a dispatcher without a router
+/// are dropped.
 fn deliver(
     routers: &mut BTreeMap<u32, Router>,
     dispatcher: u32,
--- a/src/simulator_adapter.rs
+++ b/src/simulator_adapter.rs
@@ -1,7 +1,8 @@
-//! The simulator's wire: batches of messages in, actions out, as lines of text whose fields are set apart by tabs.
+//! Text protocol of the simulator: batches of messages in, actions out. Each line holds one message, with its
+//! fields separated by tabs.
 //!
-//! The only place that knows the wire's words. [`BatchReader`] reads what the simulator tells, [`write_reply`] writes what
-//! the routers want done.
+//! This module is the only one that knows the words of the protocol. [`BatchReader`] reads the simulator's
+//! messages, [`write_reply`] writes the actions of the routers.
 
 mod fields;
 mod messages;
@@ -15,47 +16,47 @@
 pub use reader::BatchReader;
 pub use writer::write_reply;
 
-/// What is wrong with the input.
+/// Error in reading from or writing to the simulator.
 #[derive(Debug, Error)]
 pub enum WireError {
-    /// A line or one of its values can't be read.
-    #[error("line {line}: {field}: {what}")]
+    /// A line or one of its fields is invalid.
+    #[error("line {line}: {field}: {reason}")]
     Malformed {
-        /// The line, counted from 1.
+        /// Line number, from 1.
         line: u64,
-        /// The value at fault.
+        /// Name of the invalid field.
         field: String,
-        /// What is wrong with it.
-        what: String,
+        /// What is wrong with the field.
+        reason: String,
     },
     /// Reading or writing failed.
     #[error("input or output failed: {0}")]
     Io(#[from] std::io::Error),
 }
 
-/// What a batch tells one dispatcher.
+/// A message to one simulated dispatcher.
 #[derive(Debug, PartialEq)]
 pub enum Message {
-    /// It starts.
+    /// The dispatcher starts.
     Started {
-        /// For its random numbers.
+        /// Seed of its random numbers.
         seed: u64,
-        /// What it is told at start.
+        /// Its settings.
         settings: Box<Settings>,
     },
-    /// It has been killed.
+    /// The dispatcher has been killed.
     Killed,
-    /// Something has happened.
+    /// An event for the dispatcher's router.
     Event(Event),
 }
 
-/// One batch of messages.
+/// A batch of messages that share one point in time.
 #[derive(Debug, Default, PartialEq)]
 pub struct Batch {
-    /// The clock.
+    /// Time of the batch on the simulator's clock (us).
     pub now: Micros,
-    /// The batch's number, given back as it came.
+    /// Number of the batch, repeated unchanged in the reply.
     pub number: String,
-    /// Messages with the dispatcher that each is for, by number.
+    /// The messages in order, each with the number of the dispatcher that it is for.
     pub messages: Vec<(u32, Message)>,
 }
--- a/src/simulator_adapter/fields.rs
+++ b/src/simulator_adapter/fields.rs
@@ -1,4 +1,4 @@
-//! The fields of a line.
+//! Parsing of the tab-separated fields of a line.
 
 use std::str::FromStr;
 
@@ -7,7 +7,7 @@
 
 use crate::simulator_adapter::WireError;
 
-/// A line's fields, taken one after the other; errors name the line and the field.
+/// The fields of one line, read one after the other. Errors name the line and the field.
 pub(super) struct Fields<'a> {
     rest: std::str::Split<'a, char>,
     pub(super) line: u64,
@@ -18,22 +18,22 @@
         Self { rest: text.split('\t'), line }
     }
 
-    /// The error that a field of this line can't be read.
-    pub(super) fn malformed(&self, field: &str, what: &str) -> WireError {
-        WireError::Malformed { line: self.line, field: field.to_owned(), what: what.to_owned() }
+    /// The error for an invalid field of this line.
+    pub(super) fn malformed(&self, field: &str, reason: &str) -> WireError {
+        WireError::Malformed { line: self.line, field: field.to_owned(), reason: reason.to_owned() }
     }
 
-    /// The next field as it stands; `None` at the end of the line.
+    /// The next field as text; `None` at the end of the line.
     pub(super) fn next(&mut self) -> Option<&'a str> {
         self.rest.next()
     }
 
-    /// A text that is not empty.
+    /// A required text, which must not be empty.
     pub(super) fn word(&mut self, field: &str) -> Result<&'a str, WireError> {
         self.next().filter(|text| !text.is_empty()).ok_or_else(|| self.malformed(field, "missing"))
     }
 
-    /// A value that may be absent: `-`, or the end of the line.
+    /// An optional value, absent if the field is `-` or the line has ended.
     pub(super) fn optional<T: FromStr>(&mut self, field: &str) -> Result<Option<T>, WireError> {
         match self.next() {
             None | Some("-") => Ok(None),
@@ -43,12 +43,12 @@
         }
     }
 
-    /// A number.
+    /// A required value.
     pub(super) fn number<T: FromStr>(&mut self, field: &str) -> Result<T, WireError> {
         self.optional(field)?.ok_or_else(|| self.malformed(field, "missing"))
     }
 
-    /// A time in seconds that may be absent, in microseconds.
+    /// An optional time: seconds with decimals on the wire, returned in microseconds.
     pub(super) fn optional_time(&mut self, field: &str) -> Result<Option<Micros>, WireError> {
         match self.next() {
             None | Some("-") => Ok(None),
@@ -58,12 +58,12 @@
         }
     }
 
-    /// A time in seconds, in microseconds.
+    /// A required time: seconds with decimals on the wire, returned in microseconds.
     pub(super) fn time(&mut self, field: &str) -> Result<Micros, WireError> {
         self.optional_time(field)?.ok_or_else(|| self.malformed(field, "missing"))
     }
 
-    /// The id of a request: sixteen hexadecimal digits.
+    /// A request id: sixteen hexadecimal digits.
     pub(super) fn request_id(&mut self, field: &str) -> Result<RequestId, WireError> {
         let text = self.word(field)?;
         let id = u64::from_str_radix(text, 16).ok().filter(|_| text.len() == 16);
--- a/src/simulator_adapter/messages.rs
+++ b/src/simulator_adapter/messages.rs
@@ -1,4 +1,4 @@
-//! What one line tells.
+//! Parsing of single messages.
 
 use std::collections::HashMap;
 
@@ -12,7 +12,8 @@
 use crate::simulator_adapter::fields::Fields;
 use crate::simulator_adapter::{Message, WireError};
 
-pub(super) fn entry(fields: &mut Fields) -> Result<ServerEntry, WireError> {
+/// Parses an entry of the server list, after its leading `m`.
+pub(super) fn list_entry(fields: &mut Fields) -> Result<ServerEntry, WireError> {
     Ok(ServerEntry {
         server: ServerId(fields.number("engine")?),
         zone: ZoneId(fields.number("region_part")?),
@@ -29,6 +30,7 @@
     })
 }
 
+/// Parses the rest of a message of the kind `word`. Kinds that the router has no use for become [`Event::Ignored`].
 pub(super) fn message(word: &str, fields: &mut Fields) -> Result<Message, WireError> {
     let event = match word {
         "born" => {
@@ -45,7 +47,7 @@
             Event::FirstToken { id, attempt, taken: fields.time("time_taken_s")? }
         }
         "hangup" => Event::ClientDisconnected(fields.request_id("rid")?),
-        "due" => Event::TimerFired(timer(fields.word("key_back")?)),
+        "due" => Event::TimerFired(timer_token(fields.word("key_back")?)),
         "checked" => {
             fields.number::<u32>("verdict")?;
             fields.time("time_taken_s")?;
@@ -74,6 +76,7 @@
     Ok(Message::Event(event))
 }
 
+/// Parses a client's request. The hint of the answer's length counts only if bit 0 of `flags` is set.
 fn request(fields: &mut Fields) -> Result<RequestInfo, WireError> {
     let id = fields.request_id("rid")?;
     let class = fields.number("tier_class")?;
@@ -99,6 +102,7 @@
     })
 }
 
+/// Parses the end of an attempt. `detail` holds the cached tokens of a success, and 1 for a server without the state.
 fn attempt_finished(fields: &mut Fields) -> Result<Event, WireError> {
     let id = fields.request_id("rid")?;
     let taken = fields.time("time_taken_s")?;
@@ -121,6 +125,7 @@
     }))
 }
 
+/// Maps an outcome's code on the wire; codes that this version does not know become [`Outcome::Unknown`].
 fn outcome(code: u32, no_state: bool) -> Outcome {
     match code {
         1 => Outcome::Served,
@@ -137,6 +142,7 @@
     }
 }
 
+/// Parses a load report: `name:value` pairs separated by commas, `-` for an absent value. Unknown names are skipped.
 fn report(fields: &mut Fields) -> Result<Option<Report>, WireError> {
     let Some(text) = fields.optional::<String>("report")? else {
         return Ok(None);
@@ -156,11 +162,12 @@
     Ok(Some(report))
 }
 
-/// A token that this codec did not write belongs to no timer; the router knows no such number.
-fn timer(text: &str) -> TimerToken {
+/// Parses a timer token. Text that this adapter did not write becomes a token that the router never issues.
+fn timer_token(text: &str) -> TimerToken {
     TimerToken(u64::from_str_radix(text, 16).unwrap_or(u64::MAX))
 }
 
+/// Parses the settings: the remaining fields of the line, each a `path=value` pair.
 fn settings(fields: &mut Fields) -> Result<Settings, WireError> {
     let mut values = HashMap::new();
     while let Some(pair) = fields.next() {
@@ -169,10 +176,10 @@
         };
         values.insert(path, value);
     }
-    let named = |error: SettingsError| WireError::Malformed {
+    let to_wire_error = |error: SettingsError| WireError::Malformed {
         line: fields.line,
         field: format!("settings {}", error.path),
-        what: error.problem.to_string(),
+        reason: error.problem.to_string(),
     };
-    from_key_values(values).map_err(named)
+    from_key_values(values).map_err(to_wire_error)
 }
--- a/src/simulator_adapter/reader.rs
+++ b/src/simulator_adapter/reader.rs
@@ -1,14 +1,14 @@
-//! Reads batches from lines.
+//! Reads batches of messages.
 
 use std::io::BufRead;
 
 use dewladder_router::interface::{Event, ListUpdateKind};
 
 use crate::simulator_adapter::fields::Fields;
-use crate::simulator_adapter::messages::{entry, message};
+use crate::simulator_adapter::messages::{list_entry, message};
 use crate::simulator_adapter::{Batch, Message, WireError};
 
-/// Reads batches.
+/// Reads batches from a stream of lines. Empty lines are skipped.
 #[derive(Debug)]
 pub struct BatchReader<R> {
     input: R,
@@ -17,15 +17,15 @@
 }
 
 impl<R: BufRead> BatchReader<R> {
-    /// Reads from `input`.
+    /// A reader of the batches in `input`.
     pub fn new(input: R) -> Self {
         Self { input, line_number: 0, line: String::new() }
     }
 
-    /// Reads the next batch into `batch`; `false` at the end of input.
+    /// Replaces the contents of `batch` with the next batch; returns `false` at the end of the input.
     ///
     /// # Errors
-    /// A malformed line, or input that can't be read or ends within a batch.
+    /// A line is malformed, the input can't be read, or it ends within a batch.
     pub fn read(&mut self, batch: &mut Batch) -> Result<bool, WireError> {
         batch.messages.clear();
         if !self.next_line()? {
@@ -50,7 +50,7 @@
             }
             let dispatcher = fields.number("front")?;
             if word == "roster_change" {
-                let event = self.endpoints()?;
+                let event = self.list_update()?;
                 batch.messages.push((dispatcher, Message::Event(event)));
             } else {
                 let message = message(word, &mut fields)?;
@@ -59,6 +59,7 @@
         }
     }
 
+    /// Reads the next line that is not empty into `self.line`; returns `false` at the end of the input.
     fn next_line(&mut self) -> Result<bool, WireError> {
         loop {
             self.line.clear();
@@ -80,7 +81,8 @@
         }
     }
 
-    fn endpoints(&mut self) -> Result<Event, WireError> {
+    /// Parses a list update: the current line, and one line for each entry that it announces.
+    fn list_update(&mut self) -> Result<Event, WireError> {
         let mut fields = Fields::new(&self.line, self.line_number);
         fields.word("message")?;
         fields.word("front")?;
@@ -104,7 +106,7 @@
             if fields.word("entry")? != "m" {
                 return Err(fields.malformed("items", "fewer entries than announced"));
             }
-            entries.push(entry(&mut fields)?);
+            entries.push(list_entry(&mut fields)?);
         }
         Ok(Event::EndpointsUpdated { how, entries })
     }
--- a/src/simulator_adapter/writer.rs
+++ b/src/simulator_adapter/writer.rs
@@ -1,14 +1,15 @@
-//! Writes replies as lines.
+//! Writes the replies to batches.
 
 use std::io::Write;
 
 use base64::Engine as _;
 use dewladder_router::interface::{Action, Micros};
 
-/// Writes a reply: one line for each action, in order, and `end`.
+/// Writes the reply to a batch: one line per action, in order, each with the number of the dispatcher that it
+/// is from, and an `end` line with the number of the batch.
 ///
 /// # Errors
-/// Output that can't be written.
+/// The output can't be written.
 pub fn write_reply<'a, W: Write>(
     out: &mut W,
     number: &str,
@@ -45,6 +46,7 @@
     }
 }
 
+/// The time in seconds with six decimals, as the wire has it.
 fn seconds(time: Micros) -> String {
     format!("{}.{:06}", time / 1_000_000, time % 1_000_000)
 }
