--- a/src/edge/core.rs
+++ b/src/edge/core.rs
@@ -1,8 +1,10 @@
-//! The reducer: it owns the [`Router`] and the open requests, and [`Core::step`] is the one function that changes them.
+//! The reducer of the dispatcher: [`Core`] owns the [`Router`] and all open requests, and only [`Core::step`]
+//! changes them.
 //!
-//! Inputs come from, and effects go to, `driver.rs`; nothing here knows of a wire, a clock or a socket. A step tells the
-//! router what has happened, applies the actions that it returns to the open requests ([`request_table`], the last guard
-//! for the rules), and fires the timers that are due.
+//! The driver (`driver.rs`) supplies the inputs and the time, and carries out the returned effects. The reducer
+//! does no I/O and reads no clock. A step passes the input to the router as events, applies the actions that
+//! the router returns to the open requests ([`request_table`], which enforces the rules on sends and final
+//! answers), and fires the timers that are due.
 
 pub mod endpoints;
 pub mod held_state;
@@ -32,7 +34,7 @@
 use crate::Router;
 use dewladder_router::{Classes, EndReason, GossipCounts, Handover, StartTimes};
 
-/// The reducer. See the [module](self).
+/// The reducer. See the [module documentation](self).
 #[derive(Debug)]
 pub struct Core {
     router: Router,
@@ -41,15 +43,15 @@
     start_times: StartTimes,
     requests: RequestTable,
     max_open_requests: usize,
-    /// Once the process was told to end.
+    /// Set once the process has been told to shut down.
     shutdown: Option<ShutdownTimes>,
-    /// What a client is told that is rejected for want of room (us).
+    /// Retry delay for clients whose requests are rejected on arrival (us).
     retry_in: Micros,
     step: Step,
 }
 
 impl Core {
-    /// One that has just started; it holds `max_open_requests` requests at most.
+    /// A reducer without servers or requests, which admits at most `max_open_requests` open requests.
     #[must_use]
     pub fn new(settings: Settings, seed: u64, now: Micros, max_open_requests: usize) -> Self {
         Self {
@@ -65,12 +67,12 @@
         }
     }
 
-    /// Takes what has happened and returns what is to be done, in order.
+    /// Applies an input at time `now` and returns the effects to carry out, in order.
     pub fn step(&mut self, now: Micros, input: Input) -> Vec<Effect> {
-        // The router subtracts times from one another: its clock must never go back.
+        // The router subtracts points in time from each other, so the time that it sees must never decrease.
         self.step.now = self.step.now.max(now);
         self.apply_input(input);
-        self.consult_router();
+        self.process_router_events();
         while let Some(timer) = self.step.timers.take_due(self.step.now) {
             match timer {
                 Timer::Attempt(id, attempt) => {
@@ -79,60 +81,60 @@
                 Timer::HeldState(id) => self.requests.hold_deadline_reached(id, &mut self.step),
                 Timer::Router(token) => self.step.events.push_back(Event::TimerFired(token)),
             }
-            self.consult_router();
+            self.process_router_events();
         }
         std::mem::take(&mut self.step.effects)
     }
 
-    /// When the next step is due although nothing happens (us).
+    /// The time at which the next timer is due (us): the driver must step the reducer then, even without any input.
     #[must_use]
     pub fn next_due(&self) -> Option<Micros> {
         self.step.timers.next_due()
     }
 
-    /// Requests whose clients still wait or are being streamed to, or of which an attempt is in flight.
+    /// Number of open requests: the client is waiting or its stream is being relayed, or an attempt is in flight.
     #[must_use]
     pub fn open(&self) -> usize {
         self.requests.count()
     }
 
-    /// Whether the list has servers that together can serve a request.
+    /// Whether the ready servers of the list can together serve a request.
     #[must_use]
     pub fn serves(&self) -> bool {
         self.endpoints.can_serve()
     }
 
-    /// How many servers of the list are remembered.
+    /// Number of servers in the list, including those that are draining.
     #[must_use]
     pub fn known_servers(&self) -> usize {
         self.endpoints.count()
     }
 
-    /// What became of messages between dispatchers.
+    /// Counts of load gossip messages sent to and received from other dispatchers, and dropped.
     #[must_use]
     pub fn gossip(&self) -> GossipCounts {
         self.router.gossip_counts()
     }
 
-    /// What the guard has refused and found broken.
+    /// The guard, with its counts of refused sends and rule violations.
     #[must_use]
     pub fn guard(&self) -> &Guard {
         self.requests.guard()
     }
 
-    /// What became of attempts and requests, by reason.
+    /// Counts of attempts by outcome and of requests answered without a stream, by reason.
     #[must_use]
     pub fn transitions(&self) -> &Transitions {
         self.requests.transitions()
     }
 
-    /// What became of held state since the start, with what is held now, in lines.
+    /// Metrics of held state since the start and of the state held at `now`, one per line.
     #[must_use]
     pub fn held_figures(&self, now: Micros) -> String {
         self.requests.held_figures(now)
     }
 
-    /// The histories of open requests, the oldest first: so many at most, a line each.
+    /// Histories of at most `count` open requests, oldest first, one per line.
     #[must_use]
     pub fn histories(&self, now: Micros, count: usize) -> String {
         let mut open: Vec<_> = self.requests.open_requests().collect();
@@ -145,24 +147,24 @@
         text
     }
 
-    /// How many histories of requests were left out of the log since this was last asked.
+    /// Number of request histories that the rate limit kept out of the log since the last call.
     pub fn take_reports_left_out(&mut self) -> u64 {
         self.requests.take_reports_left_out()
     }
 
-    /// Servers of the list that are avoided now.
+    /// Number of listed servers that the router currently avoids.
     #[must_use]
     pub fn avoided(&self) -> usize {
         self.router.avoided_servers()
     }
 
-    /// What has been learned by now, for another process to go on from.
+    /// The state that the router has learned, for the process that replaces this one in a hot restart.
     #[must_use]
     pub fn export_state(&self) -> Handover {
         self.router.export_state()
     }
 
-    /// The classes, with those that only open requests still have.
+    /// The classes by number, including retired ones that open requests still use.
     #[must_use]
     pub fn classes(&self) -> &BTreeMap<u32, Class> {
         self.classes.known()
@@ -186,17 +188,17 @@
                 self.requests.attempt_stopped(id, attempt, written, step);
             }
             Input::ReleaseFinished { id, number, answered } => {
-                self.requests.finish_releasing(id, number, answered, step);
+                self.requests.finish_release(id, number, answered, step);
             }
             Input::ClientDisconnected(id) => self.requests.client_disconnected(id, step),
             Input::SettingsReloaded(settings) => self.reload_settings(*settings),
-            Input::StateImported(learned) => step.events.push_back(Event::StateImported(learned)),
+            Input::StateImported(handover) => step.events.push_back(Event::StateImported(handover)),
             Input::LimitShareChanged { part, max_open_requests } => {
                 self.max_open_requests = max_open_requests;
                 step.events.push_back(Event::LimitShareChanged(part));
             }
             Input::GossipReceived(bytes) => step.events.push_back(Event::GossipReceived(bytes)),
-            Input::Leaving(times) => self.leave(times),
+            Input::Leaving(times) => self.start_shutdown(times),
             Input::Tick => {}
         }
     }
@@ -214,14 +216,14 @@
         let class_renumbering = self.classes.update(new_classes, |class| requests.uses_class(class));
         settings.classes = self.classes.known().clone();
         self.retry_in = settings.max_retry_after;
-        self.requests.reload(&settings);
-        self.endpoints.reload(&settings);
+        self.requests.apply_settings(&settings);
+        self.endpoints.apply_settings(&settings);
         let settings = Box::new(settings);
         self.step.events.push_back(Event::SettingsReloaded { settings, class_renumbering });
     }
 
-    /// The process will be killed: what is open is answered before that.
-    fn leave(&mut self, times: ShutdownTimes) {
+    /// Starts the shutdown. The process may be killed afterwards, so every open request must be answered before that.
+    fn start_shutdown(&mut self, times: ShutdownTimes) {
         self.shutdown = Some(times);
         self.requests.cap_deadlines(times.answer_by, &mut self.step);
         self.step.events.push_back(Event::DeadlinesCapped(times.answer_by));
@@ -233,35 +235,35 @@
             return;
         }
         if self.requests.count() >= self.max_open_requests {
-            return self.reject_at_once(id, EndReason::TooManyOpen);
+            return self.reject_on_arrival(id, EndReason::TooManyOpen);
         }
-        // A class that went while the request was on its way here: nothing was done, and trying again is harmless.
+        // The class was removed while the request was on its way. Nothing has been sent, so a retry is safe.
         if !self.classes.contains(info.class) {
-            return self.reject_at_once(id, EndReason::ClassGone);
+            return self.reject_on_arrival(id, EndReason::ClassGone);
         }
         if let Some(times) = self.shutdown {
             if self.step.now >= times.refuse_from {
-                return self.reject_at_once(id, EndReason::Leaving);
+                return self.reject_on_arrival(id, EndReason::Leaving);
             }
             info.not_after = info.not_after.min(times.answer_by);
         }
         self.requests.open(info, &mut self.step);
     }
 
-    fn reject_at_once(&mut self, id: RequestId, reason: EndReason) {
+    fn reject_on_arrival(&mut self, id: RequestId, reason: EndReason) {
         self.requests.record_end_reason(id, reason);
         self.step.effects.push(Effect::Reject { id, retry_in: self.retry_in });
         self.step.effects.push(Effect::Evict { id, may_have_run: false });
     }
 
-    /// Tells the router what it has to know, carries out what it wants, and evicts what is completed by that.
-    fn consult_router(&mut self) {
+    /// Passes queued events to the router, applies the actions it returns, and evicts the requests completed by that.
+    fn process_router_events(&mut self) {
         let mut actions = Vec::new();
-        let mut touched = Vec::new();
+        let mut maybe_completed = Vec::new();
         while let Some(event) = self.step.events.pop_front() {
             if let Event::AttemptFinished(AttemptFinished { id, .. }) | Event::ClientDisconnected(id) = event
             {
-                touched.push(id);
+                maybe_completed.push(id);
             }
             self.router.handle(self.step.now, event, &mut actions);
             for &(id, reason) in self.router.end_reasons() {
@@ -269,12 +271,12 @@
             }
             for action in actions.drain(..) {
                 if let Action::Reject { id, .. } | Action::Fail(id) = action {
-                    touched.push(id);
+                    maybe_completed.push(id);
                 }
                 self.apply_action(action);
             }
         }
-        for id in touched {
+        for id in maybe_completed {
             self.requests.evict_if_completed(id, &mut self.step);
         }
     }
@@ -296,7 +298,7 @@
                 let at = step.now + delay.max(1);
                 step.timers.start(at, Timer::Router(token));
             }
-            // The list is watched all the time: there is nothing to ask for.
+            // Discovery watches the list all the time, so no subscription is needed.
             Action::Subscribe => {}
             Action::PublishGossip(bytes) => step.effects.push(Effect::PublishGossip(bytes)),
         }
--- a/src/edge/core/endpoints.rs
+++ b/src/edge/core/endpoints.rs
@@ -1,7 +1,7 @@
-//! The servers of the list as the reducer needs them: what each one does, and whether it takes new work.
+//! The servers of the list, reduced to what the reducer needs: each server's role and whether it takes new work.
 //!
-//! Only updates of the list change this table. A server that the list removes is forgotten at once, as servers come
-//! under new ids all day.
+//! Only list updates change this table. A server removed from the list is dropped at once: server ids change
+//! throughout the day, so keeping old ids would let the table grow without bound.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
     is_ready: bool,
 }
 
-/// The servers of the list. See the [module](self).
+/// The servers of the list. See the [module documentation](self).
 #[derive(Debug)]
 pub struct Endpoints {
     roles_by_kind: Vec<Role>,
@@ -22,22 +22,22 @@
 }
 
 impl Endpoints {
-    /// An empty list, read by these settings.
+    /// An empty list. The settings say which role each kind of server has, and whether writers can read.
     #[must_use]
     pub fn new(settings: &Settings) -> Self {
         let mut endpoints =
             Self { roles_by_kind: Vec::new(), writers_can_read: false, servers: BTreeMap::new() };
-        endpoints.reload(settings);
+        endpoints.apply_settings(settings);
         endpoints
     }
 
-    /// Later updates are read by these settings.
-    pub fn reload(&mut self, settings: &Settings) {
+    /// Takes new settings. Roles of servers that are already listed change only with their next list update.
+    pub fn apply_settings(&mut self, settings: &Settings) {
         self.roles_by_kind = settings.kinds.iter().map(|kind| kind.role).collect();
         self.writers_can_read = settings.writers_can_read;
     }
 
-    /// Applies an update of the list.
+    /// Applies a list update. A kind of server that is missing from the settings counts as [`Role::Mixed`].
     pub fn apply(&mut self, kind: ListUpdateKind, entries: &[ServerEntry]) {
         if matches!(kind, ListUpdateKind::Full | ListUpdateKind::StaleCopy) {
             self.servers.clear();
@@ -53,31 +53,32 @@
         }
     }
 
-    /// How many servers the list has, with those that are draining.
+    /// Number of servers in the list, including those that are draining.
     #[must_use]
     pub fn count(&self) -> usize {
         self.servers.len()
     }
 
-    /// Whether the list has a server as one that takes new work.
+    /// Whether the server is listed as ready for new work.
     #[must_use]
     pub fn is_ready(&self, server: ServerId) -> bool {
         self.servers.get(&server).is_some_and(|endpoint| endpoint.is_ready)
     }
 
-    /// Whether the list has a server as one that takes no new work.
+    /// Whether the server is listed, but not as ready for new work.
     #[must_use]
     pub fn is_draining(&self, server: ServerId) -> bool {
         self.servers.get(&server).is_some_and(|endpoint| !endpoint.is_ready)
     }
 
-    /// Whether a server reads prompts only.
+    /// Whether the server is listed as one that only reads prompts.
     #[must_use]
     pub fn is_reader(&self, server: ServerId) -> bool {
         self.servers.get(&server).is_some_and(|endpoint| endpoint.role == Role::Reader)
     }
 
-    /// Whether the list has servers that together can serve a request.
+    /// Whether the ready servers can together serve a request: a mixed server, or a writer with something that
+    /// can read.
     #[must_use]
     pub fn can_serve(&self) -> bool {
         let has_ready = |role| self.servers.values().any(|server| server.is_ready && server.role == role);
--- a/src/edge/core/held_statistics.rs
+++ b/src/edge/core/held_statistics.rs
@@ -1,5 +1,6 @@
-//! Statistics of held state: how long it was held until a writer took it or its release was asked for, releases asked for
-//! while an attempt was in flight and what that attempt came to, and attempts that a server never answered.
+//! Metrics of held state: how long it was held until a writer took it or its release was requested, releases
+//! requested while an attempt was in flight with the outcomes of those attempts, and attempts that a server
+//! left unanswered.
 
 use std::fmt::Write as _;
 use std::num::NonZeroUsize;
@@ -10,16 +11,17 @@
 use crate::edge::transitions::OUTCOMES;
 use crate::interface::{Micros, Outcome, ServerId};
 
-/// Longer times count as this (us).
+/// Longest recorded hold time (us); longer ones are recorded as this.
 const MAX_TIME: Micros = 60_000_000;
-/// Significant digits of times.
+/// Significant decimal digits of recorded hold times.
 const DIGITS: u8 = 2;
-/// Quantiles that are shown.
+/// Quantiles of hold times that are exported, with their names.
 const QUANTILES: [(f64, &str); 3] = [(0.5, "p50"), (0.99, "p99"), (1.0, "max")];
-/// Servers of which unanswered attempts are counted, those concerned last: servers come under new ids all day.
-const MAX_SERVERS: NonZeroUsize = NonZeroUsize::new(256).expect("above 0");
+/// Number of servers with a count of unanswered attempts. Server ids change throughout the day, so only the
+/// most recently counted servers are kept.
+const MAX_TRACKED_SERVERS: NonZeroUsize = NonZeroUsize::new(256).expect("above 0");
 
-/// See the [module](self).
+/// Counters and histograms of held state. See the [module documentation](self).
 #[derive(Debug)]
 pub struct HeldStatistics {
     taken_us: Histogram<u64>,
@@ -27,8 +29,8 @@
     releases_in_flight: u64,
     releases_answered: u64,
     releases_unanswered: u64,
-    /// Ends of attempts during which a release was asked for, in the order of [`OUTCOMES`].
-    ends_after: [u64; OUTCOMES.len()],
+    /// Outcomes of attempts during which a release was requested, in the order of [`OUTCOMES`].
+    outcomes_after_release: [u64; OUTCOMES.len()],
     unanswered: LruCache<ServerId, u64>,
 }
 
@@ -42,26 +44,27 @@
             releases_in_flight: 0,
             releases_answered: 0,
             releases_unanswered: 0,
-            ends_after: [0; OUTCOMES.len()],
-            unanswered: LruCache::new(MAX_SERVERS),
+            outcomes_after_release: [0; OUTCOMES.len()],
+            unanswered: LruCache::new(MAX_TRACKED_SERVERS),
         }
     }
 }
 
 impl HeldStatistics {
-    /// A writer has taken a state that was held for so long.
-    pub fn taken(&mut self, held: Micros) {
-        self.taken_us.saturating_record(held);
+    /// Records that a writer took state that had been held for this long (us).
+    pub fn taken(&mut self, held_for: Micros) {
+        self.taken_us.saturating_record(held_for);
     }
 
-    /// The release of a state that was held for so long has been asked for.
-    pub fn released(&mut self, held: Micros, in_flight: bool) {
-        self.released_us.saturating_record(held);
+    /// Records a requested release of state that had been held for this long (us); `in_flight` says whether an
+    /// attempt of the request was in flight.
+    pub fn release_requested(&mut self, held_for: Micros, in_flight: bool) {
+        self.released_us.saturating_record(held_for);
         self.releases_in_flight += u64::from(in_flight);
     }
 
-    /// A release has come to its end.
-    pub fn finished(&mut self, answered: bool) {
+    /// Records the end of a release, and whether a server answered it.
+    pub fn release_finished(&mut self, answered: bool) {
         if answered {
             self.releases_answered += 1;
         } else {
@@ -69,30 +72,31 @@
         }
     }
 
-    /// An attempt has ended or its stream has begun, during which a release was asked for.
-    pub fn ended_after(&mut self, outcome: Outcome) {
-        if let Some(at) = OUTCOMES.iter().position(|(known, _)| *known == outcome) {
-            self.ends_after[at] += 1;
+    /// Records the outcome of an attempt during which a release was requested; a started stream counts as served.
+    pub fn attempt_ended_after_release(&mut self, outcome: Outcome) {
+        if let Some(index) = OUTCOMES.iter().position(|(known, _)| *known == outcome) {
+            self.outcomes_after_release[index] += 1;
         }
     }
 
-    /// A server has not answered an attempt whose last byte had been written.
+    /// Records that a server did not answer an attempt that had been written completely.
     pub fn unanswered(&mut self, server: ServerId) {
         *self.unanswered.get_or_insert_mut(server, || 0) += 1;
     }
 
-    /// Releases that were asked for while an attempt was in flight.
+    /// Number of releases requested while an attempt was in flight.
     #[must_use]
     pub fn releases_in_flight(&self) -> u64 {
         self.releases_in_flight
     }
 
-    /// The figures as the second address shows them; `ages` are those of the states that are held now (us).
+    /// The metrics as the admin listener shows them, one per line. `ages` says how long each currently held
+    /// state has been held (us).
     #[must_use]
     pub fn lines(&self, ages: &[Micros]) -> String {
         let mut text = String::new();
         let mut line = |name: &str, value: u64, kind: char| {
-            let _ = writeln!(text, "edge_router.held.{name}:{value}|{kind}"); // a String takes all
+            let _ = writeln!(text, "edge_router.held.{name}:{value}|{kind}"); // writing to a String never fails
         };
         line("states", ages.len() as u64, 'g');
         line("oldest_us", ages.iter().copied().max().unwrap_or(0), 'g');
@@ -105,7 +109,7 @@
         line("releases_answered", self.releases_answered, 'c');
         line("releases_unanswered", self.releases_unanswered, 'c');
         line("releases_in_flight", self.releases_in_flight, 'c');
-        for ((_, outcome), count) in OUTCOMES.iter().zip(self.ends_after) {
+        for ((_, outcome), count) in OUTCOMES.iter().zip(self.outcomes_after_release) {
             line(&format!("ended_after_release.{outcome}"), count, 'c');
         }
         for (server, count) in &self.unanswered {
--- a/src/edge/core/messages.rs
+++ b/src/edge/core/messages.rs
@@ -1,5 +1,5 @@
-//! What goes into the reducer and what comes out of it: [`Input`] tells what has happened outside, [`Effect`] what is to be
-//! done there. All times are in microseconds of the program's clock.
+//! Inputs and outputs of the reducer: an [`Input`] reports what has happened outside, an [`Effect`] says what
+//! the driver must do. All points in time are in microseconds on the dispatcher's clock.
 
 use crate::edge::shutdown_times::ShutdownTimes;
 use crate::interface::{
@@ -7,93 +7,95 @@
 };
 use dewladder_router::Handover;
 
-/// What has happened outside.
+/// Something that has happened outside the reducer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// News of the list of servers.
+    /// The list of servers was updated.
     EndpointsUpdated {
-        /// How to read the entries.
+        /// Whether the entries are a patch, the whole list or an old copy of it, or whether the update failed.
         how: ListUpdateKind,
-        /// The entries.
+        /// The entries of the update.
         entries: Vec<ServerEntry>,
     },
     /// A client's request has arrived.
     RequestArrived(RequestInfo),
-    /// The first event of an attempt's stream is here; it waits to be passed on.
+    /// The first event of an attempt's stream has arrived. The stream waits until [`Effect::Relay`] passes it on.
     StreamStarted {
         /// The request.
         id: RequestId,
-        /// Which attempt.
+        /// The attempt, by number.
         attempt: u32,
     },
-    /// The last byte of an attempt has been handed to the system. That says nothing of the server.
+    /// The last byte of an attempt has been handed to the operating system. This does not show that the server
+    /// received it.
     AttemptWritten {
         /// The request.
         id: RequestId,
-        /// Which attempt.
+        /// The attempt, by number.
         attempt: u32,
-        /// The connection that it goes over.
+        /// Whether the attempt uses a new connection or one that was already open.
         connection: ConnectionKind,
     },
-    /// An attempt has ended by itself.
+    /// An attempt has ended without being cancelled.
     AttemptFinished {
         /// The request.
         id: RequestId,
-        /// Which attempt.
+        /// The attempt, by number.
         attempt: u32,
-        /// How it ended.
+        /// Outcome of the attempt, with what the server reported.
         result: AttemptResult,
     },
-    /// An attempt has been stopped as asked for.
+    /// An attempt has been stopped, as [`Effect::CancelAttempt`] or [`Effect::CancelUnwritten`] asked for.
     AttemptStopped {
         /// The request.
         id: RequestId,
-        /// Which attempt.
+        /// The attempt, by number.
         attempt: u32,
-        /// Whether its last byte may have been written.
+        /// Whether the last byte of the attempt may have been written.
         written: bool,
     },
-    /// A release that was asked for has come to its end.
+    /// A release requested with [`Effect::ReleaseHeldState`] has ended.
     ReleaseFinished {
         /// The request.
         id: RequestId,
-        /// Which release, as its effect numbered it.
+        /// The number that the effect gave this release.
         number: u64,
-        /// Whether a server answered it.
+        /// Whether a server answered the release.
         answered: bool,
     },
     /// The client has disconnected.
     ClientDisconnected(RequestId),
-    /// A message of another dispatcher.
+    /// A load gossip message has arrived from another dispatcher.
     GossipReceived(Vec<u8>),
-    /// Settings that hold from now on; their classes are numbered by place, as they were read.
+    /// New settings apply from now on. Their classes are numbered by their position in the file.
     SettingsReloaded(Box<Settings>),
-    /// What the process whose place this one takes has learned.
+    /// State learned by the process that this one replaces in a hot restart.
     StateImported(Box<Handover>),
-    /// Another process of this dispatcher runs beside this one, or has ended: the share of the limits that this one has.
+    /// During a hot restart, another process of this dispatcher has started or ended next to this one, and the
+    /// share of the limits that this process may use has changed.
     LimitShareChanged {
-        /// Which share, of 1.
+        /// Share of the dispatcher's limits, from 0 to 1.
         part: f64,
-        /// Requests that are open at once.
+        /// Limit on the number of requests open at once in this process.
         max_open_requests: usize,
     },
-    /// The process was told to end.
+    /// The process was told to shut down.
     Leaving(ShutdownTimes),
-    /// Time has passed: what is due is dealt with.
+    /// Time has passed: timers that are due fire.
     Tick,
 }
 
-/// The connection that an attempt goes over.
+/// Whether the connection of an attempt was opened for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionKind {
-    /// It was opened for the attempt.
+    /// Opened for this attempt.
     New,
-    /// It had been opened before.
+    /// Already open before this attempt.
     Kept,
 }
 
 impl ConnectionKind {
-    /// Its name in log lines.
+    /// Name of the kind in log lines and histories.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -103,14 +105,14 @@
     }
 }
 
-/// How an attempt ended by itself.
+/// Result of an attempt that ended without being cancelled.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptResult {
-    /// The outcome.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Prompt tokens that the server found in its cache.
+    /// Prompt tokens that the server found in its cache; 0 if it reported none.
     pub cached_tokens: u64,
-    /// The load report, if one came along.
+    /// Load report that came with the server's answer; `None` if there was none.
     pub report: Option<Report>,
 }
 
@@ -120,79 +122,81 @@
     }
 }
 
-/// What is to be done outside.
+/// Something that the driver must do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Send the request to a server; a stop comes at `until` at the latest.
+    /// Send the request to a server. If its stream has not started by `until`, the reducer cancels the attempt.
     Send {
         /// The request.
         id: RequestId,
-        /// Which attempt.
+        /// The attempt, by number.
         attempt: u32,
-        /// The server.
+        /// The server to send to.
         server: ServerId,
-        /// Whether it is to read only.
+        /// Whether the server only reads the prompt; otherwise it streams the answer.
         reads: bool,
-        /// When the attempt is given up.
+        /// Time at which the attempt times out.
         until: Micros,
-        /// Nothing of it may be written from then on.
+        /// Time from which on nothing of the attempt may be written any more.
         begin_by: Micros,
-        /// It may go over a new connection only: something is held, whose time runs until this arrives, and a connection
-        /// that was open before may have fallen silent.
+        /// Whether a new connection must be used: state is held whose deadline runs until the writer gets the
+        /// attempt, and a connection that was already open may have become unresponsive.
         new_connection: bool,
     },
-    /// Cancel an attempt if nothing of it has been written yet; only then [`Input::AttemptStopped`] is to follow.
+    /// Cancel an attempt of which nothing has been written yet. [`Input::AttemptStopped`] must follow only in
+    /// that case; any other attempt goes on.
     CancelUnwritten {
         /// The request.
         id: RequestId,
-        /// Which attempt.
+        /// The attempt, by number.
         attempt: u32,
     },
-    /// Cancel an attempt; [`Input::AttemptStopped`] is to follow.
+    /// Cancel an attempt. [`Input::AttemptStopped`] must follow, unless the attempt has just ended by itself.
     CancelAttempt {
         /// The request.
         id: RequestId,
-        /// Which attempt.
+        /// The attempt, by number.
         attempt: u32,
     },
-    /// Pass an attempt's stream on to the client.
+    /// Relay the stream of an attempt to the client.
     Relay {
         /// The request.
         id: RequestId,
-        /// Which attempt.
+        /// The attempt, by number.
         attempt: u32,
     },
-    /// Final answer: rejected.
+    /// Give the final answer that the request is rejected.
     Reject {
         /// The request.
         id: RequestId,
-        /// When the client may come again.
+        /// Delay after which the client may retry (us).
         retry_in: Micros,
     },
-    /// Final answer: failed.
+    /// Give the final answer that the request failed.
     Fail {
         /// The request.
         id: RequestId,
         /// Whether an attempt may have run.
         may_have_run: bool,
     },
-    /// Have servers release all state that they hold for the request.
+    /// Request that servers release all state held for the request.
     ReleaseHeldState {
         /// The request.
         id: RequestId,
-        /// The number of this release; its end is told by it.
+        /// Number of this release; [`Input::ReleaseFinished`] repeats it.
         number: u64,
-        /// Servers that hold or may hold something.
+        /// Servers that hold state or may hold it.
         holders: Vec<ServerId>,
-        /// Once more after [`CLOSE_SEEN`](super::CLOSE_SEEN): a read that has just been given up may end until its close is seen.
+        /// Whether to repeat the release after [`CLOSE_SEEN`](super::CLOSE_SEEN): a read that was just
+        /// abandoned may complete until its server notices the closed connection.
         again: bool,
-        /// The prompt is read again next, which waits for this: it is given up early, as it would let go of what that read
-        /// leaves.
+        /// Whether another read of the prompt follows, which waits for this release. The release is then
+        /// abandoned early, because a late one would release the state left by that read.
         before_read: bool,
     },
-    /// Send a message to all other dispatchers.
+    /// Send a load gossip message to all other dispatchers.
     PublishGossip(Vec<u8>),
-    /// The request is completed and nothing of it is in flight: it can be forgotten.
+    /// The request is completed and none of its attempts is in flight: forget it.
     Evict {
         /// The request.
         id: RequestId,
--- a/src/edge/core/request.rs
+++ b/src/edge/core/request.rs
@@ -1,4 +1,4 @@
-//! What the reducer keeps of one request: where its client stands, its attempts, and the state that servers may hold.
+//! State of one open request in the reducer: its client, its attempts, and the state that servers may hold for it.
 
 use std::collections::BTreeMap;
 
@@ -7,36 +7,36 @@
 use crate::edge::transitions::AttemptLabel;
 use crate::interface::{Micros, Outcome, RequestId, RequestInfo, ServerId};
 
-/// Where the client of a request stands.
+/// What the client of a request is waiting for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Client {
-    /// It waits for its answer.
+pub enum ClientState {
+    /// The client is waiting for its answer.
     Waiting,
-    /// It is given the stream of this attempt.
+    /// The stream of the attempt with this number is being relayed to the client.
     Streaming(u32),
-    /// It has its final answer or has disconnected.
+    /// The client has its final answer or has disconnected.
     Done,
 }
 
 /// An attempt that has been sent and has not ended.
 #[derive(Debug)]
 pub struct InFlight {
-    /// Where it was sent.
+    /// The server it was sent to.
     pub server: ServerId,
-    /// Whether it only reads the prompt.
+    /// Whether the attempt only reads the prompt.
     pub reads: bool,
-    /// When it was sent (us).
-    pub sent: Micros,
-    /// When it times out (us).
+    /// Time at which it was sent (us).
+    pub sent_at: Micros,
+    /// Time at which it times out (us).
     pub until: Micros,
-    /// Its last byte has been handed to the system.
+    /// Whether its last byte has been handed to the operating system.
     pub written: bool,
-    /// The outcome to report once the cancellation that was asked for has been carried out.
-    pub cancelled_as: Option<Outcome>,
+    /// Outcome to report once the requested cancellation has been carried out; `None` unless it is being cancelled.
+    pub cancel_outcome: Option<Outcome>,
 }
 
 impl InFlight {
-    /// The attempt as log lines name it.
+    /// The label that identifies the attempt in log lines.
     #[must_use]
     pub fn label(&self, id: RequestId, attempt: u32) -> AttemptLabel {
         AttemptLabel { id, attempt, server: self.server }
@@ -46,31 +46,31 @@
 /// An open request.
 #[derive(Debug)]
 pub struct Request {
-    /// Its class, by number.
+    /// Class of the request, by number.
     pub class: u32,
-    /// Where its client stands.
-    pub client: Client,
-    /// When its client gives up (us).
+    /// State of the client.
+    pub client: ClientState,
+    /// Time at which the client gives up (us).
     pub not_after: Micros,
-    /// Attempts made so far.
+    /// Number of attempts made so far, including refused sends; also the number of the next attempt.
     pub attempts: u32,
     /// Attempts in flight, by number.
     pub in_flight: BTreeMap<u32, InFlight>,
-    /// What servers hold for it.
+    /// State that servers hold for the request.
     pub held: HeldState,
-    /// When the first attempt was sent that may have been executed (us); `None` while surely none was.
+    /// Send time of the first attempt that may have been executed (us); `None` as long as certainly none was.
     pub first_execution: Option<Micros>,
-    /// What has become of it.
+    /// What has happened to the request.
     pub history: RequestHistory,
 }
 
 impl Request {
-    /// One that has just arrived.
+    /// A request that has just arrived.
     #[must_use]
     pub fn new(info: &RequestInfo, now: Micros) -> Self {
         Self {
             class: info.class,
-            client: Client::Waiting,
+            client: ClientState::Waiting,
             not_after: info.not_after,
             attempts: 0,
             in_flight: BTreeMap::new(),
@@ -80,15 +80,15 @@
         }
     }
 
-    /// Whether an attempt in flight may wait for what is held: one that only reads does not.
+    /// Whether an attempt in flight may be waiting for held state. Attempts that only read the prompt never do.
     #[must_use]
     pub fn awaits_held_state(&self) -> bool {
         self.in_flight.values().any(|attempt| !attempt.reads)
     }
 
-    /// Whether its client wants nothing more and nothing of it is in flight.
+    /// Whether the client expects nothing more and no attempt is in flight.
     #[must_use]
     pub fn is_completed(&self) -> bool {
-        self.client == Client::Done && self.in_flight.is_empty()
+        self.client == ClientState::Done && self.in_flight.is_empty()
     }
 }
--- a/src/edge/core/request_history.rs
+++ b/src/edge/core/request_history.rs
@@ -1,5 +1,5 @@
-//! The history of an open request: what became of it, step by step, in bounded memory. A request that needs explaining
-//! has it written to the log (`history_reports.rs`), and the second address shows those of all open requests.
+//! History of an open request, transition by transition, in bounded memory. `history_reports.rs` logs the
+//! histories of requests that met a fault (see `ReportReason`); the admin listener shows those of all open requests.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -8,139 +8,139 @@
 use crate::edge::guard::Rule;
 use crate::interface::{Micros, Outcome, ServerId};
 
-/// Transitions that are kept of a request: of a longer history the oldest are dropped, but for its arrival.
+/// Maximum number of transitions kept per request. The arrival is always kept; beyond that the oldest are dropped.
 const MAX_TRANSITIONS: usize = 40;
 
-/// Something that became of a request. Times are in microseconds.
+/// A transition in the life of a request. Durations are in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Transition {
-    /// It arrived; its client waits for so long.
+    /// The request arrived.
     Arrived {
-        /// Until its client gives up.
+        /// Time until its client gives up.
         time_left: Micros,
     },
     /// An attempt was sent.
     Sent {
-        /// Which attempt.
+        /// The attempt, by number.
         attempt: u32,
-        /// Where.
+        /// The server it was sent to.
         server: ServerId,
-        /// Whether it only reads.
+        /// Whether the attempt only reads the prompt.
         reads: bool,
-        /// How long it may take.
+        /// Time after which the attempt times out.
         timeout: Micros,
     },
-    /// The last byte of an attempt was handed to the system. It says nothing of the server.
+    /// The last byte of an attempt was handed to the operating system, which does not show that the server received it.
     Written {
-        /// Which attempt.
+        /// The attempt, by number.
         attempt: u32,
-        /// Over which connection.
+        /// Whether the attempt uses a new connection or one that was already open.
         connection: ConnectionKind,
     },
-    /// The guard refused a send.
+    /// The guard refused to send an attempt.
     SendRefused {
-        /// Where it was to go.
+        /// The server it would have gone to.
         server: ServerId,
         /// The rule that it would have broken.
         rule: Rule,
     },
-    /// The stream of an attempt began.
+    /// The stream of an attempt started.
     StreamStarted {
-        /// Which attempt.
+        /// The attempt, by number.
         attempt: u32,
     },
-    /// An attempt is being cancelled.
+    /// The cancellation of an attempt was requested.
     CancelRequested {
-        /// Which attempt.
+        /// The attempt, by number.
         attempt: u32,
-        /// Why.
+        /// Outcome that the attempt gets once it has been cancelled.
         reason: Outcome,
     },
     /// An attempt ended.
     Finished {
-        /// Which attempt.
+        /// The attempt, by number.
         attempt: u32,
-        /// How.
+        /// How the attempt ended.
         outcome: Outcome,
     },
-    /// Servers were asked to release what they hold.
+    /// The release of held state was requested.
     ReleaseRequested {
-        /// How many of them may hold something.
+        /// Number of servers that hold state or may hold it.
         holders: usize,
         /// Whether an attempt was in flight.
         in_flight: bool,
     },
-    /// That request to release came to its end.
+    /// A requested release ended.
     ReleaseFinished {
         /// Whether a server answered it.
         answered: bool,
     },
-    /// It was rejected.
+    /// The client got the final answer that the request is rejected.
     Rejected,
-    /// It was failed.
+    /// The client got the final answer that the request failed.
     Failed,
-    /// Its client disconnected.
+    /// The client disconnected.
     ClientDisconnected,
 }
 
 impl fmt::Display for Transition {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match *self {
-            Self::Arrived { time_left } => write!(to, "arrived time_left_us={time_left}"),
+            Self::Arrived { time_left } => write!(formatter, "arrived time_left_us={time_left}"),
             Self::Sent { attempt, server, reads, timeout } => {
                 let stage = if reads { "read" } else { "write" };
-                write!(to, "sent attempt={attempt} server={server} stage={stage} timeout_us={timeout}")
+                write!(formatter, "sent attempt={attempt} server={server} stage={stage} timeout_us={timeout}")
             }
             Self::Written { attempt, connection } => {
-                write!(to, "written attempt={attempt} connection={}", connection.name())
+                write!(formatter, "written attempt={attempt} connection={}", connection.name())
             }
             Self::SendRefused { server, rule } => {
-                write!(to, "send_refused server={server} rule={}", rule.name())
+                write!(formatter, "send_refused server={server} rule={}", rule.name())
             }
-            Self::StreamStarted { attempt } => write!(to, "stream_started attempt={attempt}"),
+            Self::StreamStarted { attempt } => write!(formatter, "stream_started attempt={attempt}"),
             Self::CancelRequested { attempt, reason } => {
-                write!(to, "cancel_requested attempt={attempt} reason={reason:?}")
+                write!(formatter, "cancel_requested attempt={attempt} reason={reason:?}")
             }
             Self::Finished { attempt, outcome } => {
-                write!(to, "finished attempt={attempt} outcome={outcome:?}")
+                write!(formatter, "finished attempt={attempt} outcome={outcome:?}")
             }
             Self::ReleaseRequested { holders, in_flight } => {
-                write!(to, "release_requested holders={holders} in_flight={in_flight}")
+                write!(formatter, "release_requested holders={holders} in_flight={in_flight}")
             }
-            Self::ReleaseFinished { answered } => write!(to, "release_finished answered={answered}"),
-            Self::Rejected => to.write_str("rejected"),
-            Self::Failed => to.write_str("failed"),
-            Self::ClientDisconnected => to.write_str("client_disconnected"),
+            Self::ReleaseFinished { answered } => write!(formatter, "release_finished answered={answered}"),
+            Self::Rejected => formatter.write_str("rejected"),
+            Self::Failed => formatter.write_str("failed"),
+            Self::ClientDisconnected => formatter.write_str("client_disconnected"),
         }
     }
 }
 
-/// What became of a request, in order. Displayed with the time of each transition since the first (us).
+/// Transitions of a request, in order. `Display` writes each with its time since the arrival (us).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHistory {
     arrived_at: Micros,
     time_left: Micros,
-    later: VecDeque<(Micros, Transition)>,
+    transitions: VecDeque<(Micros, Transition)>,
     dropped: usize,
 }
 
 impl RequestHistory {
-    /// The history of a request that arrives now.
+    /// The history of a request that arrives at `now` and whose client gives up after `time_left` (us).
     #[must_use]
     pub fn new(now: Micros, time_left: Micros) -> Self {
-        Self { arrived_at: now, time_left, later: VecDeque::new(), dropped: 0 }
+        Self { arrived_at: now, time_left, transitions: VecDeque::new(), dropped: 0 }
     }
 
-    /// Adds what has just become of it.
+    /// Adds a transition at time `now` (us), dropping the oldest one at the limit.
     pub fn add(&mut self, now: Micros, transition: Transition) {
-        if self.later.len() + 1 >= MAX_TRANSITIONS {
-            self.later.pop_front();
+        if self.transitions.len() + 1 >= MAX_TRANSITIONS {
+            self.transitions.pop_front();
             self.dropped += 1;
         }
-        self.later.push_back((now, transition));
+        self.transitions.push_back((now, transition));
     }
 
-    /// When the request arrived (us).
+    /// Time at which the request arrived (us).
     #[must_use]
     pub fn arrived_at(&self) -> Micros {
         self.arrived_at
@@ -148,13 +148,13 @@
 }
 
 impl fmt::Display for RequestHistory {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(to, "+0 {}", Transition::Arrived { time_left: self.time_left })?;
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(formatter, "+0 {}", Transition::Arrived { time_left: self.time_left })?;
         if self.dropped > 0 {
-            write!(to, "; {} dropped", self.dropped)?;
+            write!(formatter, "; {} dropped", self.dropped)?;
         }
-        for (at, transition) in &self.later {
-            write!(to, "; +{} {transition}", at.saturating_sub(self.arrived_at))?;
+        for (at, transition) in &self.transitions {
+            write!(formatter, "; +{} {transition}", at.saturating_sub(self.arrived_at))?;
         }
         Ok(())
     }
--- a/src/edge/core/request_table/held.rs
+++ b/src/edge/core/request_table/held.rs
@@ -1,4 +1,4 @@
-//! What servers hold for open requests: how the ends of attempts and releases change it, and its deadline.
+//! Held state of open requests: how ends of attempts and of releases change it, and what happens at its deadline.
 
 use crate::edge::core::held_state::ReleaseOrder;
 use crate::edge::core::history_reports::ReportReason;
@@ -11,12 +11,13 @@
 use crate::edge::transitions::Transitions;
 use crate::interface::{HeldStateAfter, Micros, Outcome, RequestId};
 
-/// What is held has so much more than the settings say on sockets (the protocol page; us).
+/// Tolerance on the time for which state may be held (us): the protocol page allows so much more where servers
+/// are reached over sockets.
 const HOLD_TOLERANCE: Micros = 300_000;
 
 impl RequestTable {
-    /// An attempt has ended: what it may have left is held from now on, and only a server's answer gives what is held more
-    /// time.
+    /// Updates the held state after an attempt has ended: state that the attempt may have left counts as held,
+    /// and only an answer from the server restarts the deadline.
     pub(super) fn update_held_state(
         &mut self,
         id: RequestId,
@@ -27,9 +28,10 @@
         let Some(request) = self.requests.get_mut(&id) else { return HeldStateAfter::TimeGoesOn };
         let (held, now, max_hold_time) = (&mut request.held, step.now, self.max_hold_time);
         if held.was_released() {
-            self.held_statistics.ended_after(outcome);
+            self.held_statistics.attempt_ended_after_release(outcome);
         }
-        // A machine that took the bytes, reset the connection or stayed silent says nothing of the server's process.
+        // If a machine accepted the bytes, reset the connection or stayed silent, that proves nothing about the
+        // server process.
         let answered = match outcome {
             Outcome::ConnectFailed | Outcome::NotSent => return HeldStateAfter::TimeGoesOn,
             Outcome::Read | Outcome::Served | Outcome::Full | Outcome::NoState | Outcome::Error => true,
@@ -54,17 +56,17 @@
         after
     }
 
-    /// Before a prompt is read once more, what earlier attempts may have left of it is let go of: asked for later, the
-    /// release would let go of the new read's state too.
-    pub(super) fn free_before_read(&mut self, id: RequestId, step: &mut Step) {
-        let is_unreleased = self.requests.get(&id).is_some_and(|request| request.held.is_unreleased());
-        if is_unreleased {
+    /// Before the prompt is read again, releases what earlier attempts may have left: a release requested later
+    /// would also release the state of the new read.
+    pub(super) fn release_before_read(&mut self, id: RequestId, step: &mut Step) {
+        let needs_release = self.requests.get(&id).is_some_and(|request| request.held.needs_release());
+        if needs_release {
             self.release_held_state(id, step);
         }
     }
 
-    /// What is held for a request has not been taken in its time, or no server has said so: it is let go of, whatever is in
-    /// flight. A server that has the attempt keeps the state for it.
+    /// Handles a hold deadline: no writer took the state in time, or no server has said so. The state is
+    /// released whatever is in flight; a server that has the attempt keeps the state for it.
     pub fn hold_deadline_reached(&mut self, id: RequestId, step: &mut Step) {
         let Some(request) = self.requests.get(&id) else { return };
         if request.awaits_held_state() {
@@ -73,38 +75,38 @@
         self.release_held_state(id, step);
     }
 
-    /// Has servers release all that they hold, or may hold, for a request.
+    /// Requests that servers release all state that they hold, or may hold, for a request.
     pub fn release_held_state(&mut self, id: RequestId, step: &mut Step) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let (number, is_final) = (self.last_number + 1, request.is_completed());
-        let order = request.held.start_releasing(number, is_final, step.now);
+        let (number, is_final) = (self.last_release_number + 1, request.is_completed());
+        let order = request.held.start_release(number, is_final, step.now);
         request.held.sync_timer(id, &mut step.timers);
         let Some(ReleaseOrder { holders, again, held, deadline }) = order else { return };
         let in_flight = !request.in_flight.is_empty();
         request.history.add(step.now, Transition::ReleaseRequested { holders: holders.len(), in_flight });
         if deadline.is_some_and(|deadline| step.now > deadline + HOLD_TOLERANCE) {
-            self.guard.finds_broken(Rule::HeldTooLong, id, &request.history);
+            self.guard.record_violation(Rule::HeldTooLong, id, &request.history);
         }
-        Transitions::releases(id, holders.len(), held);
-        self.held_statistics.released(held, in_flight);
-        self.last_number = number;
+        Transitions::log_release(id, holders.len(), held);
+        self.held_statistics.release_requested(held, in_flight);
+        self.last_release_number = number;
         let before_read = !in_flight && !is_final;
         step.effects.push(Effect::ReleaseHeldState { id, number, holders, again, before_read });
     }
 
-    /// A release that was asked for has come to its end.
-    pub fn finish_releasing(&mut self, id: RequestId, number: u64, answered: bool, step: &mut Step) {
-        self.held_statistics.finished(answered);
+    /// Handles the end of a requested release; `number` says which.
+    pub fn finish_release(&mut self, id: RequestId, number: u64, answered: bool, step: &mut Step) {
+        self.held_statistics.release_finished(answered);
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.history.add(step.now, Transition::ReleaseFinished { answered });
-        request.held.finish_releasing(number, answered, step.now, self.max_hold_time);
+        request.held.finish_release(number, answered, step.now, self.max_hold_time);
         request.held.sync_timer(id, &mut step.timers);
         if !answered {
             self.reports.write(step.now, id, request, ReportReason::ReleaseUnanswered);
         }
     }
 
-    /// Evicts a request that is completed, and has what may still be held for it released.
+    /// Evicts the request if it is completed, and releases the state that may still be held for it.
     pub fn evict_if_completed(&mut self, id: RequestId, step: &mut Step) {
         if !self.requests.get(&id).is_some_and(Request::is_completed) {
             return;
@@ -115,7 +117,7 @@
         step.effects.push(Effect::Evict { id, may_have_run });
     }
 
-    /// What became of held state since the start, with what is held now, in lines.
+    /// Metrics of held state since the start and of the state held at `now`, one per line.
     #[must_use]
     pub fn held_figures(&self, now: Micros) -> String {
         let held = self.requests.values().filter(|request| request.held.is_held());
--- a/src/edge/core/step.rs
+++ b/src/edge/core/step.rs
@@ -1,4 +1,5 @@
-//! What one step of the reducer works with: its time, the timers, and what it leads to.
+//! The working state of a reducer step: the current time, the timers, and the events and effects that are still
+//! to be handled.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -8,15 +9,15 @@
 /// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    /// The time-out of an attempt.
+    /// Timeout of the attempt with this number.
     Attempt(RequestId, u32),
-    /// The deadline of what servers hold for a request.
+    /// Deadline of the state that servers hold for a request.
     HeldState(RequestId),
-    /// One that the router has asked for.
+    /// Timer that the router asked for.
     Router(TimerToken),
 }
 
-/// Timers by the time at which they fire (us).
+/// Running timers, ordered by the time at which they fire (us).
 #[derive(Debug, Default)]
 pub struct Timers(BTreeSet<(Micros, Timer)>);
 
@@ -31,13 +32,13 @@
         self.0.remove(&(at, timer));
     }
 
-    /// When the next timer fires (us).
+    /// Time at which the next timer fires (us); `None` if no timer is running.
     #[must_use]
     pub fn next_due(&self) -> Option<Micros> {
         self.0.first().map(|&(at, _)| at)
     }
 
-    /// Takes the next timer that has fired by `now` (us).
+    /// Removes and returns the next timer that is due at `now` (us); `None` if none is due.
     pub fn take_due(&mut self, now: Micros) -> Option<Timer> {
         let is_due = self.next_due().is_some_and(|at| at <= now);
         if !is_due {
@@ -47,15 +48,16 @@
     }
 }
 
-/// A step of the reducer: when it is, what the router is still to be told, and what is to be done outside.
+/// Time, timers, and pending events and effects of the reducer. Events are used up and effects returned within
+/// each step; the timers last from step to step.
 #[derive(Debug, Default)]
 pub struct Step {
-    /// The time of the step (us); it never goes back.
+    /// Time of the step (us); never decreases.
     pub now: Micros,
-    /// What the router is to be told, in order.
+    /// Events to pass to the router, in order.
     pub events: VecDeque<Event>,
-    /// What is to be done outside, in order.
+    /// Effects for the driver, in order.
     pub effects: Vec<Effect>,
-    /// Timers of attempts and of the router.
+    /// Running timers of attempts, held state and the router.
     pub timers: Timers,
 }
--- a/src/edge/guard.rs
+++ b/src/edge/guard.rs
@@ -1,29 +1,30 @@
-//! The guard: sends and answers pass it, and it counts by rule what it refused (nothing happened) apart from what it
-//! found broken already (a defect). Pure: the reducer asks it, the figures show its counts.
+//! The guard checks every send and every final answer against the dispatcher's rules. For each rule it counts
+//! refused sends, which had no effect, separately from violations found after the fact, each of which is a
+//! defect. The guard does no I/O but for log lines; the reducer calls it, and the metrics show its counts.
 
 use log::{debug, error};
 
 use crate::interface::{Micros, RequestId};
 
-/// A rule that the guard holds to.
+/// A rule that the guard enforces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
     /// Nothing is sent once the client has its final answer, has left, or is being streamed to.
     SendAfterAnswer,
-    /// Nothing is sent once the request's time is over.
+    /// Nothing is sent after the deadline of the request.
     SendAfterDeadline,
-    /// Nothing is sent again that may have run, but as its class allows.
+    /// A request that may have run is only sent again as far as the effect of its class allows.
     SecondRun,
-    /// No new work goes to a server that the list has as draining.
+    /// No new work goes to a server that the list shows as draining.
     SendToDraining,
-    /// What is held is taken or let go of within the settings' time.
+    /// Held state is taken or released within the time limit of the settings.
     HeldTooLong,
-    /// The final answer comes within the client's time.
+    /// The final answer is given before the client's deadline.
     LateAnswer,
 }
 
 impl Rule {
-    /// All of them, in the order of the counts.
+    /// All rules, in the order of the counts.
     pub const ALL: [Self; 6] = [
         Self::SendAfterAnswer,
         Self::SendAfterDeadline,
@@ -33,7 +34,7 @@
         Self::LateAnswer,
     ];
 
-    /// Its name in the figures.
+    /// Name of the rule in metrics and log lines.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -47,75 +48,76 @@
     }
 }
 
-/// Counts by rule, in the order of [`Rule::ALL`].
-pub type Counts = [u64; Rule::ALL.len()];
+/// A count for each rule, in the order of [`Rule::ALL`].
+pub type RuleCounts = [u64; Rule::ALL.len()];
 
-/// See the [module](self).
+/// Counts of refused sends and of violations, by rule. See the [module documentation](self).
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Guard {
-    refused: Counts,
-    broken: Counts,
+    refused: RuleCounts,
+    broken: RuleCounts,
 }
 
-/// What a send is held against.
+/// The facts that decide whether a send is allowed.
 #[derive(Clone, Copy, Debug)]
 pub struct SendCheck {
-    /// Now (us).
+    /// Time of the send (us).
     pub now: Micros,
-    /// The client still waits for its answer.
-    pub waits: bool,
-    /// The list has the server as one that takes work, or has not got it.
-    pub takes_work: bool,
-    /// The attempt's own end (us).
+    /// Whether the client is still waiting for its answer.
+    pub client_waiting: bool,
+    /// Whether the server takes new work: it is listed as ready, or is not in the list.
+    pub server_accepts_work: bool,
+    /// Time at which the attempt would time out (us).
     pub until: Micros,
-    /// What is held has to be taken by then (us).
-    pub taken_by: Option<Micros>,
-    /// A second run is allowed up to then (us); `None` where none ran.
-    pub runs_again_by: Option<Micros>,
+    /// Time by which held state must be taken (us); `None` if no such deadline is running or the attempt only reads.
+    pub hold_deadline: Option<Micros>,
+    /// Time until which a second execution is allowed (us); `None` if the request has certainly not been
+    /// executed yet, or the attempt only reads.
+    pub rerun_deadline: Option<Micros>,
 }
 
 impl SendCheck {
-    /// The first rule that the send would break.
-    fn breaks(&self) -> Option<Rule> {
-        let over = |by: Option<Micros>| by.is_some_and(|by| by <= self.now);
+    /// The first rule that the send would break; `None` if it is allowed.
+    fn first_violation(&self) -> Option<Rule> {
+        let is_past = |deadline: Option<Micros>| deadline.is_some_and(|deadline| deadline <= self.now);
         let checks = [
-            (!self.waits, Rule::SendAfterAnswer),
-            (!self.takes_work, Rule::SendToDraining),
-            (over(self.runs_again_by), Rule::SecondRun),
-            (over(self.taken_by), Rule::HeldTooLong),
-            (over(Some(self.until)), Rule::SendAfterDeadline),
+            (!self.client_waiting, Rule::SendAfterAnswer),
+            (!self.server_accepts_work, Rule::SendToDraining),
+            (is_past(self.rerun_deadline), Rule::SecondRun),
+            (is_past(self.hold_deadline), Rule::HeldTooLong),
+            (is_past(Some(self.until)), Rule::SendAfterDeadline),
         ];
         checks.into_iter().find(|(broken, _)| *broken).map(|(_, rule)| rule)
     }
 }
 
 impl Guard {
-    /// Checks whether a send may begin; one that may not is counted as refused.
+    /// Checks whether a send is allowed, and counts it if it is refused.
     ///
     /// # Errors
-    /// The first rule that it would break.
+    /// The first rule that the send would break.
     pub fn check_send(&mut self, id: RequestId, check: &SendCheck) -> Result<(), Rule> {
-        let Some(rule) = check.breaks() else { return Ok(()) };
+        let Some(rule) = check.first_violation() else { return Ok(()) };
         self.refused[rule as usize] += 1;
         debug!(request_id:% = id, rule = rule.name(), check:? = check; "guard: send refused");
         Err(rule)
     }
 
-    /// Counts a rule that is broken already; `history` says what became of the request.
-    pub fn finds_broken(&mut self, rule: Rule, id: RequestId, history: &dyn std::fmt::Display) {
+    /// Counts and logs a rule that has already been broken; `history` is the history of the request.
+    pub fn record_violation(&mut self, rule: Rule, id: RequestId, history: &dyn std::fmt::Display) {
         self.broken[rule as usize] += 1;
         error!(request_id:% = id, rule = rule.name(), history:% = history; "guard: rule broken");
     }
 
-    /// Refused by now, by rule.
+    /// Refused sends since the start, by rule.
     #[must_use]
-    pub fn refused(&self) -> Counts {
+    pub fn refused(&self) -> RuleCounts {
         self.refused
     }
 
-    /// Found broken by now, by rule.
+    /// Violations found since the start, by rule.
     #[must_use]
-    pub fn broken(&self) -> Counts {
+    pub fn broken(&self) -> RuleCounts {
         self.broken
     }
 }
--- a/src/edge/phase.rs
+++ b/src/edge/phase.rs
@@ -1,16 +1,16 @@
-//! How far the program has come, from its start to its end.
+//! The phases of the process, from start to shutdown.
 
-/// How far the program has come. Later phases are greater.
+/// A phase of the process. Later phases compare greater.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// It does not listen yet.
+    /// Not listening yet: another process of this dispatcher is serving, and this one waits for a share of its limits.
     Joining,
-    /// It serves.
+    /// Serving requests.
     Serving,
-    /// It has been told to end: it serves on, but asks clients to leave with every answer.
+    /// Told to shut down: still serving, but every response asks the client to close its connection.
     Leaving,
-    /// The same, but another process takes new connections: the listener is closed.
+    /// Like [`Phase::Leaving`], but another process of this dispatcher accepts new connections: the listener is closed.
     Yielding,
-    /// Idle connections are closed and no new ones taken.
+    /// Idle connections are closed and no new ones are accepted.
     Closing,
 }
--- a/tests/held_state.rs
+++ b/tests/held_state.rs
@@ -59,7 +59,7 @@
 impl Model {
     fn request_release(&mut self) {
         self.last_release += 1;
-        let order = self.held.start_releasing(self.last_release, false, self.now);
+        let order = self.held.start_release(self.last_release, false, self.now);
         self.under_way = order.map(|_| self.last_release);
         self.is_answered = false;
     }
@@ -74,11 +74,11 @@
                 assert_eq!(after == HeldStateAfter::Released, was_released);
             }
             Step::StreamBegan => self.held.taken(),
-            Step::NextRead if self.held.is_unreleased() => self.request_release(),
+            Step::NextRead if self.held.needs_release() => self.request_release(),
             Step::NextRead => {}
             Step::ReleaseFinished { answered } => {
                 let Some(release) = self.under_way.take() else { return };
-                self.held.finish_releasing(release, answered, self.now, MAX_HOLD_TIME);
+                self.held.finish_release(release, answered, self.now, MAX_HOLD_TIME);
                 self.is_answered = answered;
             }
             Step::Pass(time) => {
@@ -131,7 +131,7 @@
         }
         // The end of the request releases all that may still be held, whatever was released before.
         let was_held = model.held.is_held();
-        let order = model.held.start_releasing(model.last_release + 1, true, model.now);
+        let order = model.held.start_release(model.last_release + 1, true, model.now);
         prop_assert_eq!(order.is_some(), was_held);
         prop_assert!(!model.held.is_held() && model.held.deadline().is_none());
     }
@@ -154,16 +154,16 @@
     for is_answered in [true, false] {
         let mut held = HeldState::none();
         held.read_answered(READER, 0, MAX_HOLD_TIME);
-        let order = held.start_releasing(1, false, MAX_HOLD_TIME).expect("something is held");
+        let order = held.start_release(1, false, MAX_HOLD_TIME).expect("something is held");
         assert_eq!((order.holders, order.again, order.held), (vec![READER], false, MAX_HOLD_TIME));
-        assert!(!held.is_unreleased());
+        assert!(!held.needs_release());
         if is_answered {
-            held.finish_releasing(1, true, 510_000, MAX_HOLD_TIME);
+            held.finish_release(1, true, 510_000, MAX_HOLD_TIME);
         }
         assert_eq!(held.deadline(), None, "only the attempt keeps it");
         assert_eq!(held.write_ended(false, 900_000, MAX_HOLD_TIME), HeldStateAfter::Released);
-        assert!(held.is_unreleased(), "it may be held still");
-        let order = held.start_releasing(2, true, 900_000).expect("it may be held still");
+        assert!(held.needs_release(), "it may be held still");
+        let order = held.start_release(2, true, 900_000).expect("it may be held still");
         assert!(order.again, "its server may see the close of the attempt up to {CLOSE_SEEN} us later");
         assert!(!held.is_held());
     }
@@ -173,12 +173,12 @@
 fn a_release_before_the_next_read_is_asked_for_once_as_a_second_would_let_go_of_that_read() {
     let mut held = HeldState::none();
     held.read_unanswered(READER, 0, MAX_HOLD_TIME);
-    assert!(held.is_unreleased());
-    let order = held.start_releasing(1, false, 10).expect("something may be held");
+    assert!(held.needs_release());
+    let order = held.start_release(1, false, 10).expect("something may be held");
     assert!(!order.again);
-    assert_eq!((held.is_unreleased(), held.deadline()), (false, None));
+    assert_eq!((held.needs_release(), held.deadline()), (false, None));
     held.read_answered(OTHER_READER, 20_000, MAX_HOLD_TIME);
-    let order = held.start_releasing(2, true, 30_000).expect("something is held");
+    let order = held.start_release(2, true, 30_000).expect("something is held");
     assert_eq!(order.holders, [READER, OTHER_READER], "the first may have seen its close after the release");
 }
 
@@ -186,7 +186,7 @@
 fn a_release_that_nobody_answers_is_asked_for_again_while_the_attempt_goes_on() {
     let mut held = HeldState::none();
     held.read_answered(READER, 0, MAX_HOLD_TIME);
-    held.start_releasing(1, false, MAX_HOLD_TIME).expect("something is held");
-    held.finish_releasing(1, false, 3_500_000, MAX_HOLD_TIME);
+    held.start_release(1, false, MAX_HOLD_TIME).expect("something is held");
+    held.finish_release(1, false, 3_500_000, MAX_HOLD_TIME);
     assert_eq!(held.deadline(), Some(4_000_000));
 }
