--- a/src/edge/core/messages.rs
+++ b/src/edge/core/messages.rs
@@ -105,7 +105,7 @@
     }
 }
 
-/// Result of an attempt that ended without being cancelled.
+/// Result of an attempt, with what the server reported.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptResult {
     /// How the attempt ended.
@@ -125,7 +125,8 @@
 /// Something that the driver must do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Send the request to a server. If its stream has not started by `until`, the reducer cancels the attempt.
+    /// Send the request to a server. If the attempt has neither ended nor started its stream by `until`, the
+    /// reducer cancels it.
     Send {
         /// The request.
         id: RequestId,
@@ -190,7 +191,7 @@
         /// Whether to repeat the release after [`CLOSE_SEEN`](super::CLOSE_SEEN): a read that was just
         /// abandoned may complete until its server notices the closed connection.
         again: bool,
-        /// Whether another read of the prompt follows, which waits for this release. The release is then
+        /// Whether the prompt may be read again next; that read waits for this release. The release is then
         /// abandoned early, because a late one would release the state left by that read.
         before_read: bool,
     },
