--- a/crates/router/src/admission.rs
+++ b/crates/router/src/admission.rs
@@ -1,4 +1,5 @@
-//! Admission: the next step of a request that has no attempt in flight, and the answer that ends one at once.
+//! Admission: the next step of a request that has no attempt in flight, and the answer that ends a request
+//! without a stream.
 
 use rand_core::RngCore;
 
@@ -14,28 +15,32 @@
 use crate::sweep::SWEEP_INTERVAL_US;
 use crate::writers::select_writer;
 
-/// A held state that waits for a writer must be looked at again before its time is up: by the next sweep,
-/// with so many batches of events in between, and so much for the answer (us).
-const BATCHES_TO_NEXT_SWEEP: Micros = 4;
+/// Safety margin for waiting until the next sweep: a held state waits for a writer only if the sweep, this
+/// many event batches after it, and [`ANSWER_MARGIN_US`] for sending the answer (us) all fit before its time
+/// is up.
+const SWEEP_MARGIN_BATCHES: Micros = 4;
 const ANSWER_MARGIN_US: Micros = 10_000;
 
-/// What is to be done next with a request.
+/// The next step of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NextStep {
     Send {
         server: ServerId,
         stage: Stage,
     },
-    /// Its state waits for a writer until the next sweep.
+    /// The held state waits for a writer; the next sweep tries again.
     AwaitWriter,
-    /// It ends without a stream.
+    /// The request ends without a stream, for this reason.
     Answer(EndReason),
 }
 
-/// The next step of a request that has no attempt in flight: on to a writer, to a mixed server, to a reader,
-/// else whole to whatever can do it, else an answer at once.
+/// Selects the next step of a request that has no attempt in flight.
+///
+/// A request with a held state goes to a writer. Any other request goes to a mixed server if it belongs to
+/// the mixed servers' share of sessions or the reader path is overloaded, else to a reader, else to any
+/// server that can both read and write. If none can take it, it is answered at once.
 pub(crate) fn next_step(state: &RoutingState, request: &RequestState, rng: &mut impl RngCore) -> NextStep {
-    if let Some(reason) = ends_now(state, request) {
+    if let Some(reason) = terminal_reason(state, request) {
         return NextStep::Answer(reason);
     }
     match request.held_state {
@@ -44,8 +49,8 @@
     }
 }
 
-/// Why a request can have no further attempt, if that is so.
-fn ends_now(state: &RoutingState, request: &RequestState) -> Option<EndReason> {
+/// Why a request can have no further attempt; `None` if it can have one.
+fn terminal_reason(state: &RoutingState, request: &RequestState) -> Option<EndReason> {
     if request.info.not_after <= state.now {
         return Some(EndReason::Deadline);
     }
@@ -75,24 +80,24 @@
     }
 }
 
-/// Whether the next sweep comes well before a time.
+/// Whether the next sweep, with its safety margin, comes before `until`.
 fn can_wait_for_sweep(state: &RoutingState, until: Micros) -> bool {
-    let batches_us = BATCHES_TO_NEXT_SWEEP * state.settings.resolution;
+    let batches_us = SWEEP_MARGIN_BATCHES * state.settings.resolution;
     state.now + SWEEP_INTERVAL_US + batches_us + ANSWER_MARGIN_US < until
 }
 
 fn step_to_reader(state: &RoutingState, request: &RequestState, rng: &mut impl RngCore) -> NextStep {
     let (class, session) = (request.info.class, request.info.session);
     let draw = unit_interval(rng.next_u64());
-    let is_jammed =
+    let is_reader_path_overloaded =
         is_overloaded(state, class, Stage::Read, draw) || is_overloaded(state, class, Stage::Write, draw);
-    let prefers_mixed = is_jammed || takes_mixed_share(state, class, session, rng);
+    let prefers_mixed = is_reader_path_overloaded || is_in_mixed_share(state, class, session, rng);
     if prefers_mixed && !is_overloaded(state, class, Stage::ReadAndWrite, draw) {
         if let Some(server) = select_server(state, request, Role::Mixed, WhenFull::GiveUp, rng) {
             return NextStep::Send { server, stage: Stage::ReadAndWrite };
         }
     }
-    if is_jammed {
+    if is_reader_path_overloaded {
         return NextStep::Answer(EndReason::Overloaded);
     }
     if let Some(server) = select_server(state, request, Role::Reader, WhenFull::Queue, rng) {
@@ -109,8 +114,9 @@
     NextStep::Answer(EndReason::NoServerReady)
 }
 
-/// Mixed servers take their share of sessions: by count of machines, each session always alike.
-fn takes_mixed_share(state: &RoutingState, class: u32, session: Option<Key>, rng: &mut impl RngCore) -> bool {
+/// Whether a request falls into the mixed servers' share of sessions: their part of all healthy servers. The
+/// draw is a hash of the session, so that all requests of a session get the same answer.
+fn is_in_mixed_share(state: &RoutingState, class: u32, session: Option<Key>, rng: &mut impl RngCore) -> bool {
     let healthy_count = |role| {
         let suspects = state.fleet.ready_suspects(role);
         let ejected = suspects.filter(|server| !health::is_healthy(server, class, state.now)).count();
@@ -122,18 +128,19 @@
     unit_interval(draw) < share
 }
 
-/// The answer that ends a request without a stream: rejected where a new try is harmless and in time, else
-/// failed. The client's wait is drawn at random, so that clients do not come back at once.
+/// The answer that ends a request without a stream. It is rejected if a retry by the client is harmless and
+/// its deadline has not passed, else failed. The retry delay is drawn at random between half of the maximum
+/// and the maximum, so that clients do not all retry at the same time.
 pub(crate) fn final_answer(state: &RoutingState, request: &RequestState, rng: &mut impl RngCore) -> Action {
     let id = request.info.id;
-    if !is_retry_harmless(state, request) || request.info.not_after <= state.now {
+    if !is_retry_safe(state, request) || request.info.not_after <= state.now {
         return Action::Fail(id);
     }
     let half_us = state.settings.max_retry_after / 2;
     Action::Reject { id, retry_in: half_us + rng.next_u64() % half_us.max(1) }
 }
 
-fn is_retry_harmless(state: &RoutingState, request: &RequestState) -> bool {
+fn is_retry_safe(state: &RoutingState, request: &RequestState) -> bool {
     if request.may_have_run.is_none() {
         return true;
     }
--- a/crates/router/src/attempts.rs
+++ b/crates/router/src/attempts.rs
@@ -1,4 +1,5 @@
-//! Attempts: what a send to a server amounts to, and how the end of one changes its request.
+//! Attempts: the planning and bookkeeping of a send to a server, and how the end of an attempt changes its
+//! request.
 
 use crate::interface::{AttemptFinished, HeldStateAfter, Micros, Outcome, RequestId};
 use crate::records::{Attempt, HeldState, PossibleRun, RequestState, Server, Stage};
@@ -7,7 +8,8 @@
 use crate::timeouts::attempt_timeout_us;
 use crate::work;
 
-/// Times the time-out for a state that leaves its cell: repeats would move it anew.
+/// Multiplies the attempt timeout of a write whose state leaves the reader's cell: a retry would transfer the
+/// whole state again.
 const REMOTE_TIMEOUT_MULTIPLE: Micros = 3;
 
 /// An attempt that is ready to be sent.
@@ -15,19 +17,19 @@
 pub(crate) struct PlannedAttempt {
     pub(crate) attempt: Attempt,
     pub(crate) timeout_us: Micros,
-    /// Requests that slow start permits to the server in each window; `None` for a warm server.
+    /// Requests per window that slow start permits to the server; `None` for a warm server.
     slow_start_per_window: Option<f64>,
 }
 
-/// What the end of an attempt means for the state that its request holds.
+/// What is to be done with the state that servers hold for a request after one of its attempts has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HeldStateChange {
-    /// It is to be released.
+    /// The state must be released.
     Release,
     Keep,
 }
 
-/// Works out the next attempt of a request: it must be permitted there.
+/// Computes the next attempt of a request. The caller has checked that the attempt is permitted at `server`.
 pub(crate) fn plan(
     state: &RoutingState,
     request: &RequestState,
@@ -64,7 +66,7 @@
     }
 }
 
-/// An attempt of a request is sent: counts it for its server, and in the request.
+/// Records that an attempt is being sent: in the load of its server, in the load gossip and in its request.
 pub(crate) fn record_sent(state: &mut RoutingState, request: &mut RequestState, planned: PlannedAttempt) {
     let PlannedAttempt { attempt, slow_start_per_window, .. } = planned;
     let id: RequestId = request.info.id;
@@ -86,8 +88,8 @@
     request.in_flight = Some(attempt);
 }
 
-/// An attempt of a request has ended, which is in flight no more: where the request's state is now, whether
-/// it may have taken effect, and that the server failed it.
+/// Updates a request after its attempt has ended: where its held state is now, whether the attempt may have
+/// run, and whether the server counts as one that failed it. `attempt` is no longer in flight.
 pub(crate) fn record_outcome(
     request: &mut RequestState,
     attempt: &Attempt,
@@ -98,7 +100,8 @@
     let mut change = HeldStateChange::Keep;
     match (outcome, ended.held_state) {
         (Outcome::Read, _) => request.held_state = Some(HeldState { reader: attempt.server, since: now }),
-        // Also told where the reader is only cut off from that writer: the state may still be pinned.
+        // A writer also reports `NoState` when only its own connection to the reader is broken. The reader
+        // may still hold the state then, so it has to be released.
         (Outcome::NoState, _) if request.held_state.take().is_some() => change = HeldStateChange::Release,
         (_, HeldStateAfter::TimeGoesOn) => {}
         (_, HeldStateAfter::TimeBeginsAnew) => {
--- a/crates/router/src/eligibility.rs
+++ b/crates/router/src/eligibility.rs
@@ -1,7 +1,8 @@
-//! Eligibility: to which servers a request may be sent, and which of them look able to serve it.
+//! Eligibility: which servers a request may be sent to, and which of them are likely to be able to serve it.
 //!
-//! [`is_permitted`] holds the rules that no choice may break; every send passes it. A [`CandidatePool`]
-//! leaves out what is unhealthy or has failed the request already, as long as enough is left.
+//! [`is_permitted`] holds the rules that every send must pass, whichever code selected the server. A
+//! [`CandidatePool`] also leaves out servers that are unhealthy or have already failed the request, as long
+//! as enough servers remain.
 
 use crate::fleet::SlowStartingServer;
 use crate::health;
@@ -10,7 +11,7 @@
 use crate::routing_state::RoutingState;
 use crate::slow_start;
 
-/// Servers at which a request can have no second effect.
+/// The servers at which another attempt of a request cannot take effect a second time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum RepeatScope {
     Nowhere,
@@ -30,8 +31,8 @@
     }
 }
 
-/// Where a request may be sent to without a second effect: anywhere until an attempt may have executed, then
-/// as its class says.
+/// Where a request may be sent without taking effect twice: anywhere until an attempt may have run, then as
+/// the class's [`Effect`] says.
 pub(crate) fn repeat_scope(state: &RoutingState, request: &RequestState) -> RepeatScope {
     let Some(first) = request.may_have_run else { return RepeatScope::Everywhere };
     let Some(class) = state.class(request.info.class) else { return RepeatScope::Nowhere };
@@ -40,7 +41,7 @@
         Effect::AtMostOnce => return RepeatScope::Nowhere,
         Effect::Deduplicated => {}
     }
-    // A server that is not known any more tells neither zone nor cell.
+    // The zone and cell of a server that has left the list are not known.
     let Some(server) = state.fleet.get(first.server) else { return RepeatScope::Nowhere };
     if state.now + 2 * state.settings.resolution >= first.sent_at + class.dedup_window {
         return RepeatScope::Nowhere;
@@ -52,15 +53,16 @@
     }
 }
 
-/// Whether a request has had all the attempts that its class allows.
+/// Whether a request has used all the attempts that its class allows.
 pub(crate) fn attempts_exhausted(state: &RoutingState, request: &RequestState) -> bool {
     state.class(request.info.class).is_some_and(|class| request.attempts >= class.max_attempts)
 }
 
-/// What the rules permit for a request now: (1) it is open and in time; (2) nothing else is in flight and no
-/// effect can happen twice; (3) the list has the server as ready; (4) slow start has room for it.
+/// The four rules for sending a request now: (1) it is open and before its deadline; (2) it has no other
+/// attempt in flight and cannot take effect twice; (3) the list shows the server as ready; (4) slow start has
+/// room for another request at the server.
 ///
-/// What does not depend on the server is worked out once: many servers are asked for one request.
+/// The parts that do not depend on the server are computed once, as many servers are checked for one request.
 #[derive(Clone, Copy, Debug)]
 struct Permissions<'a> {
     state: &'a RoutingState,
@@ -75,34 +77,34 @@
         Self { state, is_open, scope: repeat_scope(state, request) }
     }
 
-    fn include(&self, server: &Server) -> bool {
+    fn permits(&self, server: &Server) -> bool {
         self.is_open
             && server.entry.health == Health::Ready
             && self.scope.contains(server)
             && slow_start::allows(self.state, server.role, server.entry.started, &server.slow_start_budget)
     }
 
-    /// How many servers of a role are included. Counted by exceptions, which are few, where that is possible.
+    /// Number of servers of a role that the rules permit. Where possible, the few exceptions are subtracted
+    /// instead of checking every server.
     fn count(&self, role: Role) -> usize {
         let fleet = &self.state.fleet;
         if self.scope != RepeatScope::Everywhere {
-            return fleet.ready(role).filter(|server| self.include(server)).count();
+            return fleet.ready(role).filter(|server| self.permits(server)).count();
         }
-        let is_barred = |server: &&SlowStartingServer| {
+        let lacks_slow_start_budget = |server: &&SlowStartingServer| {
             !slow_start::allows(self.state, role, server.started, &server.budget)
         };
-        fleet.ready_count(role) - fleet.slow_starting(role).iter().filter(is_barred).count()
+        fleet.ready_count(role) - fleet.slow_starting(role).iter().filter(lacks_slow_start_budget).count()
     }
 }
 
-/// Whether the rules permit this send now. Every send is held against this, whoever has chosen the server.
+/// Whether the rules permit this send now. Every send is checked here, whichever code selected the server.
 pub(crate) fn is_permitted(state: &RoutingState, request: &RequestState, server: &Server) -> bool {
-    Permissions::of(state, request).include(server)
+    Permissions::of(state, request).permits(server)
 }
 
-/// Servers of a role that the rules permit for a request and that look healthy. Where too few look so, the
-/// unhealthy ones are in as well; those at which the request has failed are in only where there are no
-/// others.
+/// Servers of a role that the rules permit for a request and that are healthy. If too few are healthy, the
+/// unhealthy ones are included; servers that have failed the request are included only if no others are left.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CandidatePool<'a> {
     pub(crate) role: Role,
@@ -113,26 +115,26 @@
 }
 
 impl<'a> CandidatePool<'a> {
-    /// The pool of a request; `None` where it would be empty.
+    /// The pool of a request; `None` if it would be empty.
     pub(crate) fn of(state: &'a RoutingState, role: Role, request: &'a RequestState) -> Option<Self> {
         let permissions = Permissions::of(state, request);
         let permitted = permissions.count(role);
-        let suspects = state.fleet.ready_suspects(role).filter(|server| permissions.include(server));
+        let suspects = state.fleet.ready_suspects(role).filter(|server| permissions.permits(server));
         let is_unhealthy = |server: &&Server| !health::is_healthy(server, request.info.class, state.now);
         let healthy = permitted - suspects.filter(is_unhealthy).count();
-        let includes_unhealthy = health::too_few(healthy, permitted);
+        let includes_unhealthy = health::is_below_panic_threshold(healthy, permitted);
         let size = if includes_unhealthy { permitted } else { healthy };
-        let with_failed = Self { role, request, permissions, includes_unhealthy, includes_failed: true };
+        let including_failed = Self { role, request, permissions, includes_unhealthy, includes_failed: true };
         let failed = state.fleet.known_of(&request.failed_at);
-        let failed = failed.filter(|server| with_failed.contains(server)).count();
-        (size > 0).then_some(Self { includes_failed: failed == size, ..with_failed })
+        let failed = failed.filter(|server| including_failed.contains(server)).count();
+        (size > 0).then_some(Self { includes_failed: failed == size, ..including_failed })
     }
 
-    /// Whether a server is in it.
+    /// Whether a server belongs to the pool.
     pub(crate) fn contains(&self, server: &Server) -> bool {
         let RequestState { info, failed_at, .. } = self.request;
         server.role == self.role
-            && self.permissions.include(server)
+            && self.permissions.permits(server)
             && (self.includes_unhealthy || health::is_healthy(server, info.class, self.permissions.state.now))
             && (self.includes_failed || !failed_at.contains(&server.entry.server))
     }
--- a/crates/router/src/health.rs
+++ b/crates/router/src/health.rs
@@ -1,19 +1,21 @@
-//! Health: which servers are passed over for what came back from them.
+//! Health: which servers are avoided because of the outcomes of earlier attempts.
 
 use crate::interface::{Health, Micros};
 use crate::records::Server;
 
-/// The share of a pool that must look healthy. Where fewer do, the yardstick is wrong: all serve.
+/// Panic threshold: the smallest share of a pool that must be healthy. Below it the health check itself is
+/// assumed to be wrong, and the whole pool serves.
 const MIN_HEALTHY_SHARE: f64 = 0.34;
 
-/// Whether a server is listed as ready and not ejected for requests of a class.
+/// Whether the list shows a server as ready and it is not ejected for requests of a class.
 pub(crate) fn is_healthy(server: &Server, class: u32, now: Micros) -> bool {
     let is_idle = server.unanswered.is_empty();
     let outlier_state = server.statistics.outlier_states.get(&class);
     server.entry.health == Health::Ready && outlier_state.is_none_or(|state| state.accepts_work(now, is_idle))
 }
 
-/// Whether so few of a pool pass a test that the test is at fault: then all of the pool serves.
-pub(crate) fn too_few(passing: usize, pool: usize) -> bool {
-    (passing as f64) < MIN_HEALTHY_SHARE * pool as f64
+/// Whether so few servers of a pool are healthy that the health check must be wrong; the whole pool serves
+/// then. `healthy` is the number of healthy servers, `total` the number of all.
+pub(crate) fn is_below_panic_threshold(healthy: usize, total: usize) -> bool {
+    (healthy as f64) < MIN_HEALTHY_SHARE * total as f64
 }
--- a/crates/router/src/remote_fetch.rs
+++ b/crates/router/src/remote_fetch.rs
@@ -1,5 +1,5 @@
-//! Fetches of a state by a writer in another cell than its reader's: whether the links between cells are
-//! slow, and what that means for the choice of a reader.
+//! Remote fetches, in which a writer fetches a state from a reader in another cell: whether the links between
+//! cells are slow, and which readers have to be avoided then.
 
 use crate::averaging::AVERAGE_HALF_LIFE_US;
 use crate::health;
@@ -7,18 +7,19 @@
 use crate::records::{Server, Stage};
 use crate::routing_state::RoutingState;
 
-/// Times the median that first tokens take after a fetch from another cell, where links are slow.
+/// Links between cells count as slow once the time per token of remote fetches exceeds this multiple of the
+/// median of all writes.
 const SLOW_LINK_MULTIPLE: f64 = 3.0;
 
-/// Whether fetches from other cells lately took far longer than others.
+/// Whether the time per token of remote fetches was recently far above the median of all writes.
 pub(crate) fn links_are_slow(state: &RoutingState) -> bool {
     let remote = state.remote_fetch_us_per_token.value_at(state.now, 0.0, AVERAGE_HALF_LIFE_US);
     remote > SLOW_LINK_MULTIPLE * state.stage(Stage::Write).median_us_per_token
 }
 
-/// Whether a reader has nobody in its cell to fetch its states while links are slow: it is then passed over
-/// like one at capacity.
-pub(crate) fn is_stranded(state: &RoutingState, reader: &Server, class: u32) -> bool {
+/// Whether links are slow and a reader's cell has no healthy writer or mixed server to fetch its states. Such
+/// a reader is skipped like one at capacity.
+pub(crate) fn lacks_local_writers(state: &RoutingState, reader: &Server, class: u32) -> bool {
     let has_local = |role| {
         let mut local = state.fleet.ready_in_cell(reader.entry.cell, role);
         local.any(|server| health::is_healthy(server, class, state.now))
--- a/crates/router/src/timeouts.rs
+++ b/crates/router/src/timeouts.rs
@@ -1,20 +1,21 @@
-//! Time-outs of attempts.
+//! Attempt timeouts.
 
 use crate::interface::Micros;
 use crate::records::{Server, Stage};
 use crate::routing_state::RoutingState;
 
-/// An attempt's first time-out: so many times what its like usually takes, and the shortest latency objective
-/// at the least, so that a short pause does not set off repeats.
+/// Multiple of the expected time that an attempt may take. The shortest latency objective is the lower bound,
+/// so that a short pause of a server does not cause retries.
 const TIMEOUT_MULTIPLE: f64 = 4.0;
-/// Doublings of the time-out by failures of the request, at most.
+/// Most doublings of the attempt timeout after failures of the request.
 const MAX_DOUBLINGS: usize = 6;
 
-/// How long an attempt may take (us): a multiple of what its like usually takes behind what waits there,
-/// doubled with each failure of its request, so that a jam of the whole pool ends in waiting and not in ever
-/// more repeats.
+/// The attempt timeout (us): a multiple of the expected time of the attempt, including the work queued ahead
+/// of it. It doubles with each failure of the request, so that an overload of the whole pool makes requests
+/// wait longer instead of causing ever more retries.
 ///
-/// `objective_us` is the latency objective of the request; the shortest one of any class is the floor.
+/// The larger of `objective_us`, the request's latency objective, and the shortest objective of any class is
+/// the lower bound.
 pub(crate) fn attempt_timeout_us(
     state: &RoutingState,
     server: &Server,
@@ -25,8 +26,8 @@
 ) -> Micros {
     let us_per_token = state.stage(stage).median_us_per_token;
     let reported_us = state.gossip.believed_us(server.entry.server, state.now);
-    let ahead_us = reported_us.max(us_per_token * server.unanswered_tokens[stage as usize]);
-    let expected_us = us_per_token * work_tokens + ahead_us;
+    let queued_us = reported_us.max(us_per_token * server.unanswered_tokens[stage as usize]);
+    let expected_us = us_per_token * work_tokens + queued_us;
     let timeout_us = (TIMEOUT_MULTIPLE * expected_us).max(objective_us.max(state.shortest_objective_us));
     (timeout_us * f64::from(1u32 << failures.min(MAX_DOUBLINGS))) as Micros
 }
--- a/crates/router/src/work.rs
+++ b/crates/router/src/work.rs
@@ -4,21 +4,22 @@
 use crate::records::Stage;
 use crate::routing_state::RoutingState;
 
-/// Tokens' worth of fixed work in each read. Scales with the servers' time for a step.
+/// Fixed work of each read, in tokens. It scales with the duration of a server's step.
 pub(crate) const READ_OVERHEAD_TOKENS: f64 = 512.0;
-/// And in each fetch of a state.
+/// Fixed work of each fetch of a state, in tokens.
 pub(crate) const WRITE_OVERHEAD_TOKENS: f64 = 2_048.0;
 
-/// What an attempt is likely to take.
+/// The estimated cost of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WorkEstimate {
-    /// Of the server's memory, in tokens.
+    /// Memory that the attempt takes at the server, in tokens.
     pub(crate) memory_tokens: u64,
-    /// Of its time until the read or first token, in tokens.
+    /// Server time until the read is done or the first token comes, in tokens.
     pub(crate) work_tokens: f64,
 }
 
-/// The work of a stage of a request at a server that keeps so many tokens of its prompt.
+/// Estimates the work of one stage of a request at a server that has `cached_tokens` of its prompt in its
+/// cache.
 pub(crate) fn estimate(
     state: &RoutingState,
     info: &RequestInfo,
@@ -27,16 +28,16 @@
 ) -> WorkEstimate {
     let unread_tokens = info.prompt_tokens - cached_tokens;
     let read_tokens = unread_tokens as f64 + READ_OVERHEAD_TOKENS;
-    let whole_tokens = info.prompt_tokens + answer_tokens(state, info);
+    let total_tokens = info.prompt_tokens + answer_tokens(state, info);
     let (memory_tokens, work_tokens) = match stage {
         Stage::Read => (unread_tokens, read_tokens),
-        Stage::Write => (whole_tokens, info.prompt_tokens as f64 + WRITE_OVERHEAD_TOKENS),
-        Stage::ReadAndWrite => (whole_tokens, read_tokens),
+        Stage::Write => (total_tokens, info.prompt_tokens as f64 + WRITE_OVERHEAD_TOKENS),
+        Stage::ReadAndWrite => (total_tokens, read_tokens),
     };
     WorkEstimate { memory_tokens, work_tokens }
 }
 
-/// The likely length of an answer in tokens: as the client hints, else half of what it allows.
+/// Expected length of an answer in tokens: by the client's hint, else half of the maximum that it allows.
 fn answer_tokens(state: &RoutingState, info: &RequestInfo) -> u64 {
     let token_objective_us = state.class(info.class).map_or(0, |class| class.token_interval_objective);
     match info.hint {
--- a/crates/router/src/writers.rs
+++ b/crates/router/src/writers.rs
@@ -1,8 +1,9 @@
-//! Which writer fetches a state that has been read: one in the reader's cell, else in its zone, else
+//! Selection of the writer that fetches a held state: one in the reader's cell, else in its zone, else
 //! anywhere.
 //!
-//! Racks are uneven: a cell, or a zone, keeps only the part of its states that its writers can take, and the
-//! rest goes where writers have room to spare. Harm: states that a quiet rack could have kept move.
+//! Cells differ in their ratio of writers to readers. A cell, or a zone, keeps only the part of its states
+//! that its writers can take; the others go to cells with spare writers. Known drawback: states also leave a
+//! cell that is idle enough to have kept them.
 
 use rand_core::RngCore;
 
@@ -16,53 +17,58 @@
 use crate::routing_state::RoutingState;
 use crate::statistics::{lower_median, mix, unit_interval};
 
-/// A server's weight counts as this at the least.
+/// Lower bound of a server's weight, which is a divisor.
 const MIN_WEIGHT: f64 = 0.01;
 
-/// Random draws of one choice.
+/// The random draws of one selection.
 struct Draws {
-    /// Whether the state stays in its cell, in (0, 1].
+    /// Decides whether the state stays in its cell, in (0, 1].
     stay_in_cell: f64,
-    /// Whether it stays in its zone once it leaves the cell, in (0, 1].
+    /// Decides whether a state that leaves its cell stays in its zone, in (0, 1].
     stay_in_zone: f64,
-    /// Whether a cell counts as having writers to spare, hashed with the server.
-    spare: u64,
+    /// Seed that is hashed with a server to decide whether its cell counts as having spare writers.
+    spare_seed: u64,
 }
 
 impl Draws {
     fn new(rng: &mut impl RngCore) -> Self {
         let stay_in_cell = unit_interval(rng.next_u64());
         let stay_in_zone = unit_interval(rng.next_u64());
-        Self { stay_in_cell, stay_in_zone, spare: rng.next_u64() }
+        Self { stay_in_cell, stay_in_zone, spare_seed: rng.next_u64() }
     }
 }
 
-/// Writers that can take a state now. Mixed servers help where no writer is ready.
+/// Writers that can take a state now; mixed servers if no writer can.
 struct Candidates<'a> {
     state: &'a RoutingState,
     pool: CandidatePool<'a>,
-    /// Own tokens at a server of the role on average; 0 where the memory estimate is not to bar anyone.
+    /// Mean memory tokens of this dispatcher's attempts per server of the role, the basis for the estimate of
+    /// what other dispatchers hold there; 0 if that estimate must not exclude any server.
     mean_memory_tokens: f64,
-    /// Cells that are passed over, unless nobody else is left.
+    /// Cells to skip, unless no other candidate is left.
     congested: Vec<CellId>,
 }
 
-/// Where a state may go once it does not stay in its cell, in the order of preference.
-const DESTINATIONS: [Destination; 4] =
-    [Destination::SpareInZone, Destination::SpareElsewhere, Destination::OwnZone, Destination::Anywhere];
+/// Where a state that leaves its cell may go, in order of preference.
+const DESTINATIONS: [Destination; 4] = [
+    Destination::SpareCellsInZone,
+    Destination::SpareCellsElsewhere,
+    Destination::OwnZone,
+    Destination::Anywhere,
+];
 
 #[derive(Clone, Copy, Debug)]
 enum Destination {
-    /// Cells of the reader's zone with writers to spare, for the part of the states that the zone keeps.
-    SpareInZone,
-    /// Cells of other zones with writers to spare.
-    SpareElsewhere,
+    /// Cells with spare writers in the reader's zone, for the part of the states that the zone keeps.
+    SpareCellsInZone,
+    /// Cells with spare writers in other zones.
+    SpareCellsElsewhere,
     OwnZone,
     Anywhere,
 }
 
-/// The writer for the state that `reader` holds: of two candidates drawn at random, the one with fewer own
-/// tokens in flight for its weight and pace. `None` where nobody can take it now.
+/// Selects the writer for the state that `reader` holds: of two random candidates, the one with fewer tokens
+/// of this dispatcher in flight, relative to its weight and pace. `None` if no server can take the state now.
 pub(crate) fn select_writer(
     state: &RoutingState,
     request: &RequestState,
@@ -72,7 +78,7 @@
     let draws = Draws::new(rng);
     let candidates = Candidates::of(state, request, &draws)?;
     let writers = match state.fleet.get(reader) {
-        Some(reader) => candidates.near(&reader.entry, &draws),
+        Some(reader) => candidates.candidates_for(&reader.entry, &draws),
         None => state.fleet.ready_passing(candidates.pool.role, |server| candidates.contains(server)),
     };
     less_loaded_of_two(state, &writers, rng)
@@ -87,7 +93,7 @@
             let candidates = Self { state, pool, mean_memory_tokens, congested: Vec::new() };
             candidates.any_ready().then_some(candidates)
         })?;
-        let congested = congested_cells(state, unit_interval(mix(!draws.spare)));
+        let congested = congested_cells(state, unit_interval(mix(!draws.spare_seed)));
         if congested.is_empty() {
             return Some(found);
         }
@@ -108,10 +114,10 @@
             && load::has_memory_left(self.state, server, self.mean_memory_tokens)
     }
 
-    /// Those among which the draw is made for a state of that reader.
-    fn near(&self, reader: &ServerEntry, draws: &Draws) -> Vec<ServerId> {
-        let of_cell = self.balance(reader, |cell| cell.writer_surplus);
-        if draws.stay_in_cell < of_cell {
+    /// The candidates among which the writer for a state of `reader` is drawn.
+    fn candidates_for(&self, reader: &ServerEntry, draws: &Draws) -> Vec<ServerId> {
+        let local_probability = self.balance(reader, |cell| cell.writer_surplus);
+        if draws.stay_in_cell < local_probability {
             let local = self.state.fleet.ready_in_cell(reader.cell, self.pool.role);
             let local = local.filter(|server| self.contains(server));
             let local: Vec<ServerId> = local.map(|server| server.entry.server).collect();
@@ -120,8 +126,9 @@
             }
         }
         for destination in DESTINATIONS {
-            let is_there = |entry: &ServerEntry| self.lies_in(destination, entry, reader, draws);
-            let passing = |server: &Server| is_there(&server.entry) && self.contains(server);
+            let is_at_destination =
+                |entry: &ServerEntry| self.matches_destination(destination, entry, reader, draws);
+            let passing = |server: &Server| is_at_destination(&server.entry) && self.contains(server);
             let found = self.state.fleet.ready_passing(self.pool.role, passing);
             if !found.is_empty() {
                 return found;
@@ -130,7 +137,7 @@
         Vec::new()
     }
 
-    fn lies_in(
+    fn matches_destination(
         &self,
         destination: Destination,
         writer: &ServerEntry,
@@ -139,23 +146,24 @@
     ) -> bool {
         let is_in_zone = writer.zone == reader.zone;
         match destination {
-            Destination::SpareInZone => {
+            Destination::SpareCellsInZone => {
                 let stays = draws.stay_in_zone < self.balance(reader, |cell| cell.zone_retention);
-                stays && is_in_zone && self.has_spare(writer, draws)
+                stays && is_in_zone && self.has_spare_writers(writer, draws)
             }
-            Destination::SpareElsewhere => !is_in_zone && self.has_spare(writer, draws),
+            Destination::SpareCellsElsewhere => !is_in_zone && self.has_spare_writers(writer, draws),
             Destination::OwnZone => is_in_zone,
             Destination::Anywhere => true,
         }
     }
 
-    /// Whether the cell of a writer has writers to spare, by chance in proportion to how many.
-    fn has_spare(&self, writer: &ServerEntry, draws: &Draws) -> bool {
-        let draw = unit_interval(mix(draws.spare ^ u64::from(writer.server.0)));
+    /// Whether the cell of a writer counts as having spare writers: at random, with a probability that grows
+    /// with its surplus.
+    fn has_spare_writers(&self, writer: &ServerEntry, draws: &Draws) -> bool {
+        let draw = unit_interval(mix(draws.spare_seed ^ u64::from(writer.server.0)));
         draw < 1.0 - 1.0 / self.balance(writer, |cell| cell.writer_surplus)
     }
 
-    /// A figure of a server's cell, or that of a balanced cell where it is not known.
+    /// Returns a figure of a server's cell, or that of a balanced cell if the cell is not known.
     fn balance(&self, entry: &ServerEntry, figure: impl Fn(&CellBalance) -> f64) -> f64 {
         match self.state.cells.get(&entry.cell) {
             Some(cell) => figure(cell),
@@ -164,16 +172,21 @@
     }
 }
 
-/// Whether a held state has waited for half of its time: what has been read is not thrown away for an
-/// estimate, and a connect may yet fail.
+/// Whether a held state has waited for half of its hold time. From then on the estimate of what other
+/// dispatchers hold excludes no writer: a finished read is not discarded because of an estimate, and time
+/// must be left for another attempt in case a connect fails.
 fn is_urgent(state: &RoutingState, request: &RequestState) -> bool {
     request.held_state.is_none_or(|held| state.now >= held.since + state.settings.max_hold_time / 2)
 }
 
-/// Cells to pass over: their writers lately queued or timed out over what is permitted and twice the median
-/// cell, in proportion to `draw` in (0, 1], unless links are slow: a dispatcher meets the cell often, each
-/// writer seldom. Also catches a cell of slow writers. Harm: one slow writer sends its neighbours' states
-/// off.
+/// Cells to skip because states recently queued or timed out at their writers for longer than the limit: the
+/// permitted wait at the write stage, and at least twice the median cell. A cell is skipped with a
+/// probability that grows with the excess; `draw` is in (0, 1]. No cell is skipped while links between cells
+/// are slow.
+///
+/// The limit is per cell because a dispatcher has recent samples for each cell, but seldom for each writer.
+/// It also catches a cell whose writers are slow. Known drawback: one slow writer diverts states from the
+/// other writers of its cell.
 fn congested_cells(state: &RoutingState, draw: f64) -> Vec<CellId> {
     if remote_fetch::links_are_slow(state) {
         return Vec::new();
@@ -183,13 +196,14 @@
     let permitted_us = WAIT_SHARE_OF_OBJECTIVE[Stage::Write as usize] * state.shortest_objective_us;
     let limit_us = (QUEUEING_SHARE * permitted_us).max(SLOW_MULTIPLE * median_us);
     let is_congested = |cell: &CellBalance| {
-        let is_prompt = draw < limit_us / queueing_us(cell);
-        !is_prompt
+        let is_within_limit = draw < limit_us / queueing_us(cell);
+        !is_within_limit
     };
     state.cells.iter().filter(|(_, cell)| is_congested(cell)).map(|(&id, _)| id).collect()
 }
 
-/// Of two servers drawn at random, the one with fewer own tokens in flight for its weight and pace.
+/// Of two servers drawn at random, the one with fewer tokens of this dispatcher in flight, relative to its
+/// weight and pace.
 fn less_loaded_of_two(
     state: &RoutingState,
     servers: &[ServerId],
