--- a/crates/router/src/cells.rs
+++ b/crates/router/src/cells.rs
@@ -1,5 +1,4 @@
-//! Balance of cells: what the list says of racks with more readers than writers, and the other way round.
-//! Worked out when the list changes.
+//! Balance between readers and writers in each cell (rack). It is computed when the list changes.
 
 use std::collections::BTreeMap;
 
@@ -7,23 +6,24 @@
 use crate::interface::{CellId, ZoneId};
 use crate::records::CellBalance;
 
-/// Weights that a cell's readers may get, to suit its writers: least and most.
+/// Limits of the weight that a cell's readers get to match its writers.
 const MIN_READER_WEIGHT: f64 = 0.2;
 const MAX_READER_WEIGHT: f64 = 1.5;
 
-/// What the cells of one zone have together, as shares of all writing.
+/// Totals over the cells of one zone, as shares of all writers.
 #[derive(Clone, Copy, Debug, Default)]
 struct ZoneBalance {
-    /// Room to spare at cells with more writers.
-    spare: f64,
-    /// States that leave cells with fewer.
-    leaving: f64,
+    /// Spare writer capacity in cells with a larger share of writers than of readers.
+    spare_writers: f64,
+    /// States that leave cells with a smaller share of writers than of readers.
+    leaving_states: f64,
 }
 
-/// The balance of each cell with servers that take work. What was learnt of a cell (`previous`) is kept.
+/// Computes the balance of each cell with servers that take work. The observed queueing of each cell is kept
+/// from `previous`.
 ///
-/// A zone takes of the states that leave cells what its other cells have room for: were it more, its one cell
-/// of many writers would be buried.
+/// Of the states that leave their cells, a zone keeps only as many as its other cells have spare writers for.
+/// With more, a zone's only cell with spare writers would be overloaded.
 pub(crate) fn balance_cells(
     fleet: &Fleet,
     mut previous: BTreeMap<CellId, CellBalance>,
@@ -32,16 +32,16 @@
     let mut zones: BTreeMap<ZoneId, ZoneBalance> = BTreeMap::new();
     for share in shares.values() {
         let zone = zones.entry(share.zone).or_default();
-        zone.spare += (share.writers - share.readers).max(0.0);
-        zone.leaving += (share.readers - share.writers).max(0.0);
+        zone.spare_writers += (share.writers - share.readers).max(0.0);
+        zone.leaving_states += (share.readers - share.writers).max(0.0);
     }
     let mut cells = BTreeMap::new();
     for (id, CellShare { zone, readers, writers }) in shares {
-        let ZoneBalance { spare, leaving } = zones[&zone];
+        let ZoneBalance { spare_writers, leaving_states } = zones[&zone];
         let writer_surplus = writers / readers.max(f64::MIN_POSITIVE);
         let balance = CellBalance {
             writer_surplus,
-            zone_retention: spare / leaving.max(f64::MIN_POSITIVE),
+            zone_retention: spare_writers / leaving_states.max(f64::MIN_POSITIVE),
             reader_weight: writer_surplus.sqrt().clamp(MIN_READER_WEIGHT, MAX_READER_WEIGHT),
             queueing_us: previous.remove(&id).map(|cell| cell.queueing_us).unwrap_or_default(),
         };
--- a/crates/router/src/learning.rs
+++ b/crates/router/src/learning.rs
@@ -1,5 +1,5 @@
-//! What is learnt: how requests that come in, and attempts that are answered or end, change the averages and
-//! rates that the rules go by.
+//! Updates of the averages and rates that the rules use, from incoming requests and from attempts that are
+//! answered or end.
 
 use rand_core::RngCore;
 
@@ -13,28 +13,32 @@
 use crate::statistics::DecayingRate;
 use crate::work::READ_OVERHEAD_TOKENS;
 
-/// The share of the expected prefix that must have been found in a server's cache: less is a miss.
+/// Share of the expected prefix that must be found in a server's cache; less is a miss.
 const MIN_FOUND_SHARE: f64 = 0.5;
-/// How fast the unloaded pace follows better samples, and worse ones: a low quantile, which no jam may raise.
+/// Weights with which the unloaded pace follows faster samples (fall) and slower ones (rise). It thereby
+/// tracks a low quantile, which an overload cannot raise.
 const UNLOADED_FALL_WEIGHT: f64 = 0.5;
 const UNLOADED_RISE_WEIGHT: f64 = 0.001;
-/// Shortest latency objectives that the queueing of one attempt counts at most: one that hung says no more.
+/// Upper limit for the queueing of one attempt, in shortest latency objectives: a longer hang carries no more
+/// information.
 const MAX_QUEUEING_OBJECTIVES: f64 = 3.0;
-/// The queueing of a stage is averaged over so long at the least (us).
+/// Minimum averaging time for the queueing of a stage (us).
 const STAGE_QUEUEING_TIME_US: f64 = 1_000_000.0;
-/// Times as fast as it rises that it falls: a few buried servers are not taken for all.
+/// The queueing of a stage falls this many times as fast as it rises, so that a few overloaded servers are
+/// not taken for the whole stage.
 const STAGE_QUEUEING_FALL: f64 = 2.0;
-/// Ends of attempts that are kept for each stage, to see a jam behind time-outs.
+/// Recent ends of attempts that are kept for each stage, to detect an overload that shows only as timeouts.
 const MAX_RECENT_SAMPLES: usize = 32;
-/// The first ejection of a server (us), doubled with each failed trial. Scales with how long stalls last.
+/// Length of the first ejection of a server (us), doubled with each failed trial. It scales with the usual
+/// length of a stall.
 const BASE_EJECTION_US: Micros = 400_000;
-/// A server that turned a request away is left alone for so long (us). Scales with the time in which a slot
-/// comes free.
+/// How long a server gets no new work after it rejected a request as full (us). It scales with the time until
+/// a slot comes free.
 const FULL_PAUSE_US: Micros = 150_000;
-/// Requests a second count as this many at the least where a time is worked out from them.
+/// Lower bound of the request rate (per second) where it is a divisor.
 const MIN_REQUEST_RATE: f64 = 1e-3;
 
-/// A request has come in.
+/// Records an incoming request.
 pub(crate) fn record_request(state: &mut RoutingState, info: &RequestInfo) {
     let now = state.now;
     state.request_rate.add(1.0, now, RATE_TIME_CONSTANT_US);
@@ -48,7 +52,7 @@
     }
 }
 
-/// The answer of an attempt has begun to stream, `taken_us` after it was sent.
+/// Records that the answer of an attempt has begun to stream, `taken_us` after the attempt was sent.
 pub(crate) fn record_first_token(
     state: &mut RoutingState,
     id: RequestId,
@@ -59,8 +63,8 @@
     record_success(state, attempt, taken_us);
 }
 
-/// An attempt has ended: its memory is given back, and the server is judged by it unless its first token has
-/// done that. `prompt_tokens` is the length of the request's prompt.
+/// Records the end of an attempt: frees its memory and, unless its first token has done so already, updates
+/// the server's statistics. `prompt_tokens` is the length of the request's prompt.
 pub(crate) fn record_end(
     state: &mut RoutingState,
     mut attempt: Attempt,
@@ -68,10 +72,10 @@
     prompt_tokens: u64,
     rng: &mut impl RngCore,
 ) {
-    let has_served = matches!(ended.outcome, Outcome::Read | Outcome::Served);
+    let has_succeeded = matches!(ended.outcome, Outcome::Read | Outcome::Served);
     state.fleet.change(attempt.server, |server| {
         server.memory_tokens_in_flight = server.memory_tokens_in_flight.saturating_sub(attempt.memory_tokens);
-        if let Some(expected) = attempt.expected_prefix.filter(|_| has_served) {
+        if let Some(expected) = attempt.expected_prefix.filter(|_| has_succeeded) {
             let found = ended.cached_tokens as f64 >= MIN_FOUND_SHARE * expected.tokens as f64;
             server.prefixes.record_lookup(found, expected, attempt.sent_at);
         }
@@ -84,32 +88,33 @@
         let unread_tokens = prompt_tokens.saturating_sub(ended.cached_tokens);
         attempt.work_tokens = unread_tokens as f64 + READ_OVERHEAD_TOKENS;
     }
-    if has_served {
+    if has_succeeded {
         record_success(state, &attempt, ended.taken);
     } else {
         record_failure(state, &attempt, ended.outcome, rng);
     }
 }
 
-/// The medians over servers, from what is known by now.
+/// Updates each stage's median pace over the servers.
 pub(crate) fn update_medians(state: &mut RoutingState) {
-    for (stage, of_stage) in state.stages.iter_mut().enumerate() {
+    for (stage, stage_statistics) in state.stages.iter_mut().enumerate() {
         if let Some(median) = state.fleet.median_us_per_token(stage) {
-            of_stage.median_us_per_token = median;
+            stage_statistics.median_us_per_token = median;
         }
     }
 }
 
-/// An attempt is unanswered no more.
+/// Records that an attempt is no longer unanswered.
 fn record_answered(state: &mut RoutingState, id: RequestId, attempt: &Attempt) {
     let was_unanswered = state.fleet.change(attempt.server, |server| server.remove_unanswered(id, attempt));
     if was_unanswered != Some(true) {
         return;
     }
     let seconds = (state.now - attempt.sent_at) as f64 / 1e6;
-    let of_stage = &mut state.stages[attempt.stage as usize];
-    of_stage.tokens_in_flight.add(attempt.work_tokens * seconds, state.now, RATE_TIME_CONSTANT_US);
-    of_stage.tokens_per_attempt += SAMPLE_WEIGHT * (attempt.work_tokens - of_stage.tokens_per_attempt);
+    let stage_statistics = &mut state.stages[attempt.stage as usize];
+    stage_statistics.tokens_in_flight.add(attempt.work_tokens * seconds, state.now, RATE_TIME_CONSTANT_US);
+    stage_statistics.tokens_per_attempt +=
+        SAMPLE_WEIGHT * (attempt.work_tokens - stage_statistics.tokens_per_attempt);
 }
 
 fn record_success(state: &mut RoutingState, attempt: &Attempt, taken_us: Micros) {
@@ -162,11 +167,11 @@
         }
         _ => {}
     }
-    // This dispatcher comes to each server of the pool about once in that time: a shorter ejection would be
-    // none.
+    // This is about the interval at which this dispatcher sends to each server of the pool. A shorter
+    // ejection would end before the server's next turn and have no effect.
     let requests_per_second = state.request_rate.value_at(now, RATE_TIME_CONSTANT_US).max(MIN_REQUEST_RATE);
-    let turn_us = state.fleet.known_count(role) * 1e6 / requests_per_second;
-    let base_ejection_us = BASE_EJECTION_US.max(turn_us as Micros);
+    let server_interval_us = state.fleet.known_count(role) * 1e6 / requests_per_second;
+    let base_ejection_us = BASE_EJECTION_US.max(server_interval_us as Micros);
     let draw = rng.next_u64();
     state.fleet.change(attempt.server, |server| {
         let outlier_state = server.statistics.outlier_states.entry(attempt.class).or_default();
@@ -174,19 +179,20 @@
     });
 }
 
-/// What a state queued at a writer of its reader's cell counts for the cell.
+/// Adds the queueing of a state at a writer in its reader's cell to the cell's average.
 fn record_cell_queueing(state: &mut RoutingState, attempt: &Attempt, queueing_us: f64) {
     add_cell_queueing(state, attempt, |_| queueing_us);
 }
 
-/// A state that was lost at a writer of its reader's cell counts as twice what came back at most: where
-/// others are prompt, its writer is unresponsive, not crowded.
+/// Adds a timeout of a state at a writer in its reader's cell. It counts as at most [`SLOW_MULTIPLE`] times
+/// the cell's average: if the other writers of the cell are fast, this one is unresponsive and the cell not
+/// congested.
 fn record_cell_timeout(state: &mut RoutingState, attempt: &Attempt) {
     let waited_us = (state.now - attempt.sent_at) as f64;
     add_cell_queueing(state, attempt, |average_us| waited_us.min(SLOW_MULTIPLE * average_us));
 }
 
-/// Adds a sample to the queueing of the writer's cell; `sample_us` gets the cell's average.
+/// Adds a sample to the queueing of the writer's cell. `sample_us` computes it from the cell's average.
 fn add_cell_queueing(state: &mut RoutingState, attempt: &Attempt, sample_us: impl Fn(f64) -> f64) {
     if attempt.stage != Stage::Write || attempt.crosses_cells {
         return;
@@ -198,8 +204,8 @@
     cell.queueing_us.add_weighted_by_age(sample_us, state.now, AVERAGE_HALF_LIFE_US, SAMPLE_WEIGHT);
 }
 
-/// What an attempt queued counts for its stage, over the last second or the last few samples, whichever is
-/// longer.
+/// Adds the queueing of an attempt to its stage's average, which covers the last second or the last few
+/// samples, whichever is longer.
 fn record_stage_queueing(state: &mut RoutingState, stage: usize, queueing_us: f64) {
     let average = &mut state.stages[stage].queueing_us;
     let age_weight = 1.0 - (-average.age_us(state.now) / STAGE_QUEUEING_TIME_US).exp();
--- a/crates/router/src/prefix_table.rs
+++ b/crates/router/src/prefix_table.rs
@@ -1,43 +1,45 @@
-//! The prompt prefixes that one server is believed to keep in its cache: what it was sent lately, less what
+//! The prompt prefixes that one server is believed to have in its cache: what it was recently sent, less what
 //! its answers have disproved.
 
 use lru::LruCache;
 
 use crate::interface::{Key, Micros, RequestInfo};
 
-/// How long a sent prefix is believed to be kept (us), as the design page has it.
+/// How long a sent prefix is believed to stay cached (us). The design documentation sets this time.
 pub(crate) const PREFIX_EXPIRY_US: Micros = 60_000_000;
-/// Keys remembered for each server; scales with sessions that one reader sees within the expiry.
+/// Keys remembered for each server. The number scales with the sessions that one reader sees within the
+/// expiry.
 pub(crate) const PREFIX_KEYS: usize = 4_096;
-/// Answers in a row without the expected prefix after which the server counts as emptied.
+/// Consecutive answers without the expected prefix after which the server's cache is taken to be empty.
 const MAX_MISSES: usize = 2;
 
-/// A prefix that a server was sent. Ordered by its length first.
+/// A prefix that a server was sent. Ordered by length first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct CachedPrefix {
     /// Length in tokens.
     pub(crate) tokens: u64,
-    /// When it was sent last.
+    /// When it was last sent.
     pub(crate) sent_at: Micros,
 }
 
-/// Prefixes sent to one server: of a session, the length of its last prompt; of a shared prefix, the length
-/// that requests tell.
+/// Prefixes sent to one server. A session's entry has the length of its last prompt; a shared prefix has the
+/// length given in the request.
 #[derive(Debug)]
 pub(crate) struct PrefixTable {
     pub(crate) sent: LruCache<Key, CachedPrefix>,
-    /// Entries made at or before this time are not believed.
+    /// Entries sent at or before this time are no longer believed.
     pub(crate) invalid_until: Micros,
     consecutive_misses: usize,
 }
 
 impl PrefixTable {
-    /// An empty one. Its memory grows as it fills.
+    /// An empty table. It allocates memory as it fills.
     pub(crate) fn new() -> Self {
         Self { sent: LruCache::unbounded(), invalid_until: 0, consecutive_misses: 0 }
     }
 
-    /// The longest prefix of the request that is believed to be there, at most the prompt.
+    /// The longest prefix of the request that the server is believed to have cached, at most the whole
+    /// prompt.
     pub(crate) fn longest_match(&self, info: &RequestInfo, now: Micros) -> Option<CachedPrefix> {
         let believed = |key: Option<Key>| {
             let &CachedPrefix { tokens, sent_at } = self.sent.peek(&key?)?;
@@ -47,7 +49,8 @@
         believed(info.session).max(believed(info.shared)).filter(|prefix| prefix.tokens > 0)
     }
 
-    /// Records what a server is sent now. Returns the keys that had to make room for it or have expired.
+    /// Records the prefixes of a request that is sent to the server now. Returns the keys that were evicted
+    /// or have expired.
     pub(crate) fn record(&mut self, info: &RequestInfo, now: Micros) -> Vec<Key> {
         let session = info.session.map(|key| (key, info.prompt_tokens));
         let shared = info.shared.map(|key| (key, info.shared_tokens.min(info.prompt_tokens)));
@@ -65,10 +68,11 @@
         dropped
     }
 
-    /// Takes what an answer shows of the prefix that was expected there (`expected`), for an attempt sent at
-    /// `attempt_sent_at`. After one miss, entries as old as that one are not believed any more: the server
-    /// drops its least recently used text. After a second one in a row, nothing sent before that attempt is:
-    /// it was emptied.
+    /// Records whether an answer confirmed the expected prefix, for an attempt sent at `attempt_sent_at`.
+    ///
+    /// After one miss, entries as old as the expected one or older are no longer believed, since the server
+    /// evicts its least recently used text. After a second consecutive miss, no entry from before the attempt
+    /// is believed: the cache was emptied.
     pub(crate) fn record_lookup(&mut self, found: bool, expected: CachedPrefix, attempt_sent_at: Micros) {
         self.consecutive_misses = if found { 0 } else { self.consecutive_misses + 1 };
         let invalid_until = match self.consecutive_misses {
--- a/crates/router/src/server_list.rs
+++ b/crates/router/src/server_list.rs
@@ -1,4 +1,4 @@
-//! The list of servers: how its entries change what is known of the fleet.
+//! The list of servers: applies its entries to the fleet.
 
 use rand_core::RngCore;
 
@@ -10,8 +10,8 @@
 use crate::slow_start_budget::SlowStartBudget;
 use crate::statistics::unit_interval;
 
-/// Takes a list, or the entries of it that have changed. With anything but a patch, servers that are not
-/// named have gone.
+/// Applies a list update: the whole list or, with [`ListUpdateKind::Patch`], the entries that have changed.
+/// Servers that are missing from a whole list are gone.
 pub(crate) fn apply_list(
     state: &mut RoutingState,
     kind: ListUpdateKind,
@@ -31,15 +31,17 @@
     state.cells = balance_cells(&state.fleet, std::mem::take(&mut state.cells));
 }
 
-/// Takes an entry. A new start time is a new and empty server in slow start under an old number; what it owes
-/// from the start is drawn at random, so that dispatchers do not all send to it at once.
+/// Applies an entry. A new start time under a known id means that the server has restarted: its cache is
+/// empty and it is in slow start. The initial level of its budget is drawn at random, so that dispatchers do
+/// not all send to it at the same time.
 fn apply_entry(state: &mut RoutingState, entry: ServerEntry, rng: &mut impl RngCore) {
     let kind = state.settings.kinds.get(entry.kind as usize);
     let (role, memory_tokens) = kind.map_or((Role::Mixed, 0), |kind| (kind.role, kind.memory_tokens));
-    let budget = SlowStartBudget::with_debt(unit_interval(rng.next_u64()), state.now);
+    let budget = SlowStartBudget::with_level(unit_interval(rng.next_u64()), state.now);
     let id: ServerId = entry.server;
-    let is_same = |server: &Server| server.entry.started == entry.started || entry.health != Health::Ready;
-    if !state.fleet.get(id).is_some_and(is_same) {
+    let keeps_state =
+        |server: &Server| server.entry.started == entry.started || entry.health != Health::Ready;
+    if !state.fleet.get(id).is_some_and(keeps_state) {
         state.fleet.start_server(id, Server::new(entry.clone(), PrefixTable::new(), budget));
     }
     state.fleet.change(id, |server| {
--- a/crates/router/src/slow_start.rs
+++ b/crates/router/src/slow_start.rs
@@ -1,22 +1,24 @@
-//! Slow start: how many requests a server may be sent that has lately started (rule 4).
+//! Slow start: how many requests may be sent to a server that has recently started (rule 4 in
+//! [`eligibility`](crate::eligibility)). A server after slow start is called warm.
 //!
-//! A server falls over when it is sent more than `fall_multiple` times its present capacity for
-//! `fall_window`. Its capacity rises from `cold_from` to 1 within `cold_for`; what capacity is, the warm
-//! servers of its role show.
+//! A server fails if it is sent more than `overload_multiple` times its current capacity for
+//! `overload_window`. Its capacity rises from `slow_start_min_share` to 1 within `slow_start_window`. The
+//! warm servers of its role show what a capacity of 1 is.
 
 use crate::averaging::RATE_TIME_CONSTANT_US;
 use crate::interface::{Micros, Role};
 use crate::routing_state::RoutingState;
 use crate::slow_start_budget::SlowStartBudget;
 
-/// The share of the budget that is used; the rest is for chance and for crowded peers.
+/// Share of the permitted rate that is used. The rest is a margin for random variation and for crowded peers
+/// (warm servers of the role, whose rate is the measure of capacity).
 const BUDGET_MARGIN: f64 = 0.75;
-/// The share of an even part of all requests that counts as a warm server's rate where no peer is warm.
+/// Rate of a warm server, as a share of an even part of all requests, while no server of the role is warm.
 const SHARE_WITHOUT_WARM_PEERS: f64 = 0.5;
-/// By the end of slow start, a server can surely do so many times more than at its start, beyond that start.
+/// Growth of the capacity over slow start that can be relied on, as a multiple of the capacity at the start.
 const CAPACITY_GAIN: f64 = 1.5;
 
-/// Whether the budget of a server has room for one more request; a warm server has no budget to keep.
+/// Whether a server's slow start budget has room for one more request. A warm server has no limit.
 pub(crate) fn allows(
     state: &RoutingState,
     role: Role,
@@ -28,9 +30,9 @@
     permitted.is_none_or(|per_window| budget.allows(state.now, per_window, window_us))
 }
 
-/// Requests that this dispatcher may send to a server in slow start within one window: the part of its
-/// capacity that it surely has by now, by what a warm server of its role serves for this dispatcher. `None`
-/// for a warm server.
+/// Requests that this dispatcher may send to a server in slow start within one window: its part of the
+/// capacity that the server has by now at least, measured by what a warm server of the role serves for this
+/// dispatcher. `None` for a warm server.
 pub(crate) fn requests_per_window(state: &RoutingState, role: Role, started: Option<Micros>) -> Option<f64> {
     let (started, settings) = (started?, &state.settings);
     let age = state.now.saturating_sub(started) as f64 / settings.slow_start_window.max(1) as f64;
--- a/crates/router/src/start_times.rs
+++ b/crates/router/src/start_times.rs
@@ -1,49 +1,51 @@
-//! Start times of servers, put on this process's own clock.
+//! Start times of servers, converted to this process's clock.
 //!
-//! The list tells them by discovery's clock. This process's clock is the machine's wall clock as it stood
-//! at the start, which may be off by an hour; slow start goes by spans of real time, so what the list tells
-//! is held against when it was told:
+//! The list gives them by discovery's clock. This process's clock continues the wall clock of its machine as
+//! read at the start of the process, which may be off by an hour. Slow start depends on true durations, so
+//! start times are checked against the time at which they were listed:
 //!
-//! - no server has started in the future: the newest start time shows by how much this clock is behind at
-//!   the least;
-//! - a server that is first listed after the first list, or under a new start time, has started lately:
-//!   one whose age can't be believed is taken to have started just now. That spares it for longer than it
-//!   needs at worst.
+//! - No server starts in the future, so the newest start time gives a lower bound for how far this clock is
+//!   behind.
+//! - A server that is first listed after the first list, or under a new start time, has recently started. If
+//!   its age is not plausible, it is taken to have started now. At worst it stays in slow start longer than
+//!   necessary.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::interface::{Health, ListUpdateKind, Micros, ServerEntry, ServerId};
 
-/// Clocks of machines that are kept in step differ by less (us).
+/// Synchronized clocks of machines differ by less than this (us).
 const MAX_CLOCK_SKEW_US: Micros = 1_000_000;
-/// A start is listed no later than this (us). Scales with the register's lag. Harm: after a longer outage of
-/// discovery, servers that started within it are spared anew.
+/// Longest time from a server's start until it is listed (us). It scales with the lag of the server registry.
+/// Known drawback: after a longer outage of discovery, servers that started during the outage begin slow
+/// start again.
 const MAX_LISTING_DELAY_US: Micros = 10_000_000;
-/// Servers that have gone whose start times are kept: they come under new ids all day.
+/// Most servers that are gone and whose start times are kept. Without a limit the number would grow all day,
+/// as servers come back under new ids.
 const MAX_GONE_SERVERS: usize = 1_024;
 
-/// A start time by discovery's clock, and on this process's clock.
+/// A start time by discovery's clock (`listed`) and by this process's clock (`local`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct StartTime {
     listed: Micros,
     local: Micros,
 }
 
-/// Start times of the servers that were listed. See the [module](self).
+/// Start times of the listed servers. See the [module](self).
 #[derive(Clone, Debug, Default)]
 pub struct StartTimes {
     known: BTreeMap<ServerId, StartTime>,
-    /// Servers that were last listed as gone, the longest ago first.
+    /// Servers that were listed as gone, the earliest first.
     gone: VecDeque<ServerId>,
-    /// By so much discovery's clock is ahead of this process's (us).
+    /// How far discovery's clock is ahead of this process's clock (us), as a lower bound.
     discovery_ahead_us: Micros,
-    /// Discovery has answered: servers that are new from now on have lately started.
+    /// Whether discovery has answered. A server that is first listed after that has recently started.
     has_list: bool,
 }
 
 impl StartTimes {
-    /// Puts the start times of entries that are listed now on this process's clock. What is known of a server
-    /// stays while it is listed under the same start time.
+    /// Converts the start times of `entries`, which are listed at `now`, to this process's clock. A server
+    /// keeps its converted time as long as it is listed under the same start time.
     pub fn localize(&mut self, now: Micros, kind: ListUpdateKind, entries: &mut [ServerEntry]) {
         let newest = entries.iter().filter_map(|entry| entry.started).max().unwrap_or(0);
         if newest > now + self.discovery_ahead_us + MAX_CLOCK_SKEW_US {
@@ -68,12 +70,13 @@
         self.known.retain(|server, _| listed.binary_search(server).is_ok());
     }
 
-    /// A server that comes back under the start time that it had is not taken for a new one.
+    /// Keeps the start time of a server that is gone, so that one that comes back under the same start time
+    /// does not count as new.
     fn record_gone(&mut self, server: ServerId) {
         self.gone.push_back(server);
         if self.gone.len() > MAX_GONE_SERVERS {
-            if let Some(longest) = self.gone.pop_front() {
-                self.known.remove(&longest);
+            if let Some(earliest) = self.gone.pop_front() {
+                self.known.remove(&earliest);
             }
         }
     }
--- a/crates/router/tests/full_scan/oracle/server_list.rs
+++ b/crates/router/tests/full_scan/oracle/server_list.rs
@@ -74,9 +74,9 @@
     pub(super) fn apply_entry(&mut self, entry: ServerEntry) {
         let kind = self.settings.kinds.get(entry.kind as usize);
         let (role, memory) = kind.map_or((Role::Mixed, 0), |kind| (kind.role, kind.memory_tokens));
-        let debt = unit_interval(self.rng.next_u64());
+        let level = unit_interval(self.rng.next_u64());
         let now = self.now;
-        let cold = || SlowStartBudget::with_debt(debt, now);
+        let cold = || SlowStartBudget::with_level(level, now);
         let fresh = || Server::new(entry.clone(), PrefixTable::new(), cold());
         let server = self.servers.entry(entry.server).or_insert_with(fresh);
         if server.entry.started != entry.started && entry.health == Health::Ready {
