--- a/crates/router/src/end_reason.rs
+++ b/crates/router/src/end_reason.rs
@@ -1,37 +1,37 @@
-//! Why a request is answered without a stream: told beside the action, for logs and metrics. Nothing is
-//! decided by it.
+//! Why a request is answered without a stream. The reason accompanies the action for logs and metrics; no
+//! decision depends on it.
 
 use crate::interface::RequestId;
 
 /// Why a request is rejected or failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndReason {
-    /// Its time is over.
+    /// Its deadline has passed.
     Deadline,
-    /// It has had all the attempts that its class allows.
+    /// It has used all the attempts that its class allows.
     AttemptsSpent,
-    /// The list has no servers.
+    /// The list of servers is empty.
     NoServers,
-    /// It may have run, and may not run again.
+    /// It may have run, and a retry at any server could take effect a second time.
     MayNotRepeat,
-    /// No writer takes what was read in the time in which it may be held.
+    /// No writer can take its held state within the hold time.
     NoWriter,
-    /// More would queue than can be served in time.
+    /// The stages that it needs are overloaded.
     Overloaded,
     /// No server can take it now.
     NoServerReady,
-    /// The server that was chosen may not be sent to after all.
+    /// The selected server failed the final check before the send.
     NotAllowed,
-    /// This process holds as many requests as it may.
+    /// The process has reached its limit of open requests.
     TooManyOpen,
-    /// Its class is not there any more.
+    /// Its class has been removed.
     ClassGone,
-    /// This process was told to end, and the request came too late to be served to its end.
+    /// The process is shutting down, and the request arrived too late to be served before the end.
     Leaving,
 }
 
 impl EndReason {
-    /// All of them, in the order of counts.
+    /// All reasons, in the order in which counts are reported.
     pub const ALL: [Self; 11] = [
         Self::Deadline,
         Self::AttemptsSpent,
@@ -46,7 +46,7 @@
         Self::Leaving,
     ];
 
-    /// Its name in the metrics (`STATS`).
+    /// The reason's name in the metrics (`STATS`).
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -65,5 +65,5 @@
     }
 }
 
-/// The requests that one event has had answered, with the reason of each.
+/// The requests that one event caused to be answered, with the reason for each.
 pub type EndReasons = Vec<(RequestId, EndReason)>;
--- a/crates/router/src/ranking.rs
+++ b/crates/router/src/ranking.rs
@@ -1,8 +1,9 @@
-//! A ranking of servers that is sorted only as far as it is looked at: a record without any rule.
+//! A ranking of servers that is sorted lazily, only as far as it is read. It contains no rules.
 
 use crate::interface::ServerId;
 
-/// Ranks that are sorted at first; each further chunk ends four times as far back.
+/// Number of ranks in the first sorted chunk; the end of the sorted part grows by the factor below with each
+/// further chunk.
 const FIRST_CHUNK: usize = 16;
 const CHUNK_GROWTH: usize = 4;
 
@@ -14,11 +15,11 @@
     pub(crate) server: ServerId,
 }
 
-/// Servers by rank, the first ones first.
+/// Servers in ascending order of rank.
 #[derive(Debug)]
 pub(crate) struct Ranking {
     ranks: Vec<Rank>,
-    /// So many from the start are in their places.
+    /// Number of ranks from the start that are in their final positions.
     sorted: usize,
 }
 
@@ -31,7 +32,7 @@
         self.ranks.len()
     }
 
-    /// Ranks the first `count` anew among themselves, in the lowest tier, by these keys.
+    /// Moves the first `count` servers into the lowest tier and ranks them by new keys among themselves.
     pub(crate) fn rerank_first(&mut self, count: usize, key: impl Fn(ServerId) -> u64) {
         let count = count.min(self.ranks.len());
         if count == 0 {
@@ -44,12 +45,12 @@
         self.sorted = 0;
     }
 
-    /// The server at a place, from 0 on.
-    pub(crate) fn get(&mut self, at: usize) -> Option<ServerId> {
-        while at >= self.sorted && self.sorted < self.ranks.len() {
+    /// The server at a position, counted from 0; `None` past the end.
+    pub(crate) fn get(&mut self, position: usize) -> Option<ServerId> {
+        while position >= self.sorted && self.sorted < self.ranks.len() {
             self.sort_further();
         }
-        self.ranks.get(at).map(|rank| rank.server)
+        self.ranks.get(position).map(|rank| rank.server)
     }
 
     fn sort_further(&mut self) {
--- a/crates/router/src/rate_sum.rs
+++ b/crates/router/src/rate_sum.rs
@@ -1,12 +1,12 @@
-//! The sum of many decaying rates, each corrected for its own age, without the exponentials of each one:
-//! values are kept as of one common time (the epoch) and decay together from there.
+//! The sum of many decaying rates, each corrected for its own age, without computing an exponential for each
+//! rate: values are kept as of one common time (the epoch) and decay together from there.
 
 use std::collections::HashMap;
 
 use crate::interface::{Micros, ServerId};
 use crate::statistics::DecayingRate;
 
-/// The epoch is moved on after so many time constants: what is kept as of it must not overflow.
+/// The epoch is moved forward after this many time constants, before values as of the epoch can overflow.
 const REBASE_AFTER_TIME_CONSTANTS: f64 = 16.0;
 
 /// The sum of [`DecayingRate::age_corrected_at`] over servers. See the [module](self).
@@ -14,12 +14,12 @@
 pub(crate) struct RateSum {
     time_constant_us: f64,
     epoch: Micros,
-    /// Where each server's values are in the vectors below.
+    /// Index of each server's values in the vectors below.
     positions: HashMap<ServerId, usize>,
     servers: Vec<ServerId>,
     /// Each rate as of the epoch.
     rates: Vec<f64>,
-    /// The share that age takes from each rate, as of the epoch.
+    /// The missing share of each rate's steady level, as of the epoch.
     missing: Vec<f64>,
 }
 
@@ -41,7 +41,7 @@
         self.servers.len()
     }
 
-    /// Adds a server's rate, or replaces the one that it had.
+    /// Adds a server's rate, or replaces its previous one.
     pub(crate) fn set(&mut self, server: ServerId, rate: &DecayingRate) {
         let position = *self.positions.entry(server).or_insert(self.servers.len());
         if position == self.servers.len() {
@@ -52,7 +52,7 @@
         (self.rates[position], self.missing[position]) = rate.projected_to(self.epoch, self.time_constant_us);
     }
 
-    /// Takes a server out, if it is there.
+    /// Removes a server; does nothing if it is not in the sum.
     pub(crate) fn remove(&mut self, server: ServerId) {
         let Some(position) = self.positions.remove(&server) else { return };
         self.servers.swap_remove(position);
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Moves the epoch on where it lies far back.
+    /// Moves the epoch to `now` if it is too far back.
     pub(crate) fn advance(&mut self, now: Micros) {
         let passed = (now - self.epoch) as f64 / self.time_constant_us;
         if passed > REBASE_AFTER_TIME_CONSTANTS {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The sum as it stands now, per second.
+    /// The sum at `now`, per second.
     pub(crate) fn value_at(&self, now: Micros) -> f64 {
         let decay = (-((now - self.epoch) as f64) / self.time_constant_us).exp();
         let corrected =
--- a/crates/router/src/records/cell.rs
+++ b/crates/router/src/records/cell.rs
@@ -1,18 +1,18 @@
-//! What is known of one cell (a rack of servers).
+//! The state that is kept for one cell (a rack of servers).
 
 use crate::statistics::DecayingAverage;
 
-/// How a cell's readers and writers are balanced, by the list of servers, and how its writers queue. "Share"
-/// is a part of all ready servers of a role.
+/// The balance of a cell's readers and writers by the list of servers, and the queueing at its writers. A
+/// "share" is a part of all ready servers of a role.
 #[derive(Debug)]
 pub(crate) struct CellBalance {
-    /// The share of writers over the share of readers. Above 1 there is room for states of other cells.
+    /// The cell's share of writers over its share of readers. Above 1, it has room for states of other cells.
     pub(crate) writer_surplus: f64,
-    /// The part of the states leaving cells of its zone that stays in the zone; above 1 all of them.
+    /// The part of the states leaving their cells that stays in this cell's zone; above 1, all of them stay.
     pub(crate) zone_retention: f64,
-    /// Weight of its readers in the choice of a shared prefix's homes, 1 for an even share.
+    /// Weight of the cell's readers in the choice of homes for a shared prefix; 1 for an even share.
     pub(crate) reader_weight: f64,
-    /// Time that states of its own readers queued at its writers (us); baseline 0.
+    /// Queueing of states from the cell's own readers at its writers (us); the baseline is 0.
     pub(crate) queueing_us: DecayingAverage,
 }
 
--- a/crates/router/src/records/mod.rs
+++ b/crates/router/src/records/mod.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher remembers of requests, servers, cells and stages: records without any rule.
+//! State that a dispatcher keeps of requests, servers, cells and stages. The records contain no rules.
 
 pub(crate) mod cell;
 pub(crate) mod request;
--- a/crates/router/src/records/request.rs
+++ b/crates/router/src/records/request.rs
@@ -12,55 +12,55 @@
     pub(crate) server: ServerId,
     pub(crate) stage: Stage,
     pub(crate) sent_at: Micros,
-    /// Tokens of the server's memory that it takes.
+    /// Tokens of the server's memory that the attempt takes.
     pub(crate) memory_tokens: u64,
-    /// Estimated work until its read or first token, in tokens.
+    /// Estimated work until the read is done or the first token comes, in tokens.
     pub(crate) work_tokens: f64,
-    /// Work that was believed to wait at the server when it was sent (us).
+    /// Work that was believed to be queued at the server when the attempt was sent (us).
     pub(crate) expected_queueing_us: f64,
-    /// The request's class.
+    /// Number of the request's class.
     pub(crate) class: u32,
-    /// The prefix that was believed to be cached there, for attempts that read.
+    /// The prefix that the server was believed to have cached; `None` for a write, and if there was none.
     pub(crate) expected_prefix: Option<CachedPrefix>,
-    /// Its first token has come.
+    /// The first token has come.
     pub(crate) is_streaming: bool,
-    /// The state has to leave its reader's cell for it.
+    /// The attempt fetches a state from a reader in another cell.
     pub(crate) crosses_cells: bool,
 }
 
-/// A state that has been read and waits at its reader for a writer to fetch it.
+/// A state that has been read and is held by its reader until a writer fetches it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct HeldState {
     pub(crate) reader: ServerId,
-    /// Since when it has waited without an attempt in flight.
+    /// Start of the current hold time: the end of the read, or of the last attempt that reached a server.
     pub(crate) since: Micros,
 }
 
-/// An attempt that may have taken effect.
+/// An attempt that may have run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PossibleRun {
     pub(crate) server: ServerId,
     pub(crate) sent_at: Micros,
 }
 
-/// An open request. It is removed once it is completed and nothing is in flight.
+/// An open request. It is removed once it is completed and has no attempt in flight.
 #[derive(Debug)]
 pub(crate) struct RequestState {
     pub(crate) info: RequestInfo,
-    /// Attempts that have been sent.
+    /// Number of attempts sent.
     pub(crate) attempts: u32,
     pub(crate) in_flight: Option<Attempt>,
-    /// The final answer has been given, or the client has left.
+    /// The final answer has been given, or the client has disconnected.
     pub(crate) is_completed: bool,
     pub(crate) held_state: Option<HeldState>,
-    /// The earliest attempt that may have taken effect.
+    /// The earliest attempt that may have run.
     pub(crate) may_have_run: Option<PossibleRun>,
-    /// Servers at which it has failed, one for each failure.
+    /// Servers at which attempts have failed, one entry for each failure.
     pub(crate) failed_at: Vec<ServerId>,
 }
 
 impl RequestState {
-    /// One that has just come in.
+    /// A request that has just arrived.
     pub(crate) fn new(info: RequestInfo) -> Self {
         Self {
             info,
--- a/crates/router/src/routing_state.rs
+++ b/crates/router/src/routing_state.rs
@@ -1,8 +1,8 @@
-//! What the rules read: settings, clock, servers, and all that was learnt. A record without any rule.
+//! The state that the rules read: settings, clock, servers, and all statistics. It contains no rules.
 //!
-//! [`Router`](crate::Router) owns it. Rules are functions over `&RoutingState`; it is changed by `router.rs`,
-//! `server_list.rs` (what the list says), `learning.rs` (what comes back) and `handover.rs` (what an earlier
-//! process has learnt) alone.
+//! [`Router`](crate::Router) owns it, and rules are functions over `&RoutingState`. Only `router.rs`,
+//! `server_list.rs` (list updates), `attempts.rs` and `learning.rs` (sends, answers and ends of attempts) and
+//! `handover.rs` (statistics of an earlier process) change it.
 
 use std::collections::BTreeMap;
 
@@ -20,32 +20,33 @@
 pub(crate) struct RoutingState {
     pub(crate) settings: Settings,
     pub(crate) now: Micros,
-    /// The shortest latency objective of any class (us); kept as it is asked for often.
+    /// The shortest latency objective of any class (us), cached because it is read often.
     pub(crate) shortest_objective_us: f64,
     pub(crate) fleet: Fleet,
     pub(crate) stages: [StageStatistics; STAGES],
-    /// Balance of the cells that have servers which take work.
+    /// Balance of each cell that has servers which take work.
     pub(crate) cells: BTreeMap<CellId, CellBalance>,
-    /// Time per token of fetches that leave the reader's cell (us).
+    /// Time per token of fetches from a reader in another cell (us).
     pub(crate) remote_fetch_us_per_token: DecayingAverage,
-    /// Requests that come in.
+    /// Rate of incoming requests.
     pub(crate) request_rate: DecayingRate,
-    /// The same, over the time by which the popularity of shared prefixes is judged.
+    /// Rate of incoming requests, over the window in which the popularity of shared prefixes is measured.
     pub(crate) recent_request_rate: DecayingRate,
-    /// Requests with each shared prefix, over that time.
+    /// Rate of requests with each shared prefix, over the same window.
     pub(crate) shared_prefixes: LruCache<Key, DecayingRate>,
     pub(crate) gossip: LoadGossip,
-    /// The part of this dispatcher that this process is, while another process takes over from it: 0 to 1.
+    /// The part (0 to 1) of the dispatcher's limits that this process may use; below 1 only while another
+    /// process takes over from it.
     pub(crate) limit_share: f64,
 }
 
 impl RoutingState {
-    /// What is known of a stage.
+    /// Statistics of a stage.
     pub(crate) fn stage(&self, stage: Stage) -> &StageStatistics {
         &self.stages[stage as usize]
     }
 
-    /// A class, unless it has gone.
+    /// A class by its number; `None` if it has been removed.
     pub(crate) fn class(&self, number: u32) -> Option<&Class> {
         self.settings.classes.get(&number)
     }
