--- a/src/edge/accept.rs
+++ b/src/edge/accept.rs
@@ -1,16 +1,20 @@
-//! Accepting connections. Some errors of `accept(2)` are those of one connection only, or of nobody: those that wait behind
-//! it are accepted at once. Others (descriptors, memory) are this machine's, and pass with time.
+//! Accepting connections. Some errors of `accept(2)` concern only the connection that was being accepted, or
+//! none at all (EINTR); the next accept is made at once, so that connections queued behind it are not
+//! delayed. Other errors, such as running out of descriptors or memory, concern this machine and pass with
+//! time.
 
 use std::io;
 
 use tokio::net::{TcpListener, TcpStream};
 
-/// Such errors in a row, after which the error is told, so that whoever accepts makes a pause.
-const IN_A_ROW: usize = 100;
+/// After this many per-connection errors in a row the error is returned, so that the caller pauses before it
+/// accepts again.
+const MAX_CONSECUTIVE_ABORTS: usize = 100;
 
-/// Errnos of `accept(2)` that are of the connection that would have been accepted: it was aborted, or an error was
-/// already pending on it, or a firewall forbids it; and EINTR, which is of none.
-const OF_ONE_CONNECTION: [i32; 12] = [
+/// Errnos of `accept(2)` that concern only the connection that would have been accepted (it was aborted, a
+/// network error was already pending on it, or a firewall forbids it), and EINTR, which concerns no
+/// connection.
+const PER_CONNECTION_ERRNOS: [i32; 12] = [
     libc::EINTR,
     libc::ECONNABORTED,
     libc::EPERM,
@@ -25,34 +29,37 @@
     libc::ETIMEDOUT,
 ];
 
-/// Whether the next accept may succeed at once.
+/// Whether the error concerns at most one connection, so that the next accept may succeed at once.
 #[must_use]
-pub fn is_of_one_connection(error: &io::Error) -> bool {
-    error.raw_os_error().is_some_and(|errno| OF_ONE_CONNECTION.contains(&errno))
+pub fn is_per_connection_error(error: &io::Error) -> bool {
+    error.raw_os_error().is_some_and(|errno| PER_CONNECTION_ERRNOS.contains(&errno))
 }
 
-/// How many accepts in a row have failed for one connection each.
+/// Counts consecutive accepts that failed with a per-connection error.
 #[derive(Debug, Default)]
-pub struct Aborted(usize);
-
-impl Aborted {
-    /// Takes the result of an accept; whether the next one is to be made at once.
-    pub fn again_at_once<T>(&mut self, accepted: &io::Result<T>) -> bool {
-        let again = accepted.as_ref().is_err_and(is_of_one_connection) && self.0 < IN_A_ROW;
-        self.0 = if again { self.0 + 1 } else { 0 };
-        again
+pub struct AbortedAccepts(usize);
+
+impl AbortedAccepts {
+    /// Records the result of an accept. Returns whether the next accept is to be made without a pause, which
+    /// ends after `MAX_CONSECUTIVE_ABORTS` per-connection errors in a row.
+    pub fn should_retry_at_once<T>(&mut self, accepted: &io::Result<T>) -> bool {
+        let should_retry =
+            accepted.as_ref().is_err_and(is_per_connection_error) && self.0 < MAX_CONSECUTIVE_ABORTS;
+        self.0 = if should_retry { self.0 + 1 } else { 0 };
+        should_retry
     }
 }
 
-/// Accepts the next connection.
+/// Accepts the next connection, skipping per-connection errors.
 ///
 /// # Errors
-/// What this machine lacks; or the error of the last connection where very many in a row had one.
+/// An error of this machine, such as too few descriptors; or a per-connection error after
+/// `MAX_CONSECUTIVE_ABORTS` of them in a row.
 pub async fn accept(listener: &TcpListener) -> io::Result<TcpStream> {
-    let mut aborted = Aborted::default();
+    let mut aborted = AbortedAccepts::default();
     loop {
         let accepted = listener.accept().await;
-        if !aborted.again_at_once(&accepted) {
+        if !aborted.should_retry_at_once(&accepted) {
             return accepted.map(|(stream, _)| stream);
         }
     }
--- a/src/edge/clients/listener.rs
+++ b/src/edge/clients/listener.rs
@@ -1,4 +1,4 @@
-//! Accepting clients' connections for a front, and ending them in good order.
+//! Accepts clients' connections for a front, and waits for them to end on shutdown.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,20 +10,20 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-use crate::edge::clients::accept_queue::{close_when_empty, FailingAccepts, ACCEPT_PAUSE};
+use crate::edge::clients::accept_queue::{close_when_empty, FailingAccepts, ACCEPT_RETRY_DELAY};
 use crate::edge::clients::client_stream::ClientStream;
 use crate::edge::clients::connection::{serve_connection, RequestHandler};
 use crate::edge::clients::connection_limits::ConnectionLimits;
 use crate::edge::phase::Phase;
 use crate::edge::stats::Figures;
 
-/// Connections that the system keeps until they are accepted.
+/// Maximum number of connections that the kernel queues until they are accepted.
 const BACKLOG: u32 = 1_024;
 
-/// Listens on this address only; where it is `shared`, another process may do so beside this one.
+/// Listens on this address only. If `shared` is set, another process may listen on it at the same time.
 ///
 /// # Errors
-/// What the system says.
+/// The error of the system call that failed.
 pub fn listen(address: SocketAddr, shared: bool) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
@@ -34,8 +34,8 @@
     socket.listen(BACKLOG)
 }
 
-/// Serves a front until the phase says to take no more; returns once all its connections have ended. What is answered here,
-/// without the front, is counted in `figures`.
+/// Serves a front until [`Phase::Yielding`]; then closes the listener, and returns once all connections have
+/// ended. Requests that are refused without the front are counted in `figures`.
 pub async fn serve(
     listener: TcpListener,
     front: Router,
@@ -43,9 +43,9 @@
     figures: Figures,
     mut phase: watch::Receiver<Phase>,
 ) {
-    // Every connection holds a clone: once all are dropped, all connections have ended.
-    let (running, mut all_ended) = mpsc::channel::<()>(1);
-    let acceptor = Acceptor { front, limits, figures, phase: phase.clone(), running };
+    // Every connection holds a clone of the sender: the receiver returns once all connections have ended.
+    let (shutdown_complete_tx, mut shutdown_complete_rx) = mpsc::channel::<()>(1);
+    let acceptor = Acceptor { front, limits, figures, phase: phase.clone(), shutdown_complete_tx };
     let mut failing = FailingAccepts::default();
     loop {
         let accepted = tokio::select! {
@@ -53,37 +53,38 @@
             accepted = failing.accept(&listener) => accepted,
         };
         match accepted {
-            Ok(stream) => acceptor.admit(stream, failing.waited()),
+            Ok(stream) => acceptor.admit(stream, failing.max_wait()),
             Err(error) => {
                 warn!(reason:% = error; "listener: accept failed");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
-    close_when_empty(listener, &mut failing, |stream, waited| acceptor.admit(stream, waited)).await;
+    close_when_empty(listener, &mut failing, |stream, max_wait| acceptor.admit(stream, max_wait)).await;
     drop(acceptor);
-    let _ = all_ended.recv().await;
+    let _ = shutdown_complete_rx.recv().await;
 }
 
-/// What every connection of a front is given.
+/// What is needed to serve a new connection of a front.
 struct Acceptor {
     front: Router,
     limits: ConnectionLimits,
     figures: Figures,
     phase: watch::Receiver<Phase>,
-    running: mpsc::Sender<()>,
+    shutdown_complete_tx: mpsc::Sender<()>,
 }
 
 impl Acceptor {
-    /// Starts a connection's task, if there is a slot for it. It may have waited so long to be accepted.
+    /// Starts the task of a connection if there is a slot for it, else drops the connection. `accept_delay`
+    /// is the longest time that it may have been queued before it was accepted.
     fn admit(&self, stream: TcpStream, accept_delay: Duration) {
         let Some(guard) = self.limits.admit(Instant::now()) else {
-            debug!("listener: connection closed: no slot, not even to refuse it");
+            debug!("listener: connection closed: too many connections, including those over capacity");
             return;
         };
         let slot = guard.slot.clone();
         slot.set_accept_delay(accept_delay);
-        let stream = ClientStream::new(stream, guard, self.running.clone());
+        let stream = ClientStream::new(stream, guard, self.shutdown_complete_tx.clone());
         let handler =
             RequestHandler::new(self.front.clone(), slot.clone(), self.figures.clone(), self.phase.clone());
         let task = tokio::spawn(serve_connection(stream, handler, self.phase.clone()));
--- a/src/edge/tcp.rs
+++ b/src/edge/tcp.rs
@@ -1,5 +1,5 @@
-//! TCP streams as the system may treat them: a call that a signal interrupts is made again (`recv(2)`, `send(2)`: EINTR),
-//! where tokio hands the error on and hyper takes it for a broken connection.
+//! A TCP stream that repeats calls interrupted by a signal. `recv(2)` and `send(2)` may return EINTR; tokio
+//! passes that error on, and hyper treats it as a broken connection.
 
 use std::io;
 use std::pin::Pin;
@@ -8,14 +8,14 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Interrupted calls in a row, after which other tasks get their turn first.
+/// After this many interrupted calls in a row the task yields, so that other tasks can run.
 const MAX_INTERRUPTS: usize = 16;
 
-/// A stream of which no call ends as interrupted.
+/// A TCP stream whose calls never fail with [`io::ErrorKind::Interrupted`].
 #[derive(Debug)]
 pub struct Uninterrupted(pub TcpStream);
 
-/// Makes a call again for as long as it is interrupted.
+/// Repeats a call while it is interrupted; after [`MAX_INTERRUPTS`] times it wakes the task again and yields.
 fn retry_interrupted<T>(
     context: &mut Context<'_>,
     mut call: impl FnMut(&mut Context<'_>) -> Poll<io::Result<T>>,
