--- a/src/edge/clients/client_stream.rs
+++ b/src/edge/clients/client_stream.rs
@@ -1,5 +1,6 @@
-//! A client's connection as hyper reads and writes it: what comes is followed for its slot, what comes behind an open
-//! request is kept back, and the close lingers.
+//! The byte stream of a client's connection, as hyper reads and writes it. It reports what is received to the
+//! connection's slot, buffers bytes that the client pipelines behind an open request, and lingers when it is
+//! closed.
 
 use std::io::{self, Read as _};
 use std::mem::MaybeUninit;
@@ -19,50 +20,55 @@
 use crate::edge::clients::read_ahead::ReadAhead;
 use crate::edge::tcp::Uninterrupted;
 
-/// A client that takes in nothing of what is sent for so long is cut.
+/// A connection is cut when the client takes in none of the sent data for this long.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
-/// What a client still sends after its answer is read for so long, and up to so much (bytes).
-const LINGER_TIME: Duration = Duration::from_millis(500);
+/// A lingering close reads and discards what the client still sends for this long, and up to this many bytes.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 const MAX_LINGER_BYTES: u64 = 512 << 10;
-/// Read at once behind an open request (bytes).
-const PIECE_BYTES: usize = 8 << 10;
+/// Size of the buffer for one read behind an open request (bytes).
+const READ_BUFFER_BYTES: usize = 8 << 10;
 
-/// A client's connection. Its stream and slot are there until it is dropped; then a lingering close may take them.
+/// A client's connection. `stream` and `guard` are present until it is dropped; the drop may hand them to the
+/// task of a lingering close.
 pub struct ClientStream {
     stream: Option<Uninterrupted>,
     guard: Option<SlotGuard>,
     read_ahead: ReadAhead,
-    /// What lies behind the open request has been looked at without waiting for the event queue.
-    has_looked_behind: bool,
-    /// The front has not ended while anybody holds a clone.
-    running: mpsc::Sender<()>,
+    /// Whether the socket has been read directly, without waiting for the event queue, since the open request
+    /// was complete; see [`read_socket_directly`](Self::read_socket_directly).
+    has_checked_socket: bool,
+    /// Its drop is the signal that this connection has ended: the listener waits until all clones are
+    /// dropped.
+    shutdown_complete_tx: mpsc::Sender<()>,
 }
 
-/// What a read behind an open request has found.
-enum Behind {
-    /// More bytes, which are kept.
-    Kept,
-    /// The client has ended its side.
+/// The result of a read behind an open request.
+enum PipelinedRead {
+    /// Bytes came and were buffered.
+    Buffered,
+    /// The client has closed its sending side.
     Closed,
-    /// Nothing for now.
+    /// No bytes are available now.
     Pending,
 }
 
 impl ClientStream {
-    /// A connection that has this slot.
+    /// Wraps an accepted connection that holds this slot. `shutdown_complete_tx` is dropped when the
+    /// connection has ended, after a lingering close.
     #[must_use]
-    pub fn new(stream: TcpStream, guard: SlotGuard, running: mpsc::Sender<()>) -> Self {
+    pub fn new(stream: TcpStream, guard: SlotGuard, shutdown_complete_tx: mpsc::Sender<()>) -> Self {
         let read_ahead = ReadAhead::new(guard.limits.read_ahead_bytes.clone());
         let (stream, guard) = (Some(Uninterrupted(stream)), Some(guard));
-        Self { stream, guard, read_ahead, has_looked_behind: false, running }
+        Self { stream, guard, read_ahead, has_checked_socket: false, shutdown_complete_tx }
     }
 
-    /// Sets the options of its socket.
+    /// Sets the socket options. Errors are ignored: the connection works without them.
     pub(crate) fn set_options(&self) {
         let Some(Uninterrupted(stream)) = &self.stream else { return };
-        // Events are passed on as they come: none may wait for more to fill a segment.
+        // Stream events are forwarded as they come; none may wait in the kernel until a segment is full.
         let _ = stream.set_nodelay(true);
-        // A client that vanished on a poor link, or reads no more, would hold its stream and its server for ever.
+        // Without this, a client that vanished on a bad link or no longer reads would hold its stream and its
+        // server forever.
         let _ = SockRef::from(stream).set_tcp_user_timeout(Some(WRITE_TIMEOUT));
     }
 
@@ -74,7 +80,8 @@
         self.guard.as_ref().map(|guard| guard.slot.clone())
     }
 
-    /// Reads from the client; that it has left is noted.
+    /// Reads from the socket and returns the number of bytes. Tells the slot when the client has closed its
+    /// sending side or the connection has broken.
     fn poll_receive(&mut self, context: &mut Context<'_>, into: &mut ReadBuf<'_>) -> Poll<io::Result<usize>> {
         let (before, had_room) = (into.filled().len(), into.remaining() > 0);
         let read = ready!(self.stream()?.poll_read(context, into));
@@ -86,24 +93,24 @@
         Poll::Ready(read.map(|()| length))
     }
 
-    /// Reads what comes behind an open request, and keeps it.
-    fn read_behind(&mut self, context: &mut Context<'_>) -> io::Result<Behind> {
-        let mut piece = [MaybeUninit::uninit(); PIECE_BYTES];
-        let mut piece = ReadBuf::uninit(&mut piece);
-        if let Poll::Ready(received) = self.poll_receive(context, &mut piece) {
+    /// Reads bytes that the client sends behind an open request into the read-ahead buffer.
+    fn read_pipelined(&mut self, context: &mut Context<'_>) -> io::Result<PipelinedRead> {
+        let mut buffer = [MaybeUninit::uninit(); READ_BUFFER_BYTES];
+        let mut buffer = ReadBuf::uninit(&mut buffer);
+        if let Poll::Ready(received) = self.poll_receive(context, &mut buffer) {
             if received? == 0 {
-                return Ok(Behind::Closed);
+                return Ok(PipelinedRead::Closed);
             }
-            self.read_ahead.push(piece.filled());
-            return Ok(Behind::Kept);
+            self.read_ahead.push(buffer.filled());
+            return Ok(PipelinedRead::Buffered);
         }
-        let Some(slot) = self.slot() else { return Ok(Behind::Closed) };
-        if !std::mem::replace(&mut self.has_looked_behind, true) {
-            match self.look_behind() {
+        let Some(slot) = self.slot() else { return Ok(PipelinedRead::Closed) };
+        if !std::mem::replace(&mut self.has_checked_socket, true) {
+            match self.read_socket_directly() {
                 Ok(false) => {}
                 Ok(true) => {
                     slot.client_closed();
-                    return Ok(Behind::Closed);
+                    return Ok(PipelinedRead::Closed);
                 }
                 Err(error) => {
                     slot.client_closed();
@@ -114,20 +121,23 @@
         if self.read_ahead.has_overflowed() || !self.read_ahead.is_empty() {
             slot.wake_when_answered(context.waker());
         }
-        Ok(Behind::Pending)
+        Ok(PipelinedRead::Pending)
     }
 
-    /// Reads what lies behind a request that has just come whole, past the runtime: tokio takes a read that fills less than
-    /// its buffer for an empty socket, and a new connection for ready before any event has told of it. So a client's
-    /// close that lies right behind its request is not told until the event queue is looked at again; by then the
-    /// request has been sent on. Returns whether the client has left.
-    fn look_behind(&mut self) -> io::Result<bool> {
-        let mut piece = [0; PIECE_BYTES];
+    /// Reads from the socket past the runtime, after a request has been received completely. Returns whether
+    /// the client has closed its sending side.
+    ///
+    /// Tokio takes a read that does not fill its buffer as the sign of an empty socket, and a new connection
+    /// as ready before any event for it has arrived. A close that follows directly behind the request would
+    /// therefore be noticed only after the next look at the event queue, when the request has already been
+    /// sent on.
+    fn read_socket_directly(&mut self) -> io::Result<bool> {
+        let mut buffer = [0; READ_BUFFER_BYTES];
         while !self.read_ahead.has_overflowed() {
             let Some(Uninterrupted(stream)) = &self.stream else { return Ok(true) };
-            match (&*SockRef::from(stream)).read(&mut piece) {
+            match (&*SockRef::from(stream)).read(&mut buffer) {
                 Ok(0) => return Ok(true),
-                Ok(length) => self.read_ahead.push(&piece[..length]),
+                Ok(length) => self.read_ahead.push(&buffer[..length]),
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(false),
                 Err(error) => return Err(error),
@@ -136,7 +146,8 @@
         Ok(false)
     }
 
-    /// Reads the next request, or more of it, from the socket; what comes behind it is kept.
+    /// Reads the next request, or more of it, from the socket. Bytes behind the end of the request go to the
+    /// read-ahead buffer.
     fn poll_request(
         &mut self,
         slot: &ConnectionSlot,
@@ -145,21 +156,21 @@
     ) -> Poll<io::Result<()>> {
         let before = into.filled().len();
         let received = ready!(self.poll_receive(context, into))?;
-        let taken = slot.received(Instant::now(), &into.filled()[before..]);
-        self.read_ahead.push(&into.filled()[before + taken..before + received]);
-        into.set_filled(before + taken);
+        let consumed = slot.received(Instant::now(), &into.filled()[before..]);
+        self.read_ahead.push(&into.filled()[before + consumed..before + received]);
+        into.set_filled(before + consumed);
         Poll::Ready(Ok(()))
     }
 
-    /// Gives the next request, or as much of it as was kept.
-    fn read_kept(&mut self, slot: &ConnectionSlot, into: &mut ReadBuf<'_>) {
-        let kept = self.read_ahead.first(into.remaining());
-        let taken = slot.received(Instant::now(), kept);
-        into.put_slice(&kept[..taken]);
-        self.read_ahead.consume(taken);
+    /// Returns the next request, or as much of it as is buffered, from the read-ahead buffer.
+    fn read_buffered(&mut self, slot: &ConnectionSlot, into: &mut ReadBuf<'_>) {
+        let buffered = self.read_ahead.peek(into.remaining());
+        let consumed = slot.received(Instant::now(), buffered);
+        into.put_slice(&buffered[..consumed]);
+        self.read_ahead.consume(consumed);
     }
 
-    fn note_written(&self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+    fn record_write(&self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if let Some(guard) = &self.guard {
             guard.slot.written(Instant::now(), written.is_pending());
         }
@@ -168,18 +179,19 @@
 }
 
 impl Drop for ClientStream {
-    /// A lingering close: sending is shut down, and what still comes is read for a while and dropped.
+    /// Starts a lingering close: shuts down the sending side, then reads and discards what the client still
+    /// sends, up to `LINGER_TIMEOUT` and `MAX_LINGER_BYTES`.
     fn drop(&mut self) {
         let (Some(stream), Some(guard)) = (self.stream.take(), self.guard.take()) else { return };
         let slot = guard.slot.clone();
-        if !slot.lingers() {
+        if !slot.should_linger() {
             return;
         }
-        let running = self.running.clone();
-        let until = Instant::now() + LINGER_TIME;
+        let shutdown_complete_tx = self.shutdown_complete_tx.clone();
+        let deadline = Instant::now() + LINGER_TIMEOUT;
         let task = tokio::spawn(async move {
-            let _ = timeout_at(until, drain(stream)).await;
-            drop((guard, running));
+            let _ = timeout_at(deadline, drain(stream)).await;
+            drop((guard, shutdown_complete_tx));
         });
         slot.set_lingering_task(task.abort_handle());
     }
@@ -191,29 +203,30 @@
 }
 
 impl AsyncRead for ClientStream {
-    /// Hyper is given no more than the request that is due: with bytes of a further one in hand it would read no more
-    /// until it has answered, and not see that the client has left.
+    /// Returns bytes up to the end of the current request only. With bytes of a further request in its
+    /// buffer, hyper would not read again before it has answered, and would not notice that the client has
+    /// left.
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         into: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let Some(slot) = self.slot() else { return Poll::Ready(Ok(())) };
-        while slot.serves_whole_request() {
-            match self.read_behind(context)? {
-                Behind::Kept => {}
-                Behind::Closed => return Poll::Ready(Ok(())),
-                Behind::Pending => return Poll::Pending,
+        while slot.serves_complete_request() {
+            match self.read_pipelined(context)? {
+                PipelinedRead::Buffered => {}
+                PipelinedRead::Closed => return Poll::Ready(Ok(())),
+                PipelinedRead::Pending => return Poll::Pending,
             }
         }
         if self.read_ahead.has_overflowed() {
-            return Poll::Ready(Ok(())); // as if the client had sent no more
+            return Poll::Ready(Ok(())); // reported as end of stream, so that hyper closes the connection
         }
-        self.has_looked_behind = false;
+        self.has_checked_socket = false;
         if self.read_ahead.is_empty() {
             return self.poll_request(&slot, context, into);
         }
-        self.read_kept(&slot, into);
+        self.read_buffered(&slot, into);
         Poll::Ready(Ok(()))
     }
 }
@@ -225,7 +238,7 @@
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = self.stream()?.poll_write(context, bytes);
-        self.note_written(written)
+        self.record_write(written)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -246,6 +259,6 @@
         parts: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = self.stream()?.poll_write_vectored(context, parts);
-        self.note_written(written)
+        self.record_write(written)
     }
 }
--- a/src/edge/clients/connection.rs
+++ b/src/edge/clients/connection.rs
@@ -1,4 +1,5 @@
-//! One client's connection: HTTP/1.1 on its stream, each request handed to the front, and an end in good order.
+//! Serves one client connection: HTTP/1.1 on its stream, each request passed to the front, and an orderly
+//! end.
 
 use std::convert::Infallible;
 use std::future::{poll_fn, Future};
@@ -24,15 +25,16 @@
 use crate::edge::clients::connection_slot::{ConnectionSlot, TakenRequest};
 use crate::edge::clients::framing::{BodyFraming, MAX_HEAD_BYTES};
 use crate::edge::clients::plain_response::{over_capacity_response, plain_response};
-use crate::edge::clients::request_timing::{AcceptDelay, WholeBy};
+use crate::edge::clients::request_timing::{AcceptDelay, ReceiveDeadline};
 use crate::edge::phase::Phase;
 use crate::edge::servers::header;
 use crate::edge::stats::{End, Figures};
 
-/// A connection that has just been accepted is not closed as idle: its request is on the way.
+/// The minimum age at which an idle connection is closed: the first request of a new connection is probably
+/// on its way.
 const MIN_AGE_AT_CLOSE: Duration = Duration::from_millis(60);
 
-/// Answers the requests of one connection.
+/// Handles the requests of one connection: passes them to the front, or refuses them itself.
 pub struct RequestHandler {
     front: Router,
     slot: Arc<ConnectionSlot>,
@@ -41,7 +43,9 @@
 }
 
 impl RequestHandler {
-    /// Hands requests on to this front, but for those that are refused here; they are counted in `figures`.
+    /// Passes requests to `front`, except those that are refused here; refusals for want of a slot are
+    /// counted in `figures`. During shutdown, as `phase` tells, each answer asks the client to close the
+    /// connection.
     #[must_use]
     pub fn new(
         front: Router,
@@ -52,39 +56,40 @@
         Self { front, slot, figures, phase }
     }
 
-    /// Takes a request whose head has come; the future is its answer.
-    fn take(
+    /// Starts to handle a request whose head has been received. The future resolves to its response.
+    fn handle(
         &self,
         mut request: Request<Incoming>,
     ) -> impl Future<Output = Result<Response<AnswerBody>, Infallible>> {
-        let TakenRequest { framing, whole_by } = self.slot.request_taken(Instant::now());
+        let TakenRequest { framing, receive_deadline } = self.slot.request_taken(Instant::now());
         let accept_delay = self.slot.take_accept_delay();
-        let open = OpenRequest(self.slot.clone());
+        let open_request = OpenRequest(self.slot.clone());
         let (mut front, figures, phase) = (self.front.clone(), self.figures.clone(), self.phase.clone());
         async move {
-            let over_capacity = open.0.over_capacity;
+            let over_capacity = open_request.0.over_capacity;
             let mut response = if framing == BodyFraming::Ambiguous {
-                // Guards against a request that hides in another's body: nothing of this one is passed on, and nothing
-                // behind it is read as a request.
+                // Prevents request smuggling, where the body of a request hides another one: this request is
+                // not passed on, and no bytes behind it are read as a request.
                 plain_response(StatusCode::BAD_REQUEST, "where the request ends can't be told")
             } else if over_capacity {
                 figures.answered_at_the_door(header(request.headers(), "x-lane"), End::Rejected);
                 over_capacity_response()
             } else {
-                request.extensions_mut().insert(WholeBy(whole_by));
+                request.extensions_mut().insert(ReceiveDeadline(receive_deadline));
                 request.extensions_mut().insert(AcceptDelay(accept_delay));
                 front.call(request).await?
             };
-            let is_leaving = *phase.borrow() > Phase::Serving;
-            if framing != BodyFraming::KnownLength || over_capacity || is_leaving {
+            let is_shutting_down = *phase.borrow() > Phase::Serving;
+            if framing != BodyFraming::KnownLength || over_capacity || is_shutting_down {
                 response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             }
-            Ok(response.map(|body| AnswerBody { body, _open: open }))
+            Ok(response.map(|body| AnswerBody { body, _open_request: open_request }))
         }
     }
 }
 
-/// Serves a connection until it ends: by its client, by its slot's deadline, or as idle in the last phase.
+/// Serves a connection until the client ends it, its slot's deadline passes, or it is idle in
+/// [`Phase::Closing`].
 pub async fn serve_connection(
     stream: ClientStream,
     handler: RequestHandler,
@@ -92,39 +97,41 @@
 ) {
     stream.set_options();
     let slot = handler.slot.clone();
-    let service = service_fn(move |request| handler.take(request));
+    let service = service_fn(move |request| handler.handle(request));
     let mut connection = pin!(http1::Builder::new()
         .header_read_timeout(None)
         .max_buf_size(MAX_HEAD_BYTES)
         .serve_connection(TokioIo::new(stream), service));
-    let accepted = Instant::now();
-    let mut closing = pin!(async move {
+    let accepted_at = Instant::now();
+    let mut close_due = pin!(async move {
         let _ = phase.wait_for(|phase| *phase == Phase::Closing).await;
-        sleep_until(accepted + MIN_AGE_AT_CLOSE).await;
+        sleep_until(accepted_at + MIN_AGE_AT_CLOSE).await;
     });
     let mut is_closing = false;
-    let mut armed = accepted;
-    let mut alarm = pin!(sleep_until(armed));
+    let mut timer_deadline = accepted_at;
+    let mut timer = pin!(sleep_until(timer_deadline));
     poll_fn(|context| {
-        if !is_closing && closing.as_mut().poll(context).is_ready() {
+        if !is_closing && close_due.as_mut().poll(context).is_ready() {
             is_closing = true;
             connection.as_mut().graceful_shutdown();
         }
         if connection.as_mut().poll(context).is_ready() {
             return Poll::Ready(());
         }
-        // A client that asks nothing, or never comes to the end of its head, is not waited for.
+        // The deadline also closes the connection of a client that sends no request, or never completes a
+        // request head.
         let Some(deadline) = slot.deadline() else { return Poll::Pending };
-        if deadline != armed {
-            armed = deadline;
-            alarm.as_mut().reset(deadline);
+        if deadline != timer_deadline {
+            timer_deadline = deadline;
+            timer.as_mut().reset(deadline);
         }
-        alarm.as_mut().poll(context)
+        timer.as_mut().poll(context)
     })
     .await;
 }
 
-/// A request that is open until its answer has been handed over.
+/// Marks a request as open. Its drop, once the answer has been handed to hyper completely or has been given
+/// up, tells the slot that the request has been answered.
 struct OpenRequest(Arc<ConnectionSlot>);
 
 impl Drop for OpenRequest {
@@ -133,10 +140,10 @@
     }
 }
 
-/// An answer's body; its request is open as long.
+/// The body of a response. The request is open until this is dropped.
 struct AnswerBody {
     body: Body,
-    _open: OpenRequest,
+    _open_request: OpenRequest,
 }
 
 impl http_body::Body for AnswerBody {
--- a/src/edge/clients/connection_limits.rs
+++ b/src/edge/clients/connection_limits.rs
@@ -1,5 +1,5 @@
-//! How many connections clients may have, over all fronts: who gets a slot, and which connection is evicted when all are
-//! taken. Times are instants; nothing is waited for here.
+//! The limit on client connections over all fronts: which connection gets a slot, and which one is evicted
+//! when all are taken. The current time is always passed in; nothing here waits.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -11,21 +11,22 @@
 
 use crate::edge::clients::connection_slot::{lock, Activity, ConnectionSlot};
 
-/// Connections over capacity that are kept until they have asked and been told so; any more are closed at once.
+/// Connections over capacity that are kept open until their request has been refused; any more are closed at
+/// once.
 pub const MAX_OVER_CAPACITY: usize = 16;
-/// Time between two lines that report a lack of slots.
+/// Minimum time between two log lines about a lack of slots.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The slots that are taken, by their ids: older ones come first.
+/// The taken slots by id. Ids are assigned in ascending order, so older slots come first.
 #[derive(Debug, Default)]
 struct Slots {
     next_id: u64,
-    /// When it was last reported that no slot is free.
-    reported: Option<Instant>,
+    /// When a lack of slots was last logged.
+    last_report: Option<Instant>,
     taken: BTreeMap<u64, Arc<ConnectionSlot>>,
 }
 
-/// What connections do.
+/// The number of connections in each state, for the log.
 #[derive(Debug, Default)]
 struct ActivityCounts {
     serving: usize,
@@ -38,7 +39,7 @@
         self.taken.values().filter(|slot| slot.over_capacity == over_capacity).count()
     }
 
-    fn activities(&self) -> ActivityCounts {
+    fn activity_counts(&self) -> ActivityCounts {
         let mut counts = ActivityCounts::default();
         for slot in self.taken.values() {
             match slot.activity() {
@@ -50,26 +51,27 @@
         counts
     }
 
-    /// Evicts the connection that may go first of those within capacity, or of those over it; whether there was one.
+    /// Evicts the connection with the lowest eviction rank among those over capacity, or among those within
+    /// it. Returns whether there was one that may be evicted.
     fn evict_one(&mut self, over_capacity: bool, now: Instant) -> bool {
-        let mut first = None;
+        let mut candidate = None;
         for (&id, slot) in self.taken.iter().filter(|(_, slot)| slot.over_capacity == over_capacity) {
             let Some(rank) = slot.eviction_rank(now) else { continue };
-            if first.is_none_or(|first| (rank, id) < first) {
-                first = Some((rank, id));
+            if candidate.is_none_or(|candidate| (rank, id) < candidate) {
+                candidate = Some((rank, id));
             }
         }
-        let Some(slot) = first.and_then(|(_, id)| self.taken.remove(&id)) else { return false };
+        let Some(slot) = candidate.and_then(|(_, id)| self.taken.remove(&id)) else { return false };
         slot.evict();
         true
     }
 
     fn report_over_capacity(&mut self, within_capacity: usize, now: Instant) {
-        if self.reported.is_some_and(|reported| now < reported + REPORT_INTERVAL) {
+        if self.last_report.is_some_and(|last_report| now < last_report + REPORT_INTERVAL) {
             return;
         }
-        self.reported = Some(now);
-        let ActivityCounts { serving, receiving, idle } = self.activities();
+        self.last_report = Some(now);
+        let ActivityCounts { serving, receiving, idle } = self.activity_counts();
         warn!(connections = within_capacity, serving, receiving, idle; "connections: over capacity");
     }
 }
@@ -78,13 +80,13 @@
 #[derive(Clone, Debug)]
 pub struct ConnectionLimits {
     max_connections: Arc<AtomicUsize>,
-    /// Bytes that are kept of requests behind open ones, on all connections.
+    /// Bytes buffered behind open requests, over all connections.
     pub read_ahead_bytes: Arc<AtomicUsize>,
     slots: Arc<Mutex<Slots>>,
 }
 
 impl ConnectionLimits {
-    /// Slots for `max_connections` that are served.
+    /// Creates `max_connections` slots for connections whose requests are served.
     #[must_use]
     pub fn new(max_connections: usize) -> Self {
         Self {
@@ -99,27 +101,27 @@
         self.max_connections.store(max_connections, Ordering::Relaxed);
     }
 
-    /// Connections that have a slot, with those over capacity.
+    /// The number of connections that hold a slot, including those over capacity.
     #[must_use]
     pub fn held(&self) -> usize {
         lock(&self.slots).taken.len()
     }
 
-    /// Ids of the slots that are taken, the oldest first.
+    /// The ids of the taken slots, oldest first.
     #[must_use]
     pub fn slot_ids(&self) -> Vec<u64> {
         lock(&self.slots).taken.keys().copied().collect()
     }
 
-    /// Evicts connections beyond the limit, as far as they may be.
+    /// Evicts connections until the limit is met or none of the rest may be evicted.
     pub fn evict_excess(&self, now: Instant) {
         let mut slots = lock(&self.slots);
         while slots.count(false) > self.max() && slots.evict_one(false, now) {}
     }
 
-    /// A slot for a new connection. Where all are taken, the connection that has waited longest for a request is evicted;
-    /// where none may be, the new one is over capacity: whatever it asks, it is refused. `None` if those are too many as
-    /// well.
+    /// Takes a slot for a new connection. When all slots are taken, the connection with the lowest eviction
+    /// rank is evicted. If none may be evicted, the new connection is over capacity and all its requests are
+    /// refused. Returns `None` if there are too many connections over capacity as well.
     #[must_use]
     pub fn admit(&self, now: Instant) -> Option<SlotGuard> {
         let mut slots = lock(&self.slots);
@@ -143,18 +145,18 @@
     }
 }
 
-/// A slot that is given back when this is dropped.
+/// A connection's slot, which is freed when this is dropped.
 #[derive(Debug)]
 pub struct SlotGuard {
     id: u64,
-    /// The slot.
+    /// The state of the connection.
     pub slot: Arc<ConnectionSlot>,
-    /// What it counts against.
+    /// The limits that the slot was taken from.
     pub limits: ConnectionLimits,
 }
 
 impl SlotGuard {
-    /// The slot's id: greater than those of all that were taken before.
+    /// The slot's id, greater than that of every slot taken before.
     #[must_use]
     pub fn id(&self) -> u64 {
         self.id
--- a/src/edge/clients/connection_slot.rs
+++ b/src/edge/clients/connection_slot.rs
@@ -1,5 +1,5 @@
-//! One client's connection as the limits see it: what it does, how long it may wait for a request, and whether it may be
-//! evicted where slots are short.
+//! The state of a client connection that the connection limits need: what it is doing, how long it may wait
+//! for a request, and whether it may be evicted when there are too few slots.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::task::Waker;
@@ -10,43 +10,47 @@
 
 use crate::edge::clients::framing::{BodyFraming, RequestFraming};
 
-/// A client is owed an error or a close 3 s after it has connected: a request that is not whole by then, body and all, is
-/// not waited for. Counted from its first byte on a connection that has been served before.
+/// A client must get an error or a close within 3 s of connecting, so a request whose head and body are not
+/// complete after this time is given up. On a connection that has been served before, the time counts from
+/// the first byte of the request.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_700);
-/// A connection on which nothing has come at all is closed after this.
+/// A connection on which no byte has been received is closed after this time.
 pub const SILENT_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// A connection that has been served may be idle for so long.
+/// A connection that has been served is closed after it has been idle for this long.
 pub const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// A connection over capacity has so long to ask and be refused.
+/// A connection over capacity is closed if no request has begun on it within this time.
 const OVER_CAPACITY_TIMEOUT: Duration = Duration::from_millis(500);
-/// One that has been served is not evicted before it has been idle for so long.
+/// A connection that has been served is not evicted before it has been idle for this long.
 const MIN_IDLE: Duration = Duration::from_secs(2);
-/// One on which nothing has come yet is not evicted before this: clients connect to ask.
+/// A connection on which no byte has been received is not evicted before this time: its request is probably
+/// on its way.
 const MIN_SILENT: Duration = Duration::from_millis(150);
-/// One within a request, of which nothing more has come for so long, may be evicted: half-written requests that are left
-/// lying would take all slots. Clients that write slowly, in pieces, are passed over as long as pieces come.
+/// A connection may be evicted when no byte of a request that has begun has been received for this long:
+/// otherwise abandoned, half-written requests could take all slots. A client that writes slowly is not
+/// evicted while pieces of its request keep coming.
 const MIN_STALLED: Duration = Duration::from_millis(400);
 
-/// Where a connection stands with its requests.
+/// The progress of a connection's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RequestState {
-    /// It waits for one.
+    /// No request has begun.
     Waiting,
-    /// One has begun to come, then, and no front has it yet.
+    /// A request has begun to come and no front has taken it yet. Its [`REQUEST_TIMEOUT`] counts from
+    /// `since`.
     Receiving { since: Instant },
-    /// Fronts have so many, until their answers have been handed over.
+    /// Fronts have taken `open` requests whose answers have not been handed over completely.
     Serving { open: usize },
 }
 
-/// How a connection ends, if it does.
+/// Whether and how the connection is ending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CloseState {
     Open,
-    /// The client has ended its side, or the connection has broken: nothing can come any more.
+    /// The client has closed its sending side, or the connection has broken: no further bytes can come.
     ClientClosed,
-    /// It leaves to make room for another.
+    /// It was evicted to free its slot.
     Evicted,
-    /// It is being closed: what still comes is read and dropped.
+    /// A lingering close is in progress: received bytes are discarded.
     Lingering,
 }
 
@@ -55,32 +59,33 @@
     framing: RequestFraming,
     request: RequestState,
     close: CloseState,
-    /// Since when it has waited for a request, or for its answer to be written.
+    /// Since when the connection has waited for its next request, or for its last answer to be written.
     waiting_since: Instant,
-    /// When something last came.
+    /// When bytes were last received.
     received_at: Instant,
-    /// A request of it has been answered.
+    /// Whether a request has been answered on this connection.
     was_served: bool,
-    /// An answer that has been handed over is not written whole yet: the client takes in no more for now.
+    /// The last write was blocked: the client does not take in more of an answer for now.
     is_write_blocked: bool,
-    /// How long it may have waited to be accepted, until its first request is taken.
+    /// The longest time that the connection may have been queued before it was accepted; reset to zero when
+    /// its first request is taken.
     accept_delay: Duration,
-    /// Woken once the open request has been answered: more has come behind it.
+    /// Woken once the open request has been answered, as bytes of the next one are buffered already.
     answered_waker: Option<Waker>,
 }
 
-/// What a connection does.
+/// What a connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Activity {
-    /// A front has a request of it.
+    /// A front has taken a request of it.
     Serving,
-    /// A request comes.
+    /// A request is being received.
     Receiving,
-    /// It waits for one.
+    /// It waits for a request.
     Idle,
 }
 
-/// Who is evicted first: the lesser rank, then the one that has waited longer.
+/// The order of eviction: the lower class first, and within a class the connection that has waited longer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct EvictionRank {
     class: EvictionClass,
@@ -89,36 +94,38 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionClass {
-    /// It is being closed.
+    /// A lingering close is in progress.
     Lingering,
-    /// It has been served, and is idle.
+    /// It has been served and is idle.
     Idle,
-    /// Nothing has come, or it is over capacity.
+    /// No byte has been received, or it is over capacity and waits for a request.
     Silent,
-    /// A request has begun to come, and nothing more of it.
+    /// A request has begun, and no more of it has come for a while.
     Stalled,
 }
 
-/// A request that a front takes.
+/// A request that a front has taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TakenRequest {
-    /// What its head says of where it ends.
+    /// How the end of its body is determined, according to its head.
     pub framing: BodyFraming,
-    /// By when it must have come whole.
-    pub whole_by: Instant,
+    /// When the whole request, head and body, must have been received.
+    pub receive_deadline: Instant,
 }
 
-/// A connection's slot. It is written by the connection's task and the fronts, and read where slots are short.
+/// The state of one connection's slot. The connection's task and the fronts update it;
+/// [`ConnectionLimits`](super::connection_limits::ConnectionLimits) reads it when there are too few slots.
 #[derive(Debug)]
 pub struct ConnectionSlot {
     state: Mutex<State>,
-    /// The task that has the connection; it ends with the slot's eviction.
+    /// The task that owns the connection; it is aborted when the slot is evicted.
     task: Mutex<Option<AbortHandle>>,
-    /// No slot was free: whatever it asks, it is refused.
+    /// No slot was free for this connection: all its requests are refused.
     pub over_capacity: bool,
 }
 
-/// Locks a mutex, also after a panic elsewhere: what it guards is changed in whole steps.
+/// Locks a mutex even if it is poisoned: all updates of the guarded data are atomic, so a panic elsewhere
+/// leaves no half-finished state.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -143,26 +150,27 @@
         lock(&self.state)
     }
 
-    /// Whether a front has a request that has come whole: what comes now belongs to none that a front may have yet.
+    /// Whether a front has a request that has been received completely. Bytes that come now belong to a later
+    /// request, which no front may take yet.
     #[must_use]
-    pub fn serves_whole_request(&self) -> bool {
+    pub fn serves_complete_request(&self) -> bool {
         let state = self.state();
         state.is_serving() && !state.framing.is_within_request()
     }
 
-    /// Takes in what the client has sent, up to the end of a request; returns how many of the bytes that is.
+    /// Records received bytes, up to the end of the current request. Returns how many of the bytes that is.
     pub fn received(&self, now: Instant, bytes: &[u8]) -> usize {
         let mut state = self.state();
-        let taken = state.framing.push_one(bytes);
+        let consumed = state.framing.push_until_request_end(bytes);
         state.received_at = now;
         if state.request == RequestState::Waiting && !bytes.is_empty() {
             let since = if state.was_served { now } else { state.waiting_since };
             state.request = RequestState::Receiving { since };
         }
-        taken
+        consumed
     }
 
-    /// Something has been written, or all that can be for now (`is_blocked`).
+    /// Records a write. `is_blocked` means that the socket accepts no more bytes for now.
     pub fn written(&self, now: Instant, is_blocked: bool) {
         let mut state = self.state();
         let was_blocked = std::mem::replace(&mut state.is_write_blocked, is_blocked);
@@ -171,18 +179,19 @@
         }
     }
 
-    /// The connection may have waited so long to be accepted.
+    /// Sets the longest time that the connection may have been queued before it was accepted.
     pub fn set_accept_delay(&self, delay: Duration) {
         self.state().accept_delay = delay;
     }
 
-    /// How long the request that is taken now may have waited for its connection to be accepted: the first one only.
+    /// The longest time that the request taken now may have waited for its connection to be accepted. Zero
+    /// for all but the first request.
     #[must_use]
     pub fn take_accept_delay(&self) -> Duration {
         std::mem::take(&mut self.state().accept_delay)
     }
 
-    /// A front takes the next request.
+    /// Records that a front takes the next request.
     pub fn request_taken(&self, now: Instant) -> TakenRequest {
         let mut state = self.state();
         let (since, open) = match state.request {
@@ -191,10 +200,11 @@
             RequestState::Serving { open } => (now, open + 1),
         };
         state.request = RequestState::Serving { open };
-        TakenRequest { framing: state.framing.next_body_framing(), whole_by: since + REQUEST_TIMEOUT }
+        TakenRequest { framing: state.framing.next_body_framing(), receive_deadline: since + REQUEST_TIMEOUT }
     }
 
-    /// A request's answer has been handed over, or has ended without.
+    /// Records that the answer of a request has been handed over completely, or that the request ended
+    /// without an answer.
     pub fn request_answered(&self, now: Instant) {
         let mut state = self.state();
         (state.was_served, state.waiting_since) = (true, now);
@@ -208,32 +218,33 @@
         waker.iter().for_each(Waker::wake_by_ref);
     }
 
-    /// Has this woken as the open request has been answered: hyper waits for bytes to come, and those behind that request
-    /// have come already.
+    /// Wakes this task once the open request has been answered. Hyper then waits for bytes from the socket,
+    /// but bytes behind that request are buffered already.
     pub fn wake_when_answered(&self, waker: &Waker) {
         self.state().answered_waker = Some(waker.clone());
     }
 
-    /// When the connection has waited long enough for a request; `None` while one is open or its answer is written.
+    /// When the connection is to be closed because a request has not begun or is not complete; `None` while a
+    /// request is open or its answer is being written.
     #[must_use]
     pub fn deadline(&self) -> Option<Instant> {
         let state = self.state();
         if state.is_write_blocked {
             return None;
         }
-        let wait = match state.was_served {
+        let timeout = match state.was_served {
             _ if self.over_capacity => OVER_CAPACITY_TIMEOUT,
             true => IDLE_TIMEOUT,
             false => SILENT_TIMEOUT,
         };
         match state.request {
-            RequestState::Waiting => Some(state.waiting_since + wait),
+            RequestState::Waiting => Some(state.waiting_since + timeout),
             RequestState::Receiving { since } => Some(since + REQUEST_TIMEOUT),
             RequestState::Serving { .. } => None,
         }
     }
 
-    /// The client has ended its side, or its connection has broken.
+    /// Records that the client has closed its sending side or that the connection has broken.
     pub fn client_closed(&self) {
         let mut state = self.state();
         if state.close != CloseState::Lingering {
@@ -241,11 +252,12 @@
         }
     }
 
-    /// Whether a close has to linger: bytes that nobody will read may still come, and a close over them is a reset that can
-    /// take the answer along. That is so until the client has ended its side; an evicted connection lingers only within a
-    /// request, as a flood of connections must not be kept by their number.
+    /// Whether the connection needs a lingering close: if bytes from the client are unread or still arrive
+    /// when its socket is closed, the client gets a reset, which can destroy an answer on its way. Bytes may
+    /// arrive until the client has closed its sending side. An evicted connection lingers only within a
+    /// request, so that a flood of connections can't hold on to resources by its number.
     #[must_use]
-    pub fn lingers(&self) -> bool {
+    pub fn should_linger(&self) -> bool {
         let state = self.state();
         match state.close {
             CloseState::ClientClosed => false,
@@ -254,12 +266,12 @@
         }
     }
 
-    /// This task serves the connection; it is ended with the slot's eviction.
+    /// Sets the task that serves the connection; it is aborted when the slot is evicted.
     pub fn set_task(&self, task: AbortHandle) {
         *lock(&self.task) = Some(task);
     }
 
-    /// From now on this task has the connection, only to read and drop what still comes.
+    /// Sets the task that performs the lingering close, and from now on owns the connection.
     pub fn set_lingering_task(&self, task: AbortHandle) {
         self.state().close = CloseState::Lingering;
         self.set_task(task);
@@ -273,7 +285,9 @@
         }
     }
 
-    /// Ends the connection. Its task ends before anything else of it runs: it closes with no answer cut.
+    /// Evicts the connection by aborting its task before the task runs again, so that it can't take a request
+    /// in between. No answer is cut: a connection with an open request or a blocked write is not evicted, see
+    /// [`eviction_rank`](Self::eviction_rank).
     pub(crate) fn evict(&self) {
         let mut state = self.state();
         if state.close != CloseState::ClientClosed {
@@ -285,7 +299,7 @@
         }
     }
 
-    /// How soon it is evicted where slots are short, if it may be.
+    /// The connection's place in the order of eviction; `None` if it may not be evicted now.
     pub(crate) fn eviction_rank(&self, now: Instant) -> Option<EvictionRank> {
         let state = self.state();
         if state.close == CloseState::Lingering {
--- a/src/edge/clients/framing.rs
+++ b/src/edge/clients/framing.rs
@@ -1,47 +1,50 @@
-//! Where each request of a client begins and ends on its connection, followed beside hyper: hyper hides from a request's
-//! handler that its length was told in two ways, behind which another request may hide.
+//! Follows where each request begins and ends on a client's connection, in parallel with hyper. Hyper hides
+//! from a request's handler that the length of the body was given in two ways (content length and transfer
+//! encoding), which can be used to smuggle another request in behind it.
 
 use std::collections::VecDeque;
 
-/// A head holds this many bytes at most.
+/// Maximum length of a request head.
 pub const MAX_HEAD_BYTES: usize = 16 << 10;
-/// A head holds this many header lines at most.
+/// Maximum number of header lines in a request head.
 const MAX_HEADERS: usize = 100;
 
-/// What a head says of where its request ends.
+/// How a request head determines the end of its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyFraming {
-    /// A plain length, or none: the next request begins right after.
+    /// One valid content length, or none: the next request begins right after the body.
     KnownLength,
-    /// The body comes in chunks. Their end is not followed here: nothing after it is read as a request.
+    /// The body is chunked. The end of the last chunk is not followed here, so nothing after this head is
+    /// read as a request.
     Chunked,
-    /// Its length is told twice, in two ways, or is no number: it must be refused, whatever comes after it.
+    /// The length is given more than once or in two ways, or is not a plain number. The request must be
+    /// refused, and nothing after this head is read as a request.
     Ambiguous,
 }
 
-/// Where the connection stands.
+/// The current position on the connection.
 #[derive(Debug)]
 enum Position {
-    /// In a head, or before one: what has come of it.
+    /// In a head or before one, with the bytes of the head so far.
     Head(Vec<u8>),
-    /// In a body of which so many bytes are left.
+    /// In a body, with the number of bytes that remain.
     Body(u64),
-    /// Whatever comes belongs to no further request.
-    Beyond,
+    /// Behind a request whose end is not known: no further bytes are read as a request.
+    Unframed,
 }
 
-/// A head that has come whole.
+/// A complete head.
 struct Head {
     bytes: usize,
     framing: BodyFraming,
     body_bytes: u64,
 }
 
-/// Follows the requests of one connection.
+/// Follows the boundaries of the requests on one connection.
 #[derive(Debug)]
 pub struct RequestFraming {
     position: Position,
-    /// Of heads that have come whole and whose request no front has yet.
+    /// The framings of complete heads whose requests no front has taken yet, oldest first.
     body_framings: VecDeque<BodyFraming>,
 }
 
@@ -52,85 +55,87 @@
 }
 
 impl RequestFraming {
-    /// Takes in all that has come.
+    /// Follows all of these received bytes.
     pub fn push(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
-            bytes = &bytes[self.push_one(bytes)..];
+            bytes = &bytes[self.push_until_request_end(bytes)..];
         }
     }
 
-    /// Takes in what has come, up to the end of a request; returns how many of the bytes that is.
-    pub fn push_one(&mut self, bytes: &[u8]) -> usize {
-        let mut taken = 0;
-        while taken < bytes.len() {
-            let rest = &bytes[taken..];
-            taken += match &mut self.position {
-                Position::Beyond => return bytes.len(),
-                Position::Body(left) => {
-                    let here = usize::try_from(*left).unwrap_or(usize::MAX).min(rest.len());
-                    *left -= here as u64;
-                    here
+    /// Follows received bytes up to the end of the current request. Returns how many bytes that is.
+    pub fn push_until_request_end(&mut self, bytes: &[u8]) -> usize {
+        let mut consumed = 0;
+        while consumed < bytes.len() {
+            let rest = &bytes[consumed..];
+            consumed += match &mut self.position {
+                Position::Unframed => return bytes.len(),
+                Position::Body(remaining) => {
+                    let length = usize::try_from(*remaining).unwrap_or(usize::MAX).min(rest.len());
+                    *remaining -= length as u64;
+                    length
                 }
                 Position::Head(_) => self.push_head(rest),
             };
             if matches!(self.position, Position::Body(0)) {
                 self.position = Position::Head(Vec::new());
-                return taken;
+                return consumed;
             }
         }
-        taken
+        consumed
     }
 
-    /// Takes in bytes of a head, up to its end; returns how many that is.
+    /// Follows bytes of a head, up to its end. Returns how many bytes that is.
     fn push_head(&mut self, bytes: &[u8]) -> usize {
         let Position::Head(head) = &mut self.position else { return 0 };
-        let had = head.len();
+        let bytes_before = head.len();
         head.extend_from_slice(bytes);
-        // Only a line's end can end a head: one that comes byte by byte is not read over and over.
+        // A head can only end with a line break. Not parsing before one avoids parsing a head again for each
+        // byte when it comes byte by byte.
         if !bytes.contains(&b'\n') && head.len() <= MAX_HEAD_BYTES {
             return bytes.len();
         }
         let Some(parsed) = parse_head(head) else {
             if head.len() > MAX_HEAD_BYTES {
-                self.position = Position::Beyond;
+                self.position = Position::Unframed;
             }
             return bytes.len();
         };
         self.body_framings.push_back(parsed.framing);
         self.position = match parsed.framing {
             BodyFraming::KnownLength => Position::Body(parsed.body_bytes),
-            BodyFraming::Chunked | BodyFraming::Ambiguous => Position::Beyond,
+            BodyFraming::Chunked | BodyFraming::Ambiguous => Position::Unframed,
         };
-        parsed.bytes - had
+        parsed.bytes - bytes_before
     }
 
-    /// What the next head that has come whole says. A request of which no head is known must be refused.
+    /// Removes and returns the framing of the oldest complete head whose request has not been taken. A
+    /// request whose head is not known here is [`BodyFraming::Ambiguous`], as it must be refused.
     pub fn next_body_framing(&mut self) -> BodyFraming {
         self.body_framings.pop_front().unwrap_or(BodyFraming::Ambiguous)
     }
 
-    /// Whether a request has begun to come and is not whole.
+    /// Whether a request has begun and is not complete.
     #[must_use]
     pub fn is_within_request(&self) -> bool {
         !matches!(&self.position, Position::Head(head) if head.is_empty())
     }
 }
 
-/// Parses a head; `None` while its end has not come.
+/// Parses a head; `None` while it is not complete.
 fn parse_head(head: &[u8]) -> Option<Head> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     let bytes = match request.parse(head) {
         Ok(httparse::Status::Complete(bytes)) => bytes,
         Ok(httparse::Status::Partial) => return None,
-        // Hyper can't read it either, and answers so.
+        // Hyper can't parse this head either, and answers with an error itself.
         Err(_) => return Some(Head { bytes: head.len(), framing: BodyFraming::Ambiguous, body_bytes: 0 }),
     };
     let (framing, body_bytes) = body_framing(request.headers);
     Some(Head { bytes, framing, body_bytes })
 }
 
-/// How the body's end is told, and its length where that is known.
+/// How the end of the body is determined, and the length of the body if that is known.
 fn body_framing(headers: &[httparse::Header<'_>]) -> (BodyFraming, u64) {
     let values = |name: &'static str| {
         headers.iter().filter(move |header| header.name.eq_ignore_ascii_case(name)).map(|header| header.value)
@@ -144,9 +149,9 @@
     }
 }
 
-/// A length in plain digits: a sign or a list of lengths is none.
+/// Parses a content length of digits only; `None` for anything else, such as a sign or a list of lengths.
 fn parse_length(value: &[u8]) -> Option<u64> {
     let text = std::str::from_utf8(value).ok()?;
-    let is_plain = text.bytes().all(|byte| byte.is_ascii_digit());
-    text.parse().ok().filter(|_| is_plain)
+    let is_all_digits = text.bytes().all(|byte| byte.is_ascii_digit());
+    text.parse().ok().filter(|_| is_all_digits)
 }
--- a/src/edge/clients/mod.rs
+++ b/src/edge/clients/mod.rs
@@ -1,10 +1,13 @@
-//! Clients: what all fronts share, and a module for each protocol that clients speak.
+//! The client side of the dispatcher: connection handling that all fronts share, and one module for each API
+//! that clients use.
 //!
-//! A connection's way: `listener` accepts it (`accept_queue`), `connection_limits` gives it a slot (`connection_slot`),
-//! `client_stream` reads and writes it (`framing`, `read_ahead`), `connection` hands its requests to a front.
+//! A connection passes through these modules: `listener` accepts it (`accept_queue`), `connection_limits`
+//! gives it a slot (`connection_slot`), `client_stream` reads and writes it (`framing`, `read_ahead`), and
+//! `connection` hands its requests to a front.
 //!
-//! The fronts are `platform` and `chat`. With `chat` goes what repeats of a request need: `idempotency` decides,
-//! `recorder` records a run's answer in the `shared_store`, and an `answer_reader` gives it to each client.
+//! The fronts are `platform` and `chat`. The chat front also handles repeated requests: `idempotency` decides
+//! what to do with one, `recorder` records the answer of a run in the `shared_store`, and an `answer_reader`
+//! for each client reads it from there.
 
 pub mod accept_queue;
 pub mod answer_reader;
--- a/src/edge/clients/plain_response.rs
+++ b/src/edge/clients/plain_response.rs
@@ -1,10 +1,10 @@
-//! Short answers of the dispatcher's own, in plain text.
+//! The dispatcher's own short responses in plain text.
 
 use axum::body::Body;
 use axum::http::header::RETRY_AFTER;
 use axum::http::{HeaderValue, Response, StatusCode};
 
-/// A status with one line of text.
+/// A response with this status and one line of text.
 #[must_use]
 pub fn plain_response(status: StatusCode, line: &'static str) -> Response<Body> {
     let mut response = Response::new(Body::from(format!("{line}\n")));
@@ -12,7 +12,7 @@
     response
 }
 
-/// The answer to whatever comes on a connection that got no slot.
+/// The response to every request on a connection that got no slot.
 #[must_use]
 pub fn over_capacity_response() -> Response<Body> {
     let mut response = plain_response(StatusCode::SERVICE_UNAVAILABLE, "too many connections");
--- a/src/edge/clients/read_ahead.rs
+++ b/src/edge/clients/read_ahead.rs
@@ -1,21 +1,21 @@
-//! What a client sends behind an open request, kept until that has been answered.
+//! Buffers bytes that a client pipelines behind an open request until that request has been answered.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
 use bytes::{Buf as _, BytesMut};
 
-/// What is kept of one connection: four bodies of the protocol's most (bytes). Of a client that sends more, nothing is
-/// kept, and its connection is closed after the answer.
+/// Maximum for one connection: four request bodies of the maximum length in the protocol (bytes). If a client
+/// sends more, its buffer is discarded and its connection is closed after the answer.
 const MAX_BYTES: usize = 1 << 20;
-/// What is kept of all connections: an eighth of the least memory that limits give, 32 MB (bytes).
+/// Maximum for all connections: an eighth of 32 MB, the smallest memory limit that is expected (bytes).
 const MAX_TOTAL_BYTES: usize = 4 << 20;
 
-/// What has come behind an open request of one connection.
+/// The bytes that have come behind an open request of one connection.
 pub(crate) struct ReadAhead {
     bytes: BytesMut,
     overflowed: bool,
-    /// Bytes that all connections keep together.
+    /// Bytes that all connections buffer together.
     total_bytes: Arc<AtomicUsize>,
 }
 
@@ -24,13 +24,13 @@
         Self { bytes: BytesMut::new(), overflowed: false, total_bytes }
     }
 
-    /// More came than is kept: what follows is not known.
+    /// Whether more bytes came than fit. They were discarded, so the bytes that follow cannot be parsed.
     pub(crate) fn has_overflowed(&self) -> bool {
         self.overflowed
     }
 
-    /// Up to `max_bytes` of what is kept.
-    pub(crate) fn first(&self, max_bytes: usize) -> &[u8] {
+    /// The first buffered bytes, at most `max_bytes`, without consuming them.
+    pub(crate) fn peek(&self, max_bytes: usize) -> &[u8] {
         &self.bytes[..self.bytes.len().min(max_bytes)]
     }
 
@@ -38,11 +38,11 @@
         self.bytes.is_empty()
     }
 
-    /// Keeps what has come, if there is room.
+    /// Appends bytes. If they do not fit, discards the whole buffer and marks it as overflowed.
     pub(crate) fn push(&mut self, bytes: &[u8]) {
-        let total_room = MAX_TOTAL_BYTES.saturating_sub(self.total_bytes.load(Ordering::Relaxed));
-        let room = total_room.min(MAX_BYTES - self.bytes.len());
-        if self.overflowed || bytes.len() > room {
+        let total_available = MAX_TOTAL_BYTES.saturating_sub(self.total_bytes.load(Ordering::Relaxed));
+        let available = total_available.min(MAX_BYTES - self.bytes.len());
+        if self.overflowed || bytes.len() > available {
             self.overflowed = true;
             return self.consume(self.bytes.len());
         }
@@ -50,12 +50,12 @@
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Drops the first bytes, as they have been read.
+    /// Removes the first `length` bytes, which have been read.
     pub(crate) fn consume(&mut self, length: usize) {
         self.bytes.advance(length);
         self.total_bytes.fetch_sub(length, Ordering::Relaxed);
         if self.bytes.is_empty() {
-            self.bytes = BytesMut::new(); // gives its memory back
+            self.bytes = BytesMut::new(); // frees the memory
         }
     }
 }
--- a/src/edge/clients/request_timing.rs
+++ b/src/edge/clients/request_timing.rs
@@ -1,13 +1,14 @@
-//! Times of a request that travel with it, as extensions, from its connection to its front.
+//! Timing data of a request, passed from its connection to its front as request extensions.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// By when a request must have come whole.
+/// When the whole request, head and body, must have been received.
 #[derive(Clone, Copy, Debug)]
-pub struct WholeBy(pub Instant);
+pub struct ReceiveDeadline(pub Instant);
 
-/// How long a request may have waited for its connection to be accepted: its client's time has run since.
+/// The longest time that the connection of a request may have been queued before it was accepted. The time
+/// that the client waits has run since then.
 #[derive(Clone, Copy, Debug)]
 pub struct AcceptDelay(pub Duration);
--- a/tests/connection_limits.rs
+++ b/tests/connection_limits.rs
@@ -68,7 +68,7 @@
     slow.slot.received(start + 2_000 * MS, &REQUEST[..9]);
     assert_eq!(slow.slot.deadline(), Some(start + REQUEST_TIMEOUT), "from when it connected");
     slow.slot.received(start + 2_100 * MS, &REQUEST[9..]);
-    assert_eq!(slow.slot.request_taken(start + 2_100 * MS).whole_by, start + REQUEST_TIMEOUT);
+    assert_eq!(slow.slot.request_taken(start + 2_100 * MS).receive_deadline, start + REQUEST_TIMEOUT);
     assert_eq!(slow.slot.deadline(), None, "its request is open");
     slow.slot.request_answered(start + 3_000 * MS);
     assert_eq!(slow.slot.deadline(), Some(start + 3_000 * MS + IDLE_TIMEOUT));
--- a/tests/crossings_clients.rs
+++ b/tests/crossings_clients.rs
@@ -592,8 +592,8 @@
     let waits = slot.deadline().unwrap();
     assert!(waits > rests, "half of a request has come");
     slot.received(waits, &GET.as_bytes()[5..]);
-    let whole_by = slot.request_taken(waits).whole_by;
-    assert_eq!(whole_by, waits, "counted from its first byte");
+    let receive_deadline = slot.request_taken(waits).receive_deadline;
+    assert_eq!(receive_deadline, waits, "counted from its first byte");
     assert_eq!(slot.deadline(), None);
     slot.request_answered(waits);
     assert_eq!(slot.deadline().unwrap() - waits, rests - start);
