--- a/src/edge/clients/answer_reader.rs
+++ b/src/edge/clients/answer_reader.rs
@@ -1,4 +1,4 @@
-//! One client's reading of a recorded answer, live or kept.
+//! Reads a recorded answer for one client, while it is being recorded or afterwards.
 
 use std::future::poll_fn;
 use std::pin::Pin;
@@ -9,28 +9,30 @@
 use dewladder_idempotency::{EntryId, Outcome};
 use http_body::{Body, Frame};
 
-use crate::edge::clients::shared_store::{Found, SharedStore};
+use crate::edge::clients::shared_store::{AnswerRead, SharedStore};
 use crate::edge::servers::Cut;
 use crate::interface::{Micros, RequestId};
 
-/// How a reader's answer begins.
+/// What [`AnswerReader::start`] found.
 #[derive(Debug, PartialEq, Eq)]
 pub enum AnswerStart {
-    /// With its first bytes.
+    /// The answer has begun, or has ended without any bytes.
     Streaming,
-    /// Not at all: the run ended so.
+    /// The run ended with this outcome and without an answer.
     Ended(Outcome),
-    /// The request is to be submitted again.
+    /// The record is gone, or the answer has outgrown the store before this reader got its first byte: the
+    /// request is to be submitted again.
     SubmitAgain,
 }
 
-/// One client's reading of an answer. A reader that is dropped before the end has left.
+/// The answer as one client reads it, and the body of its response. Dropping it tells the store that this
+/// reader has left.
 pub struct AnswerReader {
     store: Arc<SharedStore>,
     id: EntryId,
-    /// How far it has read (bytes).
+    /// Offset of the next byte to read from the store.
     position: u64,
-    /// Read, and not given on yet.
+    /// A chunk that has been read from the store and not been returned yet.
     buffered: Option<Bytes>,
 }
 
@@ -43,36 +45,37 @@
         self.id
     }
 
-    /// The id under which the request was sent to servers, and when it began to run (us): the same for all its readers.
+    /// The id under which the request was sent to servers, and when it began to run (us). Both are the same
+    /// for all readers of this answer.
     #[must_use]
     pub fn request(&self) -> (RequestId, Micros) {
         let execution = self.store.update(|store, _| store.execution(self.id));
         (RequestId(execution.request_id), execution.started_us)
     }
 
-    /// Waits until the answer begins, or turns out not to.
+    /// Waits until the answer begins, or until it is known that there is none.
     pub async fn start(&mut self) -> AnswerStart {
-        match poll_fn(|context| self.poll_found(context)).await {
-            Found::Data(piece) => {
-                self.buffered = Some(piece);
+        match poll_fn(|context| self.poll_answer(context)).await {
+            AnswerRead::Data(chunk) => {
+                self.buffered = Some(chunk);
                 AnswerStart::Streaming
             }
-            // An answer without any bytes is one all the same.
-            Found::Ended(Outcome::Completed | Outcome::Interrupted(_)) => AnswerStart::Streaming,
-            Found::Ended(outcome) => AnswerStart::Ended(outcome),
-            Found::Gone | Found::Overrun => AnswerStart::SubmitAgain,
+            // An answer without any bytes is a valid answer.
+            AnswerRead::Ended(Outcome::Completed | Outcome::Interrupted(_)) => AnswerStart::Streaming,
+            AnswerRead::Ended(outcome) => AnswerStart::Ended(outcome),
+            AnswerRead::Gone | AnswerRead::Overrun => AnswerStart::SubmitAgain,
         }
     }
 
-    fn poll_found(&mut self, context: &Context<'_>) -> Poll<Found> {
-        if let Some(piece) = self.buffered.take() {
-            return Poll::Ready(Found::Data(piece));
+    fn poll_answer(&mut self, context: &Context<'_>) -> Poll<AnswerRead> {
+        if let Some(chunk) = self.buffered.take() {
+            return Poll::Ready(AnswerRead::Data(chunk));
         }
-        let found = self.store.poll_read(context, self.id, self.position);
-        if let Poll::Ready(Found::Data(piece)) = &found {
-            self.position += piece.len() as u64;
+        let read_result = self.store.poll_read(context, self.id, self.position);
+        if let Poll::Ready(AnswerRead::Data(chunk)) = &read_result {
+            self.position += chunk.len() as u64;
         }
-        found
+        read_result
     }
 }
 
@@ -90,17 +93,17 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
-        self.poll_found(context).map(|found| match found {
-            Found::Data(piece) => Some(Ok(Frame::data(piece))),
-            Found::Ended(Outcome::Completed) => None,
-            Found::Ended(Outcome::Interrupted(code)) => Some(Err(cut_of(code))),
-            Found::Overrun => Some(Err(Cut::Behind)),
-            Found::Ended(_) | Found::Gone => Some(Err(Cut::Broken)),
+        self.poll_answer(context).map(|read_result| match read_result {
+            AnswerRead::Data(chunk) => Some(Ok(Frame::data(chunk))),
+            AnswerRead::Ended(Outcome::Completed) => None,
+            AnswerRead::Ended(Outcome::Interrupted(code)) => Some(Err(cut_from_code(code))),
+            AnswerRead::Overrun => Some(Err(Cut::Behind)),
+            AnswerRead::Ended(_) | AnswerRead::Gone => Some(Err(Cut::Broken)),
         })
     }
 }
 
-/// The number under which the store keeps why an answer broke off.
+/// The number by which the store records why an answer broke off; [`cut_from_code`] is the inverse.
 pub(crate) fn cut_code(cut: Cut) -> u8 {
     match cut {
         Cut::Broken => 0,
@@ -110,7 +113,7 @@
     }
 }
 
-fn cut_of(code: u8) -> Cut {
+fn cut_from_code(code: u8) -> Cut {
     match code {
         0 => Cut::Broken,
         1 => Cut::Stalled,
--- a/src/edge/clients/error_response.rs
+++ b/src/edge/clients/error_response.rs
@@ -1,4 +1,5 @@
-//! Errors of the chat front: in the published envelope, with the right status and the time to come back.
+//! Error responses of the chat front: the JSON envelope that the published API defines, the HTTP status and
+//! the retry headers.
 
 use axum::body::Body;
 use axum::http::header::{CONTENT_TYPE, RETRY_AFTER};
@@ -13,65 +14,66 @@
 const SHOULD_RETRY: HeaderName = HeaderName::from_static("x-should-retry");
 const RETRY_AFTER_MS: HeaderName = HeaderName::from_static("retry-after-ms");
 const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
-const MS_US: Micros = 1_000;
-const SECOND_US: Micros = 1_000_000;
+const US_PER_MS: Micros = 1_000;
+const US_PER_SECOND: Micros = 1_000_000;
 
-/// An error as clients of the API expect it.
+/// An error response in the form that clients of the API expect.
 #[derive(Clone, Debug)]
 pub struct ErrorResponse {
-    /// The HTTP status.
+    /// The HTTP status, which also determines the error's `type`.
     pub status: StatusCode,
     /// The error's `code`, by which programs tell errors apart.
     pub code: &'static str,
     /// The error's `message`, for people.
     pub message: String,
-    /// The field at fault.
+    /// The name of the request field or header that caused the error, if there is one.
     pub param: Option<String>,
-    /// After how long to come back (us).
+    /// After how long the client may retry (us); `None` sends no `retry-after` headers.
     pub retry_after_us: Option<Micros>,
-    /// Client libraries must not retry by themselves.
+    /// Whether client libraries are told not to retry by themselves (`x-should-retry: false`).
     pub never_retry: bool,
 }
 
 impl ErrorResponse {
-    /// An error without a field at fault.
+    /// An error without a field at fault and without retry headers.
     pub fn new(status: StatusCode, code: &'static str, message: impl Into<String>) -> Self {
         let message = message.into();
         Self { status, code, message, param: None, retry_after_us: None, never_retry: false }
     }
 
-    /// A request that can't be served as it is.
+    /// A 400 error, for a request that can't be served in the form it has.
     pub fn bad_request(code: &'static str, message: impl Into<String>) -> Self {
         Self::new(StatusCode::BAD_REQUEST, code, message)
     }
 
-    /// Refused by the servers: the request never ran.
+    /// The error of a request that the servers refused and that never ran.
     #[must_use]
     pub fn refused(retry_after_us: Micros) -> Self {
         let message = "refused for now, come again later";
         Self::new(StatusCode::SERVICE_UNAVAILABLE, "overloaded", message).with_retry_after(retry_after_us)
     }
 
-    /// No server answered. `never_retry` where the request may have run and must not run twice.
+    /// The error of a request that no server answered. `never_retry` is set when the request may have run and
+    /// must not run twice.
     #[must_use]
     pub fn failed(never_retry: bool) -> Self {
         let error = Self::new(StatusCode::GATEWAY_TIMEOUT, "server_error", "no server answered in time");
         Self { never_retry, ..error }
     }
 
-    /// The same error, with the field at fault.
+    /// The same error, with the name of the field at fault.
     #[must_use]
     pub fn with_param(self, param: &str) -> Self {
         Self { param: Some(param.to_owned()), ..self }
     }
 
-    /// The same error, with the time to come back.
+    /// The same error, with the time after which the client may retry (us).
     #[must_use]
     pub fn with_retry_after(self, retry_after_us: Micros) -> Self {
         Self { retry_after_us: Some(retry_after_us), ..self }
     }
 
-    /// The HTTP response.
+    /// Builds the HTTP response.
     #[must_use]
     pub fn into_response(self) -> Response<Body> {
         let error_type = match self.status {
@@ -85,9 +87,10 @@
         let mut response = json_response(self.status, Bytes::from(error.to_string()));
         let headers = response.headers_mut();
         if let Some(retry_after_us) = self.retry_after_us {
-            // Whole seconds are what all clients understand; the exact time is for those that know the name.
-            headers.insert(RETRY_AFTER, HeaderValue::from(retry_after_us.div_ceil(SECOND_US).max(1)));
-            headers.insert(RETRY_AFTER_MS, HeaderValue::from(retry_after_us.div_ceil(MS_US)));
+            // All clients understand whole seconds in `retry-after`; those that know `retry-after-ms` get the
+            // exact time.
+            headers.insert(RETRY_AFTER, HeaderValue::from(retry_after_us.div_ceil(US_PER_SECOND).max(1)));
+            headers.insert(RETRY_AFTER_MS, HeaderValue::from(retry_after_us.div_ceil(US_PER_MS)));
         }
         if self.never_retry {
             headers.insert(SHOULD_RETRY, HeaderValue::from_static("false"));
@@ -103,7 +106,7 @@
     }
 }
 
-/// A JSON response.
+/// A response with this status and JSON body.
 #[must_use]
 pub fn json_response(status: StatusCode, body: Bytes) -> Response<Body> {
     let mut response = Response::new(Body::from(body));
@@ -112,14 +115,14 @@
     response
 }
 
-/// Names the request in a response.
+/// Sets the header `x-request-id` to the request's id, as 16 hex digits.
 pub fn set_request_id(headers: &mut HeaderMap, id: RequestId) {
     if let Ok(value) = HeaderValue::from_str(&format!("{:016x}", id.0)) {
         headers.insert(REQUEST_ID, value);
     }
 }
 
-/// The error of a request that is not admitted.
+/// The error response for an admission that does not let the request run or join a run.
 #[must_use]
 pub fn not_admitted(admission: Admission) -> ErrorResponse {
     match admission {
--- a/src/edge/clients/idempotency.rs
+++ b/src/edge/clients/idempotency.rs
@@ -1,5 +1,6 @@
-//! Requests that clients repeat, as the chat front handles them: by what a repeat is recognised, and what becomes of it.
-//! `crates/idempotency` decides; runs are recorded by `recorder` and read by `answer_reader`.
+//! Repeated requests as the chat front handles them: how a repeat is recognised, and whether it runs, joins
+//! an earlier run or is refused. `crates/idempotency` makes these decisions; `recorder` records the answers
+//! of runs and `answer_reader` reads them.
 
 use std::sync::{Arc, Weak};
 
@@ -22,57 +23,59 @@
 use crate::edge::servers::header;
 use crate::interface::Micros;
 
-/// The header with a client's own key.
+/// The header that carries a client's idempotency key.
 const KEY_HEADER: &str = "idempotency-key";
+/// Maximum length of an idempotency key.
 const MAX_KEY_BYTES: usize = 255;
-/// Time between two looks at the store's deadlines, at the least and at the most (us).
-const MIN_PAUSE_US: Micros = 20_000;
-const MAX_PAUSE_US: Micros = 1_000_000;
-/// Time between two log lines about the store (us).
+/// Minimum and maximum time between two passes over the store's deadlines (us).
+const MIN_MAINTENANCE_INTERVAL_US: Micros = 20_000;
+const MAX_MAINTENANCE_INTERVAL_US: Micros = 1_000_000;
+/// Minimum time between two log lines about the store (us).
 const REPORT_INTERVAL_US: Micros = 10_000_000;
 
-/// An `Idempotency-Key` that can't be used.
+/// Why an `Idempotency-Key` header can't be used. The texts are sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyError {
-    /// There are two.
+    /// The request has more than one such header.
     #[error("Idempotency-Key is there twice")]
     Repeated,
-    /// It is too long, or holds other characters.
+    /// The key is empty, too long, or holds other characters.
     #[error("Idempotency-Key must be 1 to 255 visible ASCII characters")]
     Malformed,
 }
 
-/// Whose request it is.
+/// The tenant that a request belongs to.
 #[derive(Clone, Copy, Debug)]
 pub struct TenantRef<'a> {
-    /// Its number.
+    /// The number by which the store counts its requests.
     pub number: u32,
-    /// Its name.
+    /// Its name. Keys and bodies of different tenants are never taken for repeats of each other.
     pub name: &'a str,
 }
 
-/// What is to be done with a request.
+/// What the front has to do with a request.
 pub enum Decision {
-    /// It is to run; its answer is read here.
+    /// It is to run; the client reads its answer from this reader.
     Run(AnswerReader),
-    /// It is a repeat; its answer is read here.
+    /// It is a repeat; the client reads the answer of the earlier run from this reader.
     Join(AnswerReader),
-    /// It is to run, and nothing of it is remembered.
+    /// It is to run without a record of it or its answer.
     RunUnrecorded,
-    /// It is not admitted.
+    /// It must not run now; the admission says why.
     NotAdmitted(Admission),
 }
 
-/// Handles the repeats of one front.
+/// Handles repeated requests of one front.
 pub struct Idempotency {
     store: Arc<SharedStore>,
     fingerprinter: Fingerprinter,
-    /// Headers in which client libraries count their retries.
+    /// Names of the headers in which client libraries count their retries.
     retry_headers: Vec<String>,
 }
 
 impl Idempotency {
-    /// Starts with an empty store. Its deadlines are looked after for as long as anybody holds this.
+    /// Creates an empty store and spawns the task that maintains its deadlines. The task ends when the last
+    /// `Arc` is dropped. `secret` keys the fingerprints of idempotency keys and bodies.
     #[must_use]
     pub fn start(policy: Policy, retry_headers: Vec<String>, clock: Clock, secret: u64) -> Arc<Self> {
         let now = clock.now();
@@ -85,10 +88,11 @@
         idempotency
     }
 
-    /// What the store needs to know of a request. `at_most_once` where it must not run twice.
+    /// Collects what the store needs to know of a request. `at_most_once` is set if the request must not run
+    /// twice.
     ///
     /// # Errors
-    /// A key that can't be used.
+    /// The `Idempotency-Key` header can't be used.
     pub fn describe(
         &self,
         headers: &HeaderMap,
@@ -98,26 +102,28 @@
         body: &Value,
     ) -> Result<IncomingRequest, KeyError> {
         let retry_count = self.retry_headers.iter().find_map(|name| header(headers, name));
-        // A count that can't be read is still of a library that counts.
+        // A count that can't be parsed still comes from a library that counts retries, so it is taken for a
+        // retry.
         let is_retry = retry_count.is_some_and(|count| count.parse::<u64>() != Ok(0));
         let name = tenant.name.as_bytes();
         let body = self.fingerprinter.fingerprint("body", &[name, &[kind as u8], &canonical_json(body)]);
         let identity = match read_key(headers)? {
             Some(key) => Some(RequestIdentity::Key(self.fingerprinter.fingerprint("key", &[name, key]))),
-            // Without a key, only a library that counts its retries makes a repeat known.
+            // Without a key, repeats are recognised only from libraries that count their retries.
             None if at_most_once && retry_count.is_some() => Some(RequestIdentity::Body(body)),
             None => None,
         };
         Ok(IncomingRequest { tenant: tenant.number, at_most_once, identity, body, is_retry })
     }
 
-    /// The record of a request at other instances; only one that has a key is recognised there.
+    /// The id of a request's record at other instances; `None` for a request without a key, which they would
+    /// not recognise.
     #[must_use]
     pub fn record_id(headers: &HeaderMap, tenant: &str) -> Option<RecordId> {
         header(headers, KEY_HEADER).map(|key| RecordId::of(tenant, key))
     }
 
-    /// What is to be done with a request.
+    /// Decides what to do with a request.
     #[must_use]
     pub fn admit(&self, request: &IncomingRequest) -> Decision {
         let reader = |id| AnswerReader::new(self.store.clone(), id);
@@ -129,37 +135,37 @@
         }
     }
 
-    /// Has a request run, and records its answer. `held` is dropped when the run is over.
-    pub fn run(&self, reader: &AnswerReader, driver: &DriverHandle, run: Run, held: impl Send + 'static) {
+    /// Spawns the task that runs a request and records its answer. `permit` is dropped when the run is over.
+    pub fn run(&self, reader: &AnswerReader, driver: &DriverHandle, run: Run, permit: impl Send + 'static) {
         let id = reader.id();
         let canceled = self.store.begin_run(id, run.request.id.0);
         let recorder = Recorder { store: self.store.clone(), driver: driver.clone(), id, canceled };
-        tokio::spawn(recorder.run(run, held));
+        tokio::spawn(recorder.run(run, permit));
     }
 
-    /// A request that was admitted is not to run after all: it never ran.
+    /// Records that a request that was admitted is refused after all and never ran.
     pub fn refuse(&self, reader: &AnswerReader, retry_after_us: Micros) {
         let outcome = Outcome::Refused { retry_after_us };
         self.store.update(|store, now| store.finish(now, reader.id(), outcome));
     }
 
-    /// What the store holds and has done.
+    /// Statistics of the store.
     #[must_use]
     pub fn stats(&self) -> Stats {
         self.store.stats()
     }
 
-    /// Lets deadlines pass; returns when to look again (us).
+    /// Handles the store's passed deadlines. Returns when to call this again (us).
     fn advance(&self) -> Micros {
         self.store.update(|store, now| {
             store.advance(now);
             let deadline = store.next_deadline().unwrap_or(Micros::MAX);
-            deadline.clamp(now + MIN_PAUSE_US, now + MAX_PAUSE_US)
+            deadline.clamp(now + MIN_MAINTENANCE_INTERVAL_US, now + MAX_MAINTENANCE_INTERVAL_US)
         })
     }
 }
 
-/// The key of a request, if it has one.
+/// Reads a request's idempotency key, if it has one.
 fn read_key(headers: &HeaderMap) -> Result<Option<&[u8]>, KeyError> {
     let mut keys = headers.get_all(KEY_HEADER).iter();
     let Some(key) = keys.next() else { return Ok(None) };
@@ -171,26 +177,26 @@
     is_usable.then_some(Some(key)).ok_or(KeyError::Malformed)
 }
 
-/// Looks after the deadlines, and reports what repeats got.
+/// Maintains the store's deadlines and logs its statistics, until the store is dropped.
 async fn maintain(idempotency: Weak<Idempotency>, now: Micros) {
-    let mut report = Report { reported_us: now, last: Stats::default() };
+    let mut stats_logger = StatsLogger { reported_us: now, last: Stats::default() };
     loop {
         let Some(idempotency) = idempotency.upgrade() else { return };
         let clock = *idempotency.store.clock();
         let next = clock.instant(idempotency.advance());
-        report.log_if_due(clock.now(), &idempotency);
+        stats_logger.log_if_due(clock.now(), &idempotency);
         drop(idempotency);
         sleep_until(next.max(Instant::now())).await;
     }
 }
 
-/// What was last logged of the store.
-struct Report {
+/// The statistics at the last report, and the time of that report.
+struct StatsLogger {
     reported_us: Micros,
     last: Stats,
 }
 
-impl Report {
+impl StatsLogger {
     fn log_if_due(&mut self, now: Micros, idempotency: &Idempotency) {
         if now < self.reported_us + REPORT_INTERVAL_US {
             return;
@@ -201,10 +207,10 @@
             info!(entries = new.entries, bytes = new.bytes, joined = new.joined - last.joined,
                 replayed = new.replayed - last.replayed, rerun = new.rerun - last.rerun,
                 rejected = new.rejected - last.rejected, deferred = new.deferred - last.deferred;
-                "idempotency: repeats in 10 s");
+                "idempotency: repeated requests in the last 10 s");
         }
         if new.evicted > last.evicted {
-            warn!(evicted = new.evicted - last.evicted; "idempotency: evicted before their time");
+            warn!(evicted = new.evicted - last.evicted; "idempotency: evicted before expiry");
         }
     }
 }
--- a/src/edge/clients/recorder.rs
+++ b/src/edge/clients/recorder.rs
@@ -1,4 +1,5 @@
-//! The task of a run: it sends the request, once other instances let it, and records its answer.
+//! The task that runs a request: it sends the request once enough other instances hold its record, and
+//! records the answer.
 
 use std::future::{poll_fn, Future};
 use std::pin::pin;
@@ -17,17 +18,17 @@
 use crate::edge::servers::{Payload, Relay};
 use crate::interface::RequestInfo;
 
-/// A request that is to run, with where its record lies at other instances, if anywhere.
+/// A request to run, and where its record is held at other instances, if anywhere.
 pub struct Run {
-    /// What the router is told.
+    /// The router's description of the request.
     pub request: RequestInfo,
-    /// What servers are sent.
+    /// The data that is sent to servers.
     pub payload: Arc<Payload>,
-    /// It is sent only once enough other instances hold this record.
+    /// If set, the request is sent only once a quorum of instances holds this record.
     pub replica: Option<(Quorum, RecordId)>,
 }
 
-/// Records the answer of one run.
+/// Runs one request and records its answer.
 pub(crate) struct Recorder {
     pub(crate) store: Arc<SharedStore>,
     pub(crate) driver: DriverHandle,
@@ -36,28 +37,30 @@
 }
 
 impl Recorder {
-    /// Sends the request and records its answer; `held` is dropped when the run is over.
-    pub(crate) async fn run(mut self, run: Run, held: impl Send + 'static) {
-        let outcome = match self.claim(&run).await {
+    /// Sends the request and records its answer and outcome; `permit` is dropped when the run is over.
+    pub(crate) async fn run(mut self, run: Run, permit: impl Send + 'static) {
+        let outcome = match self.acquire_grant(&run).await {
             Ok(grant) => self.send(run, grant).await,
             Err(Outcome::Refused { .. }) => {
                 Outcome::Refused { retry_after_us: self.driver.settings().max_retry_after }
             }
             Err(outcome) => outcome,
         };
-        drop(held);
+        drop(permit);
         self.store.finish_run(self.id, outcome);
     }
 
-    /// Has enough other instances hold the request's record, where it has one.
-    async fn claim(&mut self, run: &Run) -> Result<Option<Grant>, Outcome> {
+    /// Waits until a quorum of instances holds the request's record, if it has one.
+    async fn acquire_grant(&mut self, run: &Run) -> Result<Option<Grant>, Outcome> {
         let Some((quorum, record)) = run.replica.clone() else { return Ok(None) };
         let deadline = self.store.clock().instant(run.request.not_after);
         tokio::select! {
-            granted = quorum.offer(record, run.request.not_after) => granted.map(Some).map_err(denied),
-            // Dropped with that: the others are told that it never ran.
+            granted = quorum.offer(record, run.request.not_after) =>
+                granted.map(Some).map_err(denied_outcome),
+            // This drops the pending offer, which tells the other instances that the request never ran.
             Ok(()) = &mut self.canceled => Err(Outcome::Canceled { may_have_executed: false }),
-            // At an upgrade the old process may still have the cluster's socket.
+            // During a hot restart the old process may still own the cluster's socket, so an offer may get no
+            // answer.
             () = sleep_until(deadline) => Err(Outcome::Refused { retry_after_us: 0 }),
         }
     }
@@ -80,7 +83,7 @@
             let reply = pin!(reply);
             tokio::select! {
                 reply = reply => Some(reply),
-                // Dropped with that: the reducer is told that its client has left.
+                // This drops the pending reply, which tells the reducer that the client has left.
                 Ok(()) = &mut self.canceled => None,
             }
         };
@@ -112,16 +115,16 @@
     Outcome::Completed
 }
 
-/// What a request comes to that other instances do not let pass.
-fn denied(denial: Denial) -> Outcome {
+/// The outcome of a request that other instances do not permit to run.
+fn denied_outcome(denial: Denial) -> Outcome {
     match denial {
-        // Another attempt, at this instance or another, may have run or may be running.
+        // Another attempt, at this or another instance, may have run or may be running.
         Denial::Conflict(_) => Outcome::Failed { may_have_executed: true },
         Denial::NoQuorum | Denial::NotCaughtUp | Denial::StoreFull => Outcome::Refused { retry_after_us: 0 },
     }
 }
 
-/// Tells other instances how a run ended.
+/// Tells the other instances how a run ended.
 fn report_outcome(grant: Grant, outcome: Outcome) {
     match outcome {
         Outcome::Completed => grant.executed(true),
@@ -129,7 +132,7 @@
         Outcome::Refused { .. }
         | Outcome::Failed { may_have_executed: false }
         | Outcome::Canceled { may_have_executed: false } => grant.never_executed(),
-        // Its drop says as much.
+        // A grant that is dropped without a result reports that the request may have run.
         Outcome::Failed { may_have_executed: true } | Outcome::Canceled { may_have_executed: true } => {
             drop(grant);
         }
--- a/src/edge/clients/shared_store.rs
+++ b/src/edge/clients/shared_store.rs
@@ -1,4 +1,5 @@
-//! The idempotency store as tasks share it: behind a lock, with those that wait for news of an entry.
+//! The idempotency store as tasks share it: behind a mutex, together with the wakers of tasks that wait for
+//! changes of an entry.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -15,32 +16,32 @@
 use crate::edge::clock::Clock;
 use crate::interface::Micros;
 
-/// Given to a reader at once, at most (bytes).
-const MAX_PIECE_BYTES: usize = 16 << 10;
+/// Maximum size of one chunk that a reader gets (bytes).
+const MAX_CHUNK_BYTES: usize = 16 << 10;
 
-/// What a reader finds; data is copied out of the store.
-pub(crate) enum Found {
-    /// More of the answer.
+/// The result of reading an answer; unlike [`ReadResult`], the data is copied out of the store.
+pub(crate) enum AnswerRead {
+    /// More bytes of the answer.
     Data(Bytes),
-    /// The run ended so.
+    /// The run ended with this outcome; there are no more bytes.
     Ended(Outcome),
-    /// The answer went on without this reader.
+    /// The reader was too slow: bytes that it has not read have been discarded.
     Overrun,
-    /// The request is to be submitted again.
+    /// The run is not known any more: the request is to be submitted again.
     Gone,
 }
 
 struct State {
     store: IdempotencyStore,
-    /// Tasks that wait for news of an entry, by its place.
+    /// Wakers of the tasks that wait for changes of an entry, by [`EntryId::index`].
     waiters: HashMap<u32, Vec<Waker>>,
-    /// Tells the tasks that record a run that it is canceled.
+    /// Channels that tell the tasks recording a run that it is canceled.
     cancel_senders: HashMap<EntryId, oneshot::Sender<()>>,
-    /// The last random number drawn.
+    /// The state of the random number generator, which is also the last number drawn.
     random: u64,
 }
 
-/// The store, its clock and those that wait.
+/// The store, its clock and the tasks that wait for it.
 pub(crate) struct SharedStore {
     clock: Clock,
     state: Mutex<State>,
@@ -65,25 +66,25 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Reports to the store, and carries out what follows.
-    pub(crate) fn update<T>(&self, report: impl FnOnce(&mut IdempotencyStore, Micros) -> T) -> T {
+    /// Runs an operation on the store at the current time, then applies the effects that it caused.
+    pub(crate) fn update<T>(&self, operation: impl FnOnce(&mut IdempotencyStore, Micros) -> T) -> T {
         let mut state = self.lock();
-        let result = report(&mut state.store, self.clock.now());
-        carry_out_effects(state);
+        let result = operation(&mut state.store, self.clock.now());
+        apply_effects(state);
         result
     }
 
-    /// What is to be done with a request.
+    /// Decides what to do with a request.
     pub(crate) fn admit(&self, request: &IncomingRequest) -> Admission {
         let mut state = self.lock();
         state.random = mix(state.random);
         let random = state.random;
         let admission = state.store.admit(self.clock.now(), request, random);
-        carry_out_effects(state);
+        apply_effects(state);
         admission
     }
 
-    /// A run begins; the receiver tells when it is canceled.
+    /// Records that a run begins. The receiver gets a message when the run is to be canceled.
     pub(crate) fn begin_run(&self, id: EntryId, request_id: u64) -> oneshot::Receiver<()> {
         let (cancel, canceled) = oneshot::channel();
         let mut state = self.lock();
@@ -93,14 +94,14 @@
         canceled
     }
 
-    /// A run that its task has ended.
+    /// Records the outcome of a run whose task is ending.
     pub(crate) fn finish_run(&self, id: EntryId, outcome: Outcome) {
         self.lock().cancel_senders.remove(&id);
         self.update(|store, now| store.finish(now, id, outcome));
     }
 
-    /// Records more of an answer; `data` moves on behind what was taken in. Pending until readers have made room for the
-    /// rest.
+    /// Records more of an answer and advances `data` past the recorded bytes. Pending until readers have
+    /// freed space for the rest.
     pub(crate) fn poll_record(&self, context: &Context<'_>, id: EntryId, data: &mut &[u8]) -> Poll<()> {
         let mut state = self.lock();
         let taken = state.store.record(self.clock.now(), id, data);
@@ -108,7 +109,7 @@
         if !data.is_empty() {
             state.waiters.entry(id.index()).or_default().push(context.waker().clone());
         }
-        carry_out_effects(state);
+        apply_effects(state);
         if data.is_empty() {
             Poll::Ready(())
         } else {
@@ -116,14 +117,14 @@
         }
     }
 
-    /// What is at a place of an answer.
-    pub(crate) fn poll_read(&self, context: &Context<'_>, id: EntryId, from: u64) -> Poll<Found> {
+    /// Reads the answer from a byte offset. Pending while no bytes are there and the run has not ended.
+    pub(crate) fn poll_read(&self, context: &Context<'_>, id: EntryId, position: u64) -> Poll<AnswerRead> {
         let mut state = self.lock();
-        let found = match state.store.read(id, from, MAX_PIECE_BYTES) {
-            ReadResult::Data(piece) => Poll::Ready(Found::Data(Bytes::copy_from_slice(piece))),
-            ReadResult::Ended(outcome) => Poll::Ready(Found::Ended(outcome)),
-            ReadResult::Overrun => Poll::Ready(Found::Overrun),
-            ReadResult::Gone => Poll::Ready(Found::Gone),
+        let read_result = match state.store.read(id, position, MAX_CHUNK_BYTES) {
+            ReadResult::Data(chunk) => Poll::Ready(AnswerRead::Data(Bytes::copy_from_slice(chunk))),
+            ReadResult::Ended(outcome) => Poll::Ready(AnswerRead::Ended(outcome)),
+            ReadResult::Overrun => Poll::Ready(AnswerRead::Overrun),
+            ReadResult::Gone => Poll::Ready(AnswerRead::Gone),
             ReadResult::Pending => {
                 let waiters = state.waiters.entry(id.index()).or_default();
                 if !waiters.iter().any(|waker| waker.will_wake(context.waker())) {
@@ -132,30 +133,30 @@
                 Poll::Pending
             }
         };
-        carry_out_effects(state);
-        found
+        apply_effects(state);
+        read_result
     }
 
-    /// What the store holds and has done.
+    /// Statistics of the store.
     pub(crate) fn stats(&self) -> Stats {
         self.lock().store.stats()
     }
 }
 
-/// Carries out what the store asks for; nobody is woken while it is locked.
-fn carry_out_effects(mut state: MutexGuard<'_, State>) {
+/// Applies the effects that the store asks for. Tasks are woken only after the lock has been released.
+fn apply_effects(mut state: MutexGuard<'_, State>) {
     let effects: Vec<Effect> = state.store.effects().collect();
-    let mut woken = Vec::new();
+    let mut wakers = Vec::new();
     for effect in effects {
         match effect {
-            Effect::Wake(id) => woken.extend(state.waiters.remove(&id.index()).unwrap_or_default()),
+            Effect::Wake(id) => wakers.extend(state.waiters.remove(&id.index()).unwrap_or_default()),
             Effect::Cancel(id) => {
                 if let Some(cancel) = state.cancel_senders.remove(&id) {
-                    let _ = cancel.send(()); // a run that has just ended needs it no more
+                    let _ = cancel.send(()); // fails if the run has just ended, which is harmless
                 }
             }
         }
     }
     drop(state);
-    woken.into_iter().for_each(Waker::wake);
+    wakers.into_iter().for_each(Waker::wake);
 }
