--- a/src/edge/balancers.rs
+++ b/src/edge/balancers.rs
@@ -1,5 +1,5 @@
-//! Balancers in front of the dispatcher: health checks by HTTP, and the line that HAProxy's agent check
-//! reads from a plain TCP connection.
+//! Health checks for load balancers in front of the dispatcher: HTTP endpoints, and the one-line reply that
+//! HAProxy's agent check reads from a plain TCP connection.
 
 use std::time::Duration;
 
@@ -18,24 +18,24 @@
 use crate::edge::stats::Figures;
 use crate::edge::tcp::Uninterrupted;
 
-/// A balancer that does not read its line by then is not waited for.
+/// Time a balancer has to read its agent check line; also the pause after an accept that failed.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why this process can't serve; the words are part of `READY`'s answer.
+/// Why this process can't serve. The error texts are part of the admin command `READY`'s reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NotReady {
-    /// Another process still holds the limits.
+    /// Another process still holds the limits; this one does not listen yet.
     #[error("not listening yet")]
     Joining,
-    /// The list has no servers that together can serve a request.
+    /// The server list has no servers that together can serve both stages of a request.
     #[error("no servers are known that can serve")]
     NoServers,
-    /// It has been told to end.
+    /// This process is shutting down.
     #[error("told to end")]
     Leaving,
 }
 
-/// What the dispatcher's health is told from.
+/// The state that health checks are answered from.
 #[derive(Clone, Debug)]
 pub struct Health {
     figures: Figures,
@@ -44,26 +44,27 @@
 }
 
 impl Health {
-    /// Told from these; `max_open_requests` requests are a full load.
+    /// Answers health checks from these statistics and this phase; `max_open_requests` open requests are a
+    /// full load.
     #[must_use]
     pub fn new(figures: Figures, phase: watch::Receiver<Phase>, max_open_requests: usize) -> Self {
         Self { figures, phase, max_open_requests }
     }
 
-    fn is_leaving(&self) -> bool {
+    fn is_shutting_down(&self) -> bool {
         *self.phase.borrow() > Phase::Serving
     }
 
-    /// The figures.
+    /// The request statistics, as the admin interface shows them.
     #[must_use]
     pub fn figures(&self) -> &Figures {
         &self.figures
     }
 
-    /// Whether this process itself can serve.
+    /// Whether this process itself can serve requests now.
     ///
     /// # Errors
-    /// Why it can't.
+    /// The reason why it can't.
     pub fn ready(&self) -> Result<(), NotReady> {
         match *self.phase.borrow() {
             Phase::Joining => Err(NotReady::Joining),
@@ -73,11 +74,12 @@
         }
     }
 
-    /// The agent check's line: `drain` once told to end, `down` without servers, else `up` with the share
-    /// of requests that there still is room for, 1% at the least.
+    /// The line that answers an agent check: `drain` during shutdown, `down` while not
+    /// [`ready`](Self::ready), else `ready up` with the percentage of `max_open_requests` that is free, at
+    /// least 1%.
     #[must_use]
     pub fn line(&self) -> String {
-        if self.is_leaving() {
+        if self.is_shutting_down() {
             return "drain\n".to_owned();
         }
         if self.ready().is_err() {
@@ -89,7 +91,8 @@
     }
 }
 
-/// `GET /health/ready` (whether clients may come) and `GET /health/live` (whether the program runs).
+/// The routes `GET /health/ready` (503 while [`Health::ready`] fails) and `GET /health/live` (200 as long as
+/// the process runs).
 pub fn routes(health: Health) -> Router {
     Router::new()
         .route("/health/ready", get(ready))
@@ -104,7 +107,7 @@
     }
 }
 
-/// Answers agent checks, one after the other: each is one short line.
+/// Serves agent checks one after the other; each reply is one short line.
 pub async fn agent_check(listener: TcpListener, health: Health) {
     loop {
         match accept(&listener).await {
@@ -123,6 +126,6 @@
         stream.write_all(line.as_bytes()).await?;
         stream.shutdown().await
     };
-    // A balancer that has left has no use for the line.
+    // A balancer that has closed its connection needs no reply.
     let _ = timeout_at(Instant::now() + WRITE_TIMEOUT, write).await;
 }
--- a/src/edge/clients/platform.rs
+++ b/src/edge/clients/platform.rs
@@ -1,4 +1,5 @@
-//! The platform's front: a thin one. Headers tell all that the decisions need.
+//! The front for the platform's API. Request headers carry all that routing decisions need; the body is only
+//! checked to be valid JSON and passed on.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,16 +21,18 @@
 use crate::edge::stats::{End, Figures};
 use crate::interface::{Class, Key, Micros, RequestId, RequestInfo};
 
+/// Maximum length of a request id in `X-Txn`.
 const MAX_ID_BYTES: usize = 64;
-/// The longest that a client may say that it waits (seconds).
+/// Maximum time that a client may say that it waits, in `X-Remaining` (seconds).
 const MAX_REMAINING_S: f64 = 3_600.0;
-/// The longest prompt, shared beginning or answer that a label may tell of.
+/// Maximum length of a prompt, a shared prefix or an answer in `X-Labels` (tokens).
 const MAX_TOKENS: u64 = 1 << 20;
+/// For the estimate of a prompt's length from the length of the body.
 const CHARACTERS_PER_TOKEN: usize = 4;
-/// Headers that may not be there twice.
+/// Headers that a request may carry only once.
 const SINGLE_HEADERS: [&str; 4] = ["x-txn", "x-lane", "x-remaining", "x-labels"];
 
-/// What the handlers share.
+/// State that the handlers share.
 #[derive(Clone)]
 struct Front {
     clock: Clock,
@@ -37,7 +40,7 @@
     figures: Figures,
 }
 
-/// The front's routes.
+/// The routes of this front.
 pub fn front(clock: Clock, driver: DriverHandle, figures: Figures) -> Router {
     let state = Front { clock, driver, figures };
     Router::new().route("/v1/chat/completions", post(complete)).with_state(state)
@@ -58,7 +61,8 @@
         Ok(body) => body,
         Err(error) => return plain_response(error.status(), error.message()),
     };
-    // Guards the servers: they turn away what they can't use, which looks as if they were full.
+    // Servers turn away a body that they can't parse, which looks as if they were at capacity, so a malformed
+    // body is refused here.
     if serde_json::from_slice::<IgnoredAny>(&body).is_err() {
         count_failure();
         return plain_response(StatusCode::BAD_REQUEST, "the body is no JSON");
@@ -74,7 +78,8 @@
     response(reply)
 }
 
-/// A request's time counts from its last byte, which may have come while nobody accepted its connection.
+/// The time that the client waits counts from the last byte of its request, which may have been received
+/// while the connection was still queued to be accepted.
 fn accept_delay_us(extensions: &Extensions) -> Micros {
     extensions.get::<AcceptDelay>().map_or(0, |delay| micros(delay.0))
 }
@@ -99,45 +104,45 @@
     }
 }
 
-/// Headers that can't be used.
+/// Why the headers of a request can't be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum HeaderError {
     Repeated,
-    NoTxn,
-    BadTxn,
-    NoLane,
+    MissingTxn,
+    InvalidTxn,
+    MissingLane,
     UnknownLane,
-    BadRemaining,
-    BadLength,
+    InvalidRemaining,
+    InvalidLength,
 }
 
 impl HeaderError {
-    /// What clients read.
+    /// The message in the response to the client.
     fn message(self) -> &'static str {
         match self {
             Self::Repeated => "a header is there twice",
-            Self::NoTxn => "X-Txn is missing",
-            Self::BadTxn => "X-Txn is no id",
-            Self::NoLane => "X-Lane is missing",
+            Self::MissingTxn => "X-Txn is missing",
+            Self::InvalidTxn => "X-Txn is no id",
+            Self::MissingLane => "X-Lane is missing",
             Self::UnknownLane => "X-Lane is not known",
-            Self::BadRemaining => "X-Remaining is no time",
-            Self::BadLength => "X-Labels holds a length that is none",
+            Self::InvalidRemaining => "X-Remaining is no time",
+            Self::InvalidLength => "X-Labels holds a length that is none",
         }
     }
 }
 
-/// What a request's headers tell.
+/// The parsed headers of a request.
 #[derive(Debug)]
 struct RequestHeaders {
     txn: String,
     class_number: u32,
     session: Option<Key>,
-    /// How long the client waits (us).
+    /// How long the client waits for the answer (us).
     remaining_us: Micros,
     labels: Labels,
 }
 
-/// What `X-Labels` tells: lengths in tokens, and the beginning that the prompt shares with others.
+/// The parsed `X-Labels` header: lengths in tokens, and the prefix that the prompt shares with others.
 #[derive(Debug, Default)]
 struct Labels {
     shared: Option<Key>,
@@ -147,16 +152,16 @@
 }
 
 impl RequestHeaders {
-    /// Reads the headers; `class` finds a class by the name of its lane.
+    /// Parses the headers; `class` looks up a class by the name in `X-Lane`.
     fn read(headers: &HeaderMap, class: impl Fn(&str) -> Option<(u32, Class)>) -> Result<Self, HeaderError> {
         if SINGLE_HEADERS.iter().any(|&name| headers.get_all(name).iter().nth(1).is_some()) {
             return Err(HeaderError::Repeated);
         }
-        let txn = header(headers, "x-txn").ok_or(HeaderError::NoTxn)?;
-        if !is_id(txn) {
-            return Err(HeaderError::BadTxn);
+        let txn = header(headers, "x-txn").ok_or(HeaderError::MissingTxn)?;
+        if !is_valid_id(txn) {
+            return Err(HeaderError::InvalidTxn);
         }
-        let lane = header(headers, "x-lane").ok_or(HeaderError::NoLane)?;
+        let lane = header(headers, "x-lane").ok_or(HeaderError::MissingLane)?;
         let (class_number, class) = class(lane).ok_or(HeaderError::UnknownLane)?;
         let remaining_us = match header(headers, "x-remaining") {
             None => class.default_timeout,
@@ -167,7 +172,8 @@
         Ok(Self { txn: txn.to_owned(), class_number, session, remaining_us, labels })
     }
 
-    /// What the router is told.
+    /// Builds the router's description of the request. Without a prompt length in `X-Labels`, the length is
+    /// estimated from the body's.
     fn request_info(&self, body_bytes: usize, now: Micros, accept_delay_us: Micros) -> RequestInfo {
         let labels = &self.labels;
         RequestInfo {
@@ -185,7 +191,7 @@
 }
 
 impl Labels {
-    /// Parses `name=value` pairs; names that are not known are passed over.
+    /// Parses comma-separated `name=value` pairs; unknown names are ignored.
     fn parse(text: &str) -> Result<Self, HeaderError> {
         let mut labels = Self::default();
         for (name, value) in text.split(',').filter_map(|label| label.trim().split_once('=')) {
@@ -201,28 +207,29 @@
     }
 }
 
-fn is_id(text: &str) -> bool {
+fn is_valid_id(text: &str) -> bool {
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
     !text.is_empty() && text.len() <= MAX_ID_BYTES && text.bytes().all(is_allowed)
 }
 
 fn parse_remaining(text: &str) -> Result<Micros, HeaderError> {
-    let seconds = text.parse::<f64>().map_err(|_| HeaderError::BadRemaining)?;
+    let seconds = text.parse::<f64>().map_err(|_| HeaderError::InvalidRemaining)?;
     if !(0.0..=MAX_REMAINING_S).contains(&seconds) {
-        return Err(HeaderError::BadRemaining);
+        return Err(HeaderError::InvalidRemaining);
     }
     Ok(micros(Duration::from_secs_f64(seconds)))
 }
 
 fn parse_tokens(text: &str) -> Result<u64, HeaderError> {
-    let tokens = text.parse().map_err(|_| HeaderError::BadLength)?;
+    let tokens = text.parse().map_err(|_| HeaderError::InvalidLength)?;
     if tokens > MAX_TOKENS {
-        return Err(HeaderError::BadLength);
+        return Err(HeaderError::InvalidLength);
     }
     Ok(tokens)
 }
 
-/// The number of an id's text: its 16 hex digits, or a hash of any other text.
+/// Derives the request's number from the text of its id: the value of 16 hex digits, or a hash of any other
+/// text.
 fn request_id(text: &str) -> RequestId {
     let hex = Some(text).filter(|text| text.len() == 16);
     let number = hex.and_then(|text| u64::from_str_radix(text, 16).ok());
