--- a/crates/router/src/interface.rs
+++ b/crates/router/src/interface.rs
@@ -1,7 +1,8 @@
-//! The types that pass between a dispatcher and its [`Router`](crate::Router): settings handed over at start,
-//! events that tell what happened, and actions that say what to do. Nothing here decides anything.
+//! The types exchanged between a dispatcher and its [`Router`](crate::Router): the settings passed at start,
+//! input events, and the actions that the router returns. This module contains no decision logic.
 //!
-//! All times are whole microseconds. [`Micros`] serves for points on the dispatcher's clock and for lengths.
+//! All times are whole microseconds. [`Micros`] is used both for timestamps on the dispatcher's clock and for
+//! durations.
 
 mod ids;
 mod messages;
--- a/crates/router/src/interface/ids.rs
+++ b/crates/router/src/interface/ids.rs
@@ -1,44 +1,45 @@
-//! Numbers by which requests, servers and their places are known, and times.
+//! Identifiers of requests, servers, zones, cells, keys and timers, and the time type.
 
-/// A point on the dispatcher's clock, or a length of time, in microseconds.
+/// A timestamp on the dispatcher's clock, or a duration, in microseconds.
 pub type Micros = u64;
 
-/// A request, as named by the client layer; never used twice.
+/// Identifies a request. The client layer assigns ids and never reuses one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// As log lines name it: sixteen hexadecimal digits, as clients write ids.
+/// Formats the id as sixteen hexadecimal digits, the form used in log lines and by clients.
 impl std::fmt::Display for RequestId {
     fn fmt(&self, to: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(to, "{:016x}", self.0)
     }
 }
 
-/// A server. Says nothing of zone, kind or age.
+/// Identifies a server. The number itself carries no zone, kind or start time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub u32);
 
-/// As log lines name it: eight hexadecimal digits, as the list writes ids.
+/// Formats the id as eight hexadecimal digits, the form used in log lines and in the list of servers.
 impl std::fmt::Display for ServerId {
     fn fmt(&self, to: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(to, "{:08x}", self.0)
     }
 }
 
-/// A failure domain.
+/// Identifies a zone: a failure domain that contains cells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub u32);
 
-/// A rack of servers between which state moves cheaply.
+/// Identifies a cell: a rack of servers between which state is cheap to transfer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CellId(pub u32);
 
-/// A session or a shared prefix, as a stable hash of its text: all dispatchers get the same number.
+/// Identifies a session or a shared prefix by a stable hash of its text, so that all dispatchers compute the
+/// same key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key(pub u64);
 
 impl Key {
-    /// Hashes a key's text (64-bit FNV-1a).
+    /// Hashes the text of a session or prefix key with 64-bit FNV-1a.
     #[must_use]
     pub fn from_text(text: &str) -> Self {
         Self(text.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
@@ -47,6 +48,6 @@
     }
 }
 
-/// A timer's token, picked by the router and handed back when the timer is due.
+/// Identifies a timer. The router chooses the token, and the dispatcher returns it when the timer expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerToken(pub u64);
--- a/crates/router/src/interface/messages.rs
+++ b/crates/router/src/interface/messages.rs
@@ -1,4 +1,4 @@
-//! Events, which tell the router what has happened, and actions, which say what is to be done.
+//! Events, which are the router's input, and actions, which are its output.
 
 use std::collections::BTreeMap;
 
@@ -8,92 +8,93 @@
 };
 use crate::handover::Handover;
 
-/// What has happened.
+/// Something that happened, reported to the router by the dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News of the list of servers.
+    /// The list of servers was updated, or a call for it failed.
     EndpointsUpdated {
-        /// How to read the entries.
+        /// Whether the entries are a patch or a whole list, or the call failed.
         how: ListUpdateKind,
-        /// The entries.
+        /// The listed servers; empty after a failed call.
         entries: Vec<ServerEntry>,
     },
-    /// A client asks.
+    /// A client sent a request.
     RequestArrived(RequestInfo),
-    /// The answer has begun to stream.
+    /// The first token of an answer arrived.
     FirstToken {
-        /// The request.
+        /// The request that is being answered.
         id: RequestId,
-        /// Which attempt.
+        /// The number of the attempt that streams, counted from 0 for each request.
         attempt: u32,
-        /// Time since it was sent (us).
+        /// Time from sending the attempt to its first token (us).
         taken: Micros,
     },
-    /// An attempt has ended.
+    /// An attempt ended, with any outcome.
     AttemptFinished(AttemptFinished),
-    /// The client has left.
+    /// The client disconnected before its request was completed.
     ClientDisconnected(RequestId),
-    /// A timer is due.
+    /// A timer that was started with [`Action::StartTimer`] expired.
     TimerFired(TimerToken),
-    /// A message of another dispatcher.
+    /// A gossip message from another dispatcher, as raw bytes; invalid ones are dropped.
     GossipReceived(Vec<u8>),
-    /// The settings have changed.
+    /// The settings were reloaded while running.
     SettingsReloaded {
-        /// What holds from now on.
+        /// The settings that apply from now on.
         settings: Box<Settings>,
-        /// For classes with a new number, the one that they had before.
+        /// Maps the new number of each renumbered class to its previous number.
         class_renumbering: BTreeMap<u32, u32>,
     },
-    /// What the process has learnt whose place this one takes.
+    /// State exported by the process that this one replaces.
     StateImported(Box<Handover>),
-    /// The part of this dispatcher that this process is from now on, while another process takes over from
-    /// it: of what both may send, it may send so much (0 to 1).
+    /// This process's share, from 0 to 1, of the limits on what this dispatcher may send. Below 1 while two
+    /// processes of the dispatcher run side by side during a hot restart.
     LimitShareChanged(f64),
-    /// Every open request has to be answered by then (us), whatever its client would wait.
+    /// Every open request must be answered by this time (us), even if its own deadline is later.
     DeadlinesCapped(Micros),
-    /// An event that changes nothing here, such as a probe's end; timers and gossip go on.
+    /// An event without effect on routing, such as the end of a probe. It still advances the router's clock
+    /// and publishes pending gossip.
     Ignored,
 }
 
-/// What the dispatcher is to do.
+/// Something that the dispatcher must do, as decided by the router.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send the request to a server.
+    /// Send the request to a server as a new attempt.
     Assign {
-        /// The request.
+        /// The request to send.
         id: RequestId,
-        /// The server.
+        /// The server that receives it.
         server: ServerId,
-        /// How long the attempt may take (us).
+        /// Attempt timeout, counted from the send (us).
         attempt_timeout: Micros,
     },
-    /// Reject the request: trying again does no harm.
+    /// Reject the request. The client may safely retry it.
     Reject {
-        /// The request.
+        /// The request to reject.
         id: RequestId,
-        /// After which time the client may come again (us).
+        /// How long the client should wait before it retries (us).
         retry_in: Micros,
     },
-    /// Tell the client that the request failed.
+    /// Fail the request: it must not be retried, or its deadline has passed.
     Fail(RequestId),
-    /// Cancel an attempt.
+    /// Cancel an attempt that is in flight.
     CancelAttempt {
-        /// The request.
+        /// The request that the attempt belongs to.
         id: RequestId,
-        /// The attempt.
+        /// The attempt's number, counted from 0 for each request.
         attempt: u32,
     },
-    /// Release every state held for the request.
+    /// Release all state that servers hold for the request.
     ReleaseHeldState(RequestId),
-    /// Ask for a timer.
+    /// Start a one-shot timer.
     StartTimer {
-        /// How long from now (us).
+        /// Time from now until it expires (us).
         delay: Micros,
-        /// Handed back when due.
+        /// The token to return in [`Event::TimerFired`].
         token: TimerToken,
     },
-    /// Ask for changes of the list.
+    /// Subscribe to updates of the list of servers.
     Subscribe,
-    /// Send a message to all other dispatchers; it may be lost.
+    /// Send a gossip message to all other dispatchers. Delivery is best effort.
     PublishGossip(Vec<u8>),
 }
--- a/crates/router/src/interface/requests.rs
+++ b/crates/router/src/interface/requests.rs
@@ -1,81 +1,85 @@
-//! Requests and the ends of their attempts.
+//! Requests, and the outcomes of their attempts.
 
 use super::{Key, Micros, Report, RequestId, ServerId};
 
-/// A client's request.
+/// A client's request, as far as routing needs to know it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestInfo {
-    /// Its id.
+    /// Unique among all requests of this process.
     pub id: RequestId,
-    /// Its class, by number.
+    /// The number of the request's class, a key of [`Settings::classes`](super::Settings::classes).
     pub class: u32,
-    /// Its session.
+    /// The session it belongs to; `None` for a request without one.
     pub session: Option<Key>,
-    /// The prefix that its prompt shares with other sessions.
+    /// The prefix that its prompt shares with other sessions; `None` if it shares none.
     pub shared: Option<Key>,
-    /// The length of that prefix in tokens.
+    /// Length of the shared prefix in tokens.
     pub shared_tokens: u64,
-    /// The prompt's length in tokens.
+    /// Length of the whole prompt in tokens.
     pub prompt_tokens: u64,
-    /// The most tokens that the answer can have.
+    /// Maximum length of the answer in tokens.
     pub max_tokens: u64,
-    /// Rough length of the answer, as the time that it streams at the class's token interval objective (us).
+    /// Estimated length of the answer, expressed as its streaming time at the class's token interval
+    /// objective (us). `None` without an estimate.
     pub hint: Option<Micros>,
-    /// When the client gives this try up, on the dispatcher's clock (us).
+    /// The request's deadline, on the dispatcher's clock (us): the client stops waiting then.
     pub not_after: Micros,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The answer was streamed to its end.
     Served,
-    /// The prompt has been read; its state waits at the reader.
+    /// The prompt was read, and the reader holds the state for a writer.
     Read,
-    /// The server answered with an error; it might have run.
+    /// The server answered with an error; the attempt may have run.
     Error,
-    /// The server turned it away; never ran.
+    /// The server rejected the attempt because it was at capacity; it never ran.
     Full,
-    /// There was no state to fetch; never ran.
+    /// The writer found no state to fetch; the attempt never ran.
     NoState,
-    /// No answer in time; it might have run.
+    /// No answer within the attempt timeout; the attempt may have run.
     Timeout,
-    /// No connection; never ran.
+    /// No connection to the server could be made; the attempt never ran.
     ConnectFailed,
-    /// The connection broke; it might have run.
+    /// The connection broke after the attempt was sent; it may have run.
     Reset,
-    /// The server's machine acknowledged not all of it in time; it might have run, as acknowledgements get
-    /// lost too.
+    /// The server's machine did not acknowledge all of the sent bytes in time. The attempt may have run, as
+    /// acknowledgements can be lost too.
     Unacknowledged,
-    /// Cancelled by the dispatcher; it might have run.
+    /// Cancelled by the dispatcher; the attempt may have run.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent, so it never ran.
     NotSent,
-    /// Not known to this version; it might have run.
+    /// An outcome that this version does not know; the attempt may have run.
     Unknown,
 }
 
 impl Outcome {
-    /// Whether the attempt may have taken effect.
+    /// Whether the attempt may have run, in the sense of the class's effect. A finished read (`Read`) does
+    /// not count: the request's effect only comes with its answer.
     #[must_use]
     pub fn may_have_run(self) -> bool {
         !matches!(self, Self::Read | Self::Full | Self::NoState | Self::ConnectFailed | Self::NotSent)
     }
 }
 
-/// What the end of an attempt means for the state that servers hold for its request.
+/// What the end of an attempt means for the state that servers hold for its request. The hold time is
+/// limited by [`Settings::max_hold_time`](super::Settings::max_hold_time).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeldStateAfter {
-    /// The time for which it may be held goes on running: nothing shows that a server had the attempt.
+    /// The hold time continues to run: nothing shows that a server received the attempt.
     TimeGoesOn,
-    /// It may be held for its whole time once more: a server has answered.
+    /// The hold time starts again from zero, because a server answered.
     TimeBeginsAnew,
-    /// It is being released.
+    /// The state is being released.
     Released,
 }
 
 impl HeldStateAfter {
-    /// What an outcome means where all that is sent arrives, unless the outcome itself says that it did not.
+    /// What an outcome means if every message sent reaches its server, except where the outcome itself says
+    /// that it did not.
     #[must_use]
     pub fn of_arrived(outcome: Outcome) -> Self {
         match outcome {
@@ -85,25 +89,25 @@
     }
 }
 
-/// How an attempt has ended.
+/// The end of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptFinished {
-    /// The request.
+    /// The request that the attempt belonged to.
     pub id: RequestId,
-    /// Which attempt.
+    /// The attempt's number, counted from 0 for each request.
     pub attempt: u32,
-    /// The server that it went to.
+    /// The server that the attempt was assigned to.
     pub server: ServerId,
-    /// Time since it was sent (us).
+    /// Time from sending the attempt to its end (us).
     pub taken: Micros,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// What that means for the state that is held.
+    /// What happens to the state that servers hold for the request.
     pub held_state: HeldStateAfter,
-    /// Prompt tokens that the server found in its cache (with `Read` and `Served`).
+    /// Prompt tokens that the server found in its cache; meaningful with `Read` and `Served`.
     pub cached_tokens: u64,
-    /// The request is completed: no further attempt may follow.
+    /// The request is completed, so no further attempt may follow.
     pub last: bool,
-    /// The server's load report, if one came along.
+    /// The load report that the server sent with its answer, if any.
     pub report: Option<Report>,
 }
--- a/crates/router/src/interface/servers.rs
+++ b/crates/router/src/interface/servers.rs
@@ -1,73 +1,75 @@
-//! The list of servers, and their load reports.
+//! Entries of the list of servers, and the load reports that servers send.
 
 use super::{CellId, Micros, ServerId, ZoneId};
 
-/// A server's state as the list tells it.
+/// A server's state according to the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
-    /// Takes work.
+    /// Accepts new work.
     Ready,
-    /// Completes its work; nothing new may be sent.
+    /// Draining: it completes the work that it has and must not be sent anything new.
     Terminating,
-    /// Taken away.
+    /// Removed from the list.
     Gone,
 }
 
 /// An entry of the list of servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerEntry {
-    /// Which server.
+    /// The server that the entry describes.
     pub server: ServerId,
-    /// Its zone.
+    /// The zone that it runs in.
     pub zone: ZoneId,
-    /// Its cell.
+    /// The cell (rack) that it runs in.
     pub cell: CellId,
-    /// Its size against others of its role.
+    /// Its size relative to other servers of its role.
     pub weight: f64,
-    /// When it last started, on the dispatcher's clock (us); `None` means long ago.
+    /// When it last started, on the dispatcher's clock (us). `None` means too long ago for slow start.
     pub started: Option<Micros>,
-    /// Its state.
+    /// Whether it accepts work, drains or is gone.
     pub health: Health,
-    /// Its kind, by number.
+    /// The number of its kind, an index into [`Settings::kinds`](super::Settings::kinds). A server of an
+    /// unknown kind counts as mixed.
     pub kind: u32,
 }
 
-/// How a list update is to be read.
+/// What the entries of a list update stand for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdateKind {
-    /// Only changed entries.
+    /// Only the entries that changed.
     Patch,
-    /// The whole list; what is not in it has gone.
+    /// The whole list; servers that it does not contain are gone.
     Full,
-    /// The whole list as this dispatcher last had it.
+    /// The whole list as this dispatcher last received it, used when no newer one is available.
     StaleCopy,
-    /// A call failed; the old list stands.
+    /// A call for the list failed; the previous list stays in use.
     Failed,
 }
 
-/// The number of fields that a load report may have (`x0` to `x3`).
+/// Number of fields in a load report, named `x0` to `x3` on the wire.
 pub const REPORT_FIELDS: usize = 4;
 
-/// A server's load report, as sent: the value of `xN` at `values[N]`. What each field means differs from
-/// site to site; the settings say it (`domain.report_xN`), and the router reads it there.
+/// A server's load report: `values[N]` is the value of field `xN`. What a field means depends on the site and
+/// is set by `domain.report_xN`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Values by field number; `None` where a field is absent, `-` or no number.
+    /// Values by field number; `None` if a field is absent, `-` or not a number.
     pub values: [Option<f64>; REPORT_FIELDS],
 }
 
 impl Report {
-    /// Sets a field by its name on the wire, `x0` to `x3`; other names are not load figures and are left.
+    /// Sets a field by its name on the wire, `x0` to `x3`. Other names are ignored.
     pub fn set(&mut self, name: &str, value: Option<f64>) {
-        if let Some(at) = report_field(name) {
-            self.values[at] = value;
+        if let Some(index) = report_field(name) {
+            self.values[index] = value;
         }
     }
 }
 
-/// The number of a report field named `xN`, where N is under [`REPORT_FIELDS`].
+/// The index of the report field with a name `xN`; `None` for any other name, or if N is not below
+/// [`REPORT_FIELDS`].
 #[must_use]
 pub fn report_field(name: &str) -> Option<usize> {
-    let at: usize = name.strip_prefix('x')?.parse().ok()?;
-    (at < REPORT_FIELDS).then_some(at)
+    let index: usize = name.strip_prefix('x')?.parse().ok()?;
+    (index < REPORT_FIELDS).then_some(index)
 }
--- a/crates/router/src/interface/settings.rs
+++ b/crates/router/src/interface/settings.rs
@@ -1,124 +1,129 @@
-//! What a dispatcher is told: classes of requests, kinds of servers, and limits.
+//! A dispatcher's settings: classes of requests, kinds of servers, and limits.
 
 use std::collections::BTreeMap;
 
 use super::{Micros, ZoneId};
 
-/// The latency objective that counts while there are no classes (us).
+/// The shortest latency objective if no class is configured (us).
 const OBJECTIVE_WITHOUT_CLASSES_US: Micros = 1_000_000;
 
-/// What a server can do.
+/// Which stages of a request a server can perform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
-    /// Reads prompts and keeps the state until a writer fetches it.
+    /// Reads prompts and holds the state until a writer fetches it.
     Reader,
-    /// Fetches a state and streams the answer.
+    /// Fetches the state from a reader and streams the answer.
     Writer,
-    /// Does either, or both for one request.
+    /// Can read or write, or do both for one request.
     Mixed,
 }
 
-/// Whether repeating a request of a class does harm.
+/// Whether a request of a class may be run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// May be repeated freely.
+    /// May run any number of times, at any server.
     Idempotent,
-    /// Repeats are dropped within a group of servers, for a time.
+    /// Servers of one group drop repeats of a request that they have run, for the length of a window.
     Deduplicated,
-    /// Must not run twice.
+    /// Must not run more than once.
     AtMostOnce,
 }
 
-/// Which servers drop each other's repeats of a deduplicated request.
+/// The group of servers within which repeats of a deduplicated request are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupGroup {
-    /// All of them.
+    /// All servers.
     All,
-    /// Those of one zone.
+    /// The servers of one zone.
     Zone,
-    /// Those of one cell.
+    /// The servers of one cell.
     Cell,
 }
 
-/// A class of requests.
+/// A class of requests, with its objectives and retry rules.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Its name.
+    /// Identifies the class across reloads; its number changes when its rules do.
     pub name: String,
-    /// How long a client waits for the first token where it does not say so (us).
+    /// How long a client waits for the first token if its request does not say (us).
     pub default_timeout: Micros,
-    /// Most attempts for a request.
+    /// Maximum number of attempts for one request.
     pub max_attempts: u32,
-    /// No new request has it: it is kept for those that are open.
+    /// The class is no longer configured and is kept only for requests that are still open.
     pub retired: bool,
-    /// Latency objective: the first token is wanted within this time (us).
+    /// Target for the time to the first token (us).
     pub latency_objective: Micros,
     /// Added to the latency objective for each 1,000 prompt tokens (us).
     pub latency_objective_per_1000_tokens: Micros,
-    /// Wanted time between tokens (us); 0 where it is not told.
+    /// Target for the time between two tokens (us); 0 if not set.
     pub token_interval_objective: Micros,
-    /// Whether repeating does harm.
+    /// Whether a request may be run more than once.
     pub effect: Effect,
-    /// Which servers drop repeats.
+    /// The group of servers that drop repeats; used if `effect` is [`Effect::Deduplicated`].
     pub dedup_group: DedupGroup,
-    /// How long they remember, from the send of the first attempt that may have run (us).
+    /// How long servers remember a request for deduplication, counted from the send of its first attempt that
+    /// may have run (us).
     pub dedup_window: Micros,
-    /// Weight of a request, or of a unit of its work, against those of other classes.
+    /// Weight of a request, or of a unit of its work, relative to other classes.
     pub priority_weight: f64,
 }
 
-/// A kind of server.
+/// A kind of server: its role and its memory.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Kind {
-    /// What it can do.
+    /// The stages that servers of this kind can perform.
     pub role: Role,
-    /// Its memory in tokens; 0 if not told.
+    /// Memory of one server in tokens; 0 if not set.
     pub memory_tokens: u64,
 }
 
-/// What a dispatcher is told at its start, and again when its settings are reloaded.
+/// A dispatcher's settings, given at its start and again with each reload.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Number of dispatchers.
+    /// Number of dispatchers that share the servers, this one included.
     pub dispatcher_count: u32,
-    /// This dispatcher's own zone.
+    /// The zone that this dispatcher runs in.
     pub zone: ZoneId,
-    /// The classes of requests, by number.
+    /// Classes of requests, by number, retired ones included.
     pub classes: BTreeMap<u32, Class>,
-    /// The kinds of servers, by number.
+    /// Kinds of servers, indexed by kind number.
     pub kinds: Vec<Kind>,
-    /// The list of servers must be asked for.
+    /// The dispatcher must subscribe to the list of servers, rather than receive it automatically.
     pub must_subscribe: bool,
-    /// A dispatcher must ask for the list at least this often (us); 0 where that is not told.
+    /// Maximum time between two calls for the list of servers (us); 0 if not set.
     pub max_list_age: Micros,
-    /// Cancelling an attempt is allowed.
+    /// Attempts in flight may be cancelled.
     pub may_cancel: bool,
-    /// Messages to other dispatchers are allowed.
+    /// Gossip to other dispatchers is allowed.
     pub peers: bool,
-    /// Price of 256 bytes delivered for each first try, in shares of the whole result.
+    /// Price of 256 bytes of gossip delivered per first attempt, as a share of the total result.
     pub gossip_price: f64,
-    /// A writer reads a prompt itself when there is no state to fetch.
+    /// Writers can read a prompt themselves if there is no state to fetch.
     pub writers_can_read: bool,
-    /// The longest `retry_in` that a client follows (us).
+    /// Longest `retry_in` that clients honour (us).
     pub max_retry_after: Micros,
-    /// A held state must be fetched or released within this (us).
+    /// Maximum time for which a reader may hold a state before it is fetched or released (us).
     pub max_hold_time: Micros,
-    /// Shortest time between two batches of events (us).
+    /// Minimum time between two batches of events (us).
     pub resolution: Micros,
-    /// A server that has just started has at least this share of its capacity, which rises evenly...
+    /// Minimum share of its full capacity that a server has when it starts. The share rises linearly to 1
+    /// over `slow_start_window`.
     pub slow_start_min_share: f64,
-    /// ...to the whole within this (us). Until then it is in slow start.
+    /// Length of slow start, counted from a server's start (us).
     pub slow_start_window: Micros,
-    /// The report field that holds the share of a server's memory held, where the settings name one.
+    /// Index of the load report field that contains the share of a server's memory that is held; `None` if no
+    /// field has that meaning.
     pub memory_field: Option<usize>,
-    /// Sent more than this many times its present capacity...
+    /// A server in slow start fails if it is sent more than this multiple of its current capacity for
+    /// `overload_window`.
     pub overload_multiple: f64,
-    /// ...for this long (us), a server in slow start falls over.
+    /// The time over which a server's load is compared with `overload_multiple` (us).
     pub overload_window: Micros,
 }
 
 impl Class {
-    /// The latency objective of a prompt of so many tokens (us): reading a long one takes longer.
+    /// The latency objective for a prompt of `prompt_tokens` tokens (us). It grows with the prompt, as a
+    /// longer one takes longer to read.
     #[must_use]
     pub fn latency_objective_for(&self, prompt_tokens: u64) -> f64 {
         self.latency_objective as f64
@@ -127,12 +132,12 @@
 }
 
 impl Settings {
-    /// The classes that new requests may have.
+    /// The classes that new requests may have, i.e. all that are not retired.
     pub fn current(&self) -> impl Iterator<Item = &Class> {
         self.classes.values().filter(|class| !class.retired)
     }
 
-    /// The shortest latency objective of any class that new requests may have (us).
+    /// The shortest latency objective of all classes that are not retired (us); 1 s if there is none.
     #[must_use]
     pub fn shortest_latency_objective(&self) -> f64 {
         let shortest = self.current().map(|class| class.latency_objective).min();
