--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -1,8 +1,9 @@
-//! The servers that a dispatcher knows, with an index of what requests ask of all of them
-//! (`docs/design/server-index.md`). A record without any rule.
+//! The servers known to a dispatcher, with an index of the aggregates that routing a request needs
+//! (`docs/design/server-index.md`). It stores data and makes no decisions.
 //!
-//! Invariant: every change of a server goes through [`Fleet::change`] or one of the few methods beside it,
-//! which keep the index and the prefix holders in step. [`Fleet::index_disagreement`] recounts everything.
+//! Invariant: servers are only changed through [`Fleet::change`] and the other `&mut self` methods here,
+//! which keep the index and the prefix holders consistent. [`Fleet::index_disagreement`] checks this against
+//! a recount of all servers.
 
 mod consistency;
 mod index;
@@ -18,48 +19,49 @@
 use index::{CellIndex, FleetIndex, IndexedServer};
 pub(crate) use index::{FleetTimes, ReadyServer, SlowStartingServer};
 
-/// What a cell has of all servers that take work.
+/// A cell's shares of all ready servers.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CellShare {
-    /// Its zone: that of its server with the highest number.
+    /// The cell's zone, taken from its ready server with the highest id.
     pub(crate) zone: ZoneId,
-    /// Its part of the readers.
+    /// Its share of all ready readers, from 0 to 1.
     pub(crate) readers: f64,
-    /// Its part of the writers.
+    /// Its share of all ready writers, from 0 to 1.
     pub(crate) writers: f64,
 }
 
-/// How many servers there are of a kind that the question names.
+/// How many servers have served a stage or have unanswered work of it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ServingCounts {
+    /// All of them, whatever their health.
     pub(crate) all: usize,
-    /// Those of them that take work.
+    /// Those that are ready.
     pub(crate) ready: usize,
 }
 
-/// What the warm servers of a role serve together.
+/// The combined request rate of the ready servers of a role that are not in slow start (warm servers).
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WarmServing {
     pub(crate) served_per_second: f64,
     pub(crate) servers: usize,
 }
 
-/// See the [module](self).
+/// The servers known to a dispatcher. See the [module](self).
 #[derive(Debug)]
 pub(crate) struct Fleet {
     servers: BTreeMap<ServerId, Server>,
     index: FleetIndex,
     holders: PrefixHolders,
     times: FleetTimes,
-    /// Servers have been added or removed since [`Fleet::take_membership_change`].
+    /// Servers were added or removed since the last call of [`Fleet::take_membership_change`].
     has_membership_change: bool,
-    /// The common time of what is kept as of one.
+    /// The time to which the index projects decaying values, so that it can order them.
     epoch: Micros,
     now: Micros,
 }
 
 impl Fleet {
-    /// One without servers.
+    /// A fleet without servers.
     pub(crate) fn new(times: FleetTimes, now: Micros) -> Self {
         Self {
             servers: BTreeMap::new(),
@@ -74,7 +76,7 @@
 
     // ---- Changes ----
 
-    /// Time goes on: servers leave slow start.
+    /// Advances the clock to `now`, and moves servers whose slow start has ended to the warm ones.
     pub(crate) fn advance(&mut self, now: Micros) {
         while let Some(&(until, id)) = self.index.warming.first().filter(|(until, _)| *until <= now) {
             let before = self.indexed(&self.servers[&id]);
@@ -88,7 +90,7 @@
         }
     }
 
-    /// From now on servers are in slow start for so long after their start.
+    /// Sets how long servers are in slow start after their start. Rebuilds the index if that changes.
     pub(crate) fn set_slow_start_window(&mut self, window_us: Micros) {
         if self.times.slow_start_window_us != window_us {
             self.times.slow_start_window_us = window_us;
@@ -96,7 +98,8 @@
         }
     }
 
-    /// Changes a server, if it is known.
+    /// Applies `change` to a server and updates the index. Returns what `change` returns, or `None` if the
+    /// server is not known.
     pub(crate) fn change<T>(&mut self, id: ServerId, change: impl FnOnce(&mut Server) -> T) -> Option<T> {
         let server = self.servers.get_mut(&id)?;
         let before = IndexedServer::of(server, self.times, self.epoch, self.now);
@@ -108,25 +111,25 @@
         Some(changed)
     }
 
-    /// A server starts under that number. One that is known keeps its attempts alone, of which the memory is
-    /// still to be given back.
-    pub(crate) fn start_server(&mut self, id: ServerId, fresh: Server) {
+    /// Adds a server that has started under this id. If the id is known already, the server has restarted:
+    /// only its attempts in flight are kept, as their memory is still to be subtracted when they end.
+    pub(crate) fn start_server(&mut self, id: ServerId, new_server: Server) {
         if !self.servers.contains_key(&id) {
-            let indexed = self.indexed(&fresh);
+            let indexed = self.indexed(&new_server);
             self.index.add(id, &indexed);
-            self.servers.insert(id, fresh);
+            self.servers.insert(id, new_server);
             self.has_membership_change = true;
             return;
         }
         self.remove_holder(id);
         self.change(id, |server| {
-            server.prefixes = fresh.prefixes;
-            server.slow_start_budget = fresh.slow_start_budget;
+            server.prefixes = new_server.prefixes;
+            server.slow_start_budget = new_server.slow_start_budget;
             server.statistics = ServerStatistics::default();
         });
     }
 
-    /// Marks all servers as gone that the list does not name.
+    /// Marks all servers as gone that are not in `listed`.
     pub(crate) fn mark_gone_all_but(&mut self, listed: BTreeSet<ServerId>) {
         let gone: Vec<ServerId> = self.servers.keys().filter(|id| !listed.contains(id)).copied().collect();
         for id in gone {
@@ -134,7 +137,7 @@
         }
     }
 
-    /// Forgets servers that have gone and have no attempts of this dispatcher.
+    /// Removes servers that are gone and have no attempts of this dispatcher in flight.
     pub(crate) fn remove_gone(&mut self) {
         let is_idle = |id: &ServerId| {
             let server = &self.servers[id];
@@ -150,6 +153,7 @@
         }
     }
 
+    /// Removes a server from the prefix holders of all its prefixes.
     fn remove_holder(&mut self, id: ServerId) {
         let Some(server) = self.servers.get(&id) else { return };
         for (&key, _) in &server.prefixes.sent {
@@ -157,7 +161,7 @@
         }
     }
 
-    /// A server is sent the prompt of a request.
+    /// Records that a server is sent the prompt of a request now, and drops expired prefix holders.
     pub(crate) fn record_prefixes(&mut self, id: ServerId, info: &RequestInfo) {
         let Some(server) = self.servers.get_mut(&id) else { return };
         let dropped = server.prefixes.record(info, self.now);
@@ -170,8 +174,9 @@
         self.holders.remove_older(self.now.saturating_sub(PREFIX_EXPIRY_US));
     }
 
-    /// Takes in prefixes that a server was sent before this dispatcher knew it, the oldest first; at most
-    /// `max_keys` are kept. What is known to be newer stays.
+    /// Adds prefixes that an earlier process sent to a server. `prefixes` has the oldest first; at most
+    /// `max_keys` of the server's prefixes are kept. An entry is skipped if the server has the same key with
+    /// a time as late or later, or if its time is in the future.
     pub(crate) fn import_prefixes(
         &mut self,
         id: ServerId,
@@ -193,13 +198,14 @@
         }
     }
 
-    /// Keeps a server's load report, if there is one.
+    /// Stores a server's load report, if there is one, with the time of its arrival.
     pub(crate) fn record_report(&mut self, id: ServerId, report: Option<Report>) {
         let (Some(server), Some(report)) = (self.servers.get_mut(&id), report) else { return };
         server.statistics.report = Some((report, self.now));
     }
 
-    /// Classes have new numbers: `class_renumbering` has the old number for each new one.
+    /// Applies a class renumbering to the failure records of servers. `class_renumbering` maps each new
+    /// number to the old one; `classes` are the classes from now on.
     pub(crate) fn renumber_classes(
         &mut self,
         class_renumbering: &BTreeMap<u32, u32>,
@@ -211,27 +217,28 @@
         }
     }
 
-    /// Whether servers have been added or removed since this was last asked.
+    /// Whether servers were added or removed since the last call.
     pub(crate) fn take_membership_change(&mut self) -> bool {
         std::mem::take(&mut self.has_membership_change)
     }
 
+    /// The index entry for the current state of a server.
     fn indexed(&self, server: &Server) -> IndexedServer {
         IndexedServer::of(server, self.times, self.epoch, self.now)
     }
 
-    // ---- Questions about one server, or some ----
+    // ---- Queries for single servers ----
 
     pub(crate) fn get(&self, id: ServerId) -> Option<&Server> {
         self.servers.get(&id)
     }
 
-    /// All servers, in the order of their numbers.
+    /// All servers, ordered by id.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &Server> {
         self.servers.values()
     }
 
-    /// The numbers of all servers, in their order.
+    /// The ids of all servers, in ascending order.
     pub(crate) fn ids(&self) -> impl Iterator<Item = ServerId> + '_ {
         self.servers.keys().copied()
     }
@@ -240,13 +247,14 @@
         self.servers.is_empty()
     }
 
-    /// Those of some servers that are known, each once, in the order of their numbers.
+    /// The known servers among `ids`, without duplicates, ordered by id.
     pub(crate) fn known_of(&self, ids: &[ServerId]) -> impl Iterator<Item = &Server> {
         let ids: BTreeSet<ServerId> = ids.iter().copied().collect();
         ids.into_iter().filter_map(|id| self.get(id))
     }
 
-    /// Servers whose tables may hold a prefix of a request, and one more.
+    /// The servers that may have a prefix of the request in their prefix tables, and `one_more`, ordered by
+    /// id.
     pub(crate) fn prefix_holders_and(
         &self,
         one_more: ServerId,
@@ -258,39 +266,39 @@
         self.known_of(&holders)
     }
 
-    // ---- Questions about all of a role ----
+    // ---- Queries by role ----
 
-    /// How many servers of a role there are, whatever their health, one at the least.
+    /// Number of servers of a role, whatever their health; at least 1, so that it can be divided by.
     pub(crate) fn known_count(&self, role: Role) -> f64 {
         self.index.roles[role as usize].known.max(1) as f64
     }
 
-    /// How many servers of a role take work.
+    /// Number of ready servers of a role.
     pub(crate) fn ready_count(&self, role: Role) -> usize {
         self.index.roles[role as usize].ready
     }
 
-    /// How many servers of a role take work, by zone.
+    /// Number of ready servers of a role in each zone that has any.
     pub(crate) fn ready_count_by_zone(&self, role: Role) -> &BTreeMap<ZoneId, usize> {
         &self.index.roles[role as usize].zones
     }
 
-    /// Memory that attempts of this dispatcher take at servers of a role, in tokens.
+    /// Memory taken at servers of a role by this dispatcher's attempts in flight, in tokens.
     pub(crate) fn memory_tokens_in_flight(&self, role: Role) -> u64 {
         self.index.roles[role as usize].memory_tokens_in_flight
     }
 
-    /// Servers of a role that take work, by cell.
+    /// Ready servers of a role, grouped by cell.
     pub(crate) fn ready_by_cell(&self, role: Role) -> impl Iterator<Item = (CellId, &[ReadyServer])> {
         self.index.cells.iter().map(move |(&cell, members)| (cell, members.of(role)))
     }
 
-    /// Servers of a role that take work, cell by cell.
+    /// Ready servers of a role, ordered by cell and then by id.
     pub(crate) fn ready(&self, role: Role) -> impl Iterator<Item = &Server> {
         self.ready_by_cell(role).flat_map(|(_, members)| members).map(|ready| &self.servers[&ready.id])
     }
 
-    /// Servers of a role that take work and pass a test, in the order of their numbers.
+    /// Ids of the ready servers of a role that pass `test`, in ascending order.
     pub(crate) fn ready_passing(&self, role: Role, test: impl Fn(&Server) -> bool) -> Vec<ServerId> {
         let passing = self.ready(role).filter(|server| test(server));
         let mut passing: Vec<ServerId> = passing.map(|server| server.entry.server).collect();
@@ -298,18 +306,19 @@
         passing
     }
 
-    /// Servers of a cell and a role that take work, in the order of their numbers.
+    /// Ready servers of a role in one cell, ordered by id.
     pub(crate) fn ready_in_cell(&self, cell: CellId, role: Role) -> impl Iterator<Item = &Server> {
         let members = self.index.cells.get(&cell).into_iter().flat_map(move |cell| cell.of(role));
         members.map(|ready| &self.servers[&ready.id])
     }
 
-    /// Servers of a role in slow start that take work.
+    /// Ready servers of a role that are in slow start, ordered by id.
     pub(crate) fn slow_starting(&self, role: Role) -> &[SlowStartingServer] {
         &self.index.roles[role as usize].slow_starting
     }
 
-    /// What warm servers of a role that take work serve together.
+    /// The combined request rate of the warm ready servers of a role. The sum is cached until the time or one
+    /// of its rates changes.
     pub(crate) fn served_by_warm(&self, role: Role) -> WarmServing {
         let role = &self.index.roles[role as usize];
         let cached = role.served_by_warm_cache.get().filter(|(at, _)| *at == self.now);
@@ -318,15 +327,15 @@
         WarmServing { served_per_second: sum, servers: role.served_by_warm.len() }
     }
 
-    /// Servers of a role that take work and have failed requests of some class since they last served one.
+    /// Ready servers of a role with a failure, in some class, since they last served a request of that class.
     pub(crate) fn ready_suspects(&self, role: Role) -> impl Iterator<Item = &Server> {
         let suspects = self.index.suspects.iter().map(|id| &self.servers[id]);
         suspects.filter(move |server| server.role == role && server.entry.health == Health::Ready)
     }
 
-    // ---- Questions about all ----
+    // ---- Queries over all servers ----
 
-    /// What each cell with servers that take work has of all of them.
+    /// The shares of all ready servers that each cell has; cells without a ready server are absent.
     pub(crate) fn cell_shares(&self) -> BTreeMap<CellId, CellShare> {
         let share_of = |members: &CellIndex, role: Role| {
             members.of(role).len() as f64 / self.ready_count(role).max(1) as f64
@@ -340,28 +349,30 @@
         shares
     }
 
-    /// Servers with unanswered attempts of this dispatcher, in the order of their numbers.
+    /// Servers with unanswered attempts of this dispatcher, ordered by id.
     pub(crate) fn busy(&self) -> impl Iterator<Item = &Server> {
         self.index.busy.iter().map(|id| &self.servers[id])
     }
 
-    /// Servers that are busy, or have failed requests since they last served one, or both.
+    /// Servers that have unanswered attempts, or a failure since they last served a request of its class,
+    /// ordered by id.
     pub(crate) fn busy_or_suspect(&self) -> impl Iterator<Item = &Server> {
         self.index.busy.union(&self.index.suspects).map(|id| &self.servers[id])
     }
 
-    /// How many servers have served a stage or have unanswered work of it.
+    /// Number of servers that have served a stage or have unanswered work of it.
     pub(crate) fn serving(&self, stage: usize) -> ServingCounts {
         let stage = &self.index.stages[stage];
         ServingCounts { all: stage.serving, ready: stage.serving_ready }
     }
 
-    /// Servers by what they queued at a stage, the most first.
+    /// Servers with queueing at a stage, ordered by their average queueing delay, the longest first.
     pub(crate) fn by_queueing(&self, stage: usize) -> impl Iterator<Item = &Server> {
         self.index.stages[stage].by_queueing.iter().rev().map(|(_, id)| &self.servers[id])
     }
 
-    /// The median over servers of the time per token of work at a stage (us).
+    /// The lower median over servers of the time per token of work at a stage (us); `None` if no server has
+    /// served the stage.
     pub(crate) fn median_us_per_token(&self, stage: usize) -> Option<f64> {
         self.index.stages[stage].us_per_token.lower_median()
     }
--- a/crates/router/src/fleet/consistency.rs
+++ b/crates/router/src/fleet/consistency.rs
@@ -1,16 +1,16 @@
-//! A check of the fleet's index against a fresh count of all servers. Tests ask for it after every event.
+//! Checks the fleet's index against a recount of all servers. Tests run the check after every event.
 
 use super::index::{FleetIndex, IndexedServer, RoleIndex};
 use super::Fleet;
 use crate::prefix_table::PREFIX_EXPIRY_US;
 
-/// Sums of rates are kept incrementally; they may differ from a fresh sum by this share, which is rounding.
+/// Relative tolerance for sums of rates: they are updated incrementally, so rounding errors accumulate.
 const SUM_TOLERANCE: f64 = 1e-9;
-/// Sums below this are compared as if they were this large (requests a second).
+/// Lower bound for the sum that [`SUM_TOLERANCE`] is applied to (requests per second).
 const SMALL_SUM: f64 = 1e-3;
 
 impl Fleet {
-    /// The index as a count of all servers gives it.
+    /// Builds the index anew from all servers.
     pub(super) fn recount(&self) -> FleetIndex {
         let mut index = FleetIndex::new(self.times, self.now);
         for (&id, server) in &self.servers {
@@ -19,42 +19,44 @@
         index
     }
 
-    /// What the index says otherwise than a recount, if anything.
+    /// Describes the first difference between the index and a recount; `None` if they agree.
     pub(crate) fn index_disagreement(&self) -> Option<String> {
-        let counted = self.recount();
-        for (role, (kept, counted)) in self.index.roles.iter().zip(&counted.roles).enumerate() {
-            if !self.agree(kept, counted) {
-                return Some(format!("role {role}: {kept:?}, counted {counted:?}"));
+        let recounted = self.recount();
+        for (role, (kept, recounted)) in self.index.roles.iter().zip(&recounted.roles).enumerate() {
+            if !self.role_agrees(kept, recounted) {
+                return Some(format!("role {role}: {kept:?}, recounted {recounted:?}"));
             }
         }
         self.holders_disagreement().or_else(|| {
             let FleetIndex { roles: _, stages, cells, busy, suspects, gone, warming } = &self.index;
             let agreements = [
-                ("stages", *stages == counted.stages),
-                ("cells", *cells == counted.cells),
-                ("busy", *busy == counted.busy),
-                ("suspects", *suspects == counted.suspects),
-                ("gone", *gone == counted.gone),
-                ("warming", *warming == counted.warming),
+                ("stages", *stages == recounted.stages),
+                ("cells", *cells == recounted.cells),
+                ("busy", *busy == recounted.busy),
+                ("suspects", *suspects == recounted.suspects),
+                ("gone", *gone == recounted.gone),
+                ("warming", *warming == recounted.warming),
             ];
             let differing = agreements.into_iter().find(|(_, agrees)| !agrees);
             differing.map(|(what, _)| format!("{what}: {:?}", self.index))
         })
     }
 
-    fn agree(&self, kept: &RoleIndex, counted: &RoleIndex) -> bool {
+    /// Whether the index of one role agrees with its recount.
+    fn role_agrees(&self, kept: &RoleIndex, recounted: &RoleIndex) -> bool {
         let sum = kept.served_by_warm.value_at(self.now);
-        let fresh_sum = counted.served_by_warm.value_at(self.now);
-        kept.known == counted.known
-            && kept.ready == counted.ready
-            && kept.memory_tokens_in_flight == counted.memory_tokens_in_flight
-            && kept.zones == counted.zones
-            && kept.slow_starting == counted.slow_starting
-            && kept.served_by_warm.len() == counted.served_by_warm.len()
-            && (sum - fresh_sum).abs() <= SUM_TOLERANCE * fresh_sum.max(SMALL_SUM)
+        let recounted_sum = recounted.served_by_warm.value_at(self.now);
+        kept.known == recounted.known
+            && kept.ready == recounted.ready
+            && kept.memory_tokens_in_flight == recounted.memory_tokens_in_flight
+            && kept.zones == recounted.zones
+            && kept.slow_starting == recounted.slow_starting
+            && kept.served_by_warm.len() == recounted.served_by_warm.len()
+            && (sum - recounted_sum).abs() <= SUM_TOLERANCE * recounted_sum.max(SMALL_SUM)
     }
 
-    /// Every prefix that is still believed must be found; none may be found that no table has.
+    /// Checks the prefix holders against the servers' prefix tables: every prefix that has not expired must
+    /// have its holder, and there must not be more holders than prefixes. Describes the first difference.
     fn holders_disagreement(&self) -> Option<String> {
         let mut kept = 0;
         for (&id, server) in &self.servers {
--- a/crates/router/src/fleet/index.rs
+++ b/crates/router/src/fleet/index.rs
@@ -1,6 +1,7 @@
-//! The index over the servers: counts by role and health, sums, who is busy, in slow start or failing,
-//! members of each cell, servers by what they queue. A record without any rule. It holds what
-//! [`IndexedServer`] says of each server; [`Fleet`](super::Fleet) replaces that whenever a server changes.
+//! The index over the servers: counts by role and health, sums of rates and memory, sets of busy, suspect and
+//! gone servers, the members of each cell, and servers ordered by queueing delay. It stores data and makes no
+//! decisions. An [`IndexedServer`] contains all indexed properties of a server; [`Fleet`](super::Fleet)
+//! replaces it whenever the server changes.
 
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,20 +15,21 @@
 use crate::slow_start_budget::SlowStartBudget;
 use crate::statistics::{mix, DecayingAverage, DecayingRate, SortedValues};
 
+/// Number of roles: arrays by role have this length.
 pub(super) const ROLES: usize = 3;
 
-/// Times (us) by which the index orders servers.
+/// Time parameters of the index (us).
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FleetTimes {
-    /// A server is in slow start for so long after its start.
+    /// How long a server is in slow start after its start.
     pub(crate) slow_start_window_us: Micros,
-    /// What a server has queued decays to a half in this time.
+    /// Half-life of a server's average queueing delay.
     pub(crate) queueing_half_life_us: f64,
-    /// Time constant of the requests that a server serves.
+    /// Time constant of the rate of requests that a server serves.
     pub(crate) rate_time_constant_us: f64,
 }
 
-/// What the index keeps of one server.
+/// The properties of one server that the index depends on.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct IndexedServer {
     role: Role,
@@ -36,12 +38,12 @@
     is_ready: bool,
     is_gone: bool,
     started: Option<Micros>,
-    /// Until when it is in slow start; `None` for a warm one.
+    /// When its slow start ends; `None` for a server that is not in slow start (a warm one).
     pub(super) slow_start_until: Option<Micros>,
     slow_start_budget: SlowStartBudget,
-    /// Attempts of this dispatcher are unanswered there.
+    /// It has unanswered attempts of this dispatcher.
     is_busy: bool,
-    /// It has failed requests of some class since it last served one.
+    /// It has a failure, in some class, since it last served a request of that class.
     is_suspect: bool,
     memory_tokens_in_flight: u64,
     serves: [bool; STAGES],
@@ -51,6 +53,7 @@
 }
 
 impl IndexedServer {
+    /// The indexed properties of a server at `now`. Decaying queueing delays are projected to `epoch`.
     pub(super) fn of(server: &Server, times: FleetTimes, epoch: Micros, now: Micros) -> Self {
         let statistics = &server.statistics;
         let slow_start_until =
@@ -78,30 +81,30 @@
         }
     }
 
-    /// The same after the end of slow start.
+    /// The same server after the end of its slow start.
     pub(super) fn as_warm(&self) -> Self {
         Self { slow_start_until: None, ..self.clone() }
     }
 }
 
-/// The logarithm of a queueing time as it would stand at `epoch`: all of them decay alike, so that their
-/// order stays.
+/// The binary logarithm of a queueing delay, projected to `epoch`; `None` for a server without one. All
+/// delays decay at the same rate, so that the order of the projected values never changes with time.
 fn queueing_as_of(epoch: Micros, queueing: &DecayingAverage, half_life_us: f64) -> Option<OrderedFloat<f64>> {
     let (queueing_us, at) = queueing.last.filter(|(queueing_us, _)| *queueing_us > 0.0)?;
-    let passed = (at as f64 - epoch as f64) / half_life_us;
-    Some(OrderedFloat(queueing_us.log2() + passed))
+    let elapsed = (at as f64 - epoch as f64) / half_life_us;
+    Some(OrderedFloat(queueing_us.log2() + elapsed))
 }
 
-/// A server that takes work.
+/// A ready server, as listed in its cell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ReadyServer {
     pub(crate) id: ServerId,
     pub(crate) zone: ZoneId,
-    /// A fixed hash of its number.
+    /// A hash of its id that never changes.
     pub(crate) hash: u64,
 }
 
-/// A server in slow start that takes work.
+/// A ready server in slow start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct SlowStartingServer {
     id: ServerId,
@@ -109,7 +112,7 @@
     pub(crate) budget: SlowStartBudget,
 }
 
-/// Whether a server is put into the index or taken out of it.
+/// Whether a server is added to the index or removed from it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Operation {
     Add,
@@ -117,6 +120,7 @@
 }
 
 impl Operation {
+    /// Increments or decrements a count of servers.
     fn count(self, number: &mut usize) {
         *number = match self {
             Self::Add => *number + 1,
@@ -125,7 +129,7 @@
     }
 }
 
-/// Makes a set contain a value, or not.
+/// Inserts a value into a set or removes it, depending on `is_member`.
 fn set_member<T: Ord>(set: &mut BTreeSet<T>, value: T, is_member: bool) {
     if is_member {
         set.insert(value);
@@ -134,19 +138,22 @@
     }
 }
 
-/// Servers of one role.
+/// Aggregates over the servers of one role.
 #[derive(Debug)]
 pub(super) struct RoleIndex {
+    /// Number of servers, whatever their health.
     pub(super) known: usize,
+    /// Number of ready servers.
     pub(super) ready: usize,
+    /// Memory taken by this dispatcher's attempts in flight, in tokens.
     pub(super) memory_tokens_in_flight: u64,
-    /// Number of those that take work, by zone.
+    /// Number of ready servers in each zone that has any.
     pub(super) zones: BTreeMap<ZoneId, usize>,
-    /// Those in slow start that take work, in the order of their numbers.
+    /// Ready servers in slow start, ordered by id.
     pub(super) slow_starting: Vec<SlowStartingServer>,
-    /// What warm ones that take work serve.
+    /// Sum of the request rates of ready servers that are not in slow start.
     pub(super) served_by_warm: RateSum,
-    /// That sum as of a time; empty after a change.
+    /// The value of `served_by_warm` and the time it was computed for; `None` after a change.
     pub(super) served_by_warm_cache: Cell<Option<(Micros, f64)>>,
 }
 
@@ -163,6 +170,7 @@
         }
     }
 
+    /// Adds a server to those in slow start or replaces its entry there, or removes it.
     fn set_slow_starting(&mut self, id: ServerId, of: &IndexedServer, operation: Operation) {
         let server = SlowStartingServer { id, started: of.started, budget: of.slow_start_budget };
         match (self.slow_starting.binary_search_by_key(&id, |other| other.id), operation) {
@@ -174,31 +182,35 @@
     }
 }
 
-/// Servers that have served a stage, or have unanswered work of it.
+/// Aggregates over the servers that have served a stage or have unanswered work of it.
 #[derive(Debug, Default, PartialEq)]
 pub(super) struct StageIndex {
+    /// Number of those servers, whatever their health.
     pub(super) serving: usize,
+    /// Number of those servers that are ready.
     pub(super) serving_ready: usize,
+    /// Average time per token of work at each server that has served the stage (us).
     pub(super) us_per_token: SortedValues,
-    /// By what they queued, as of the common time.
+    /// Servers ordered by the value of [`queueing_as_of`] for the fleet's epoch.
     pub(super) by_queueing: BTreeSet<(OrderedFloat<f64>, ServerId)>,
 }
 
-/// Servers of a cell that take work, by role, in the order of their numbers.
+/// The ready servers of a cell, by role, ordered by id.
 #[derive(Debug, Default, PartialEq)]
 pub(super) struct CellIndex([Vec<ReadyServer>; ROLES]);
 
 impl CellIndex {
-    /// Those of one role.
+    /// The ready servers of one role, ordered by id.
     pub(super) fn of(&self, role: Role) -> &[ReadyServer] {
         &self.0[role as usize]
     }
 
-    /// The one with the highest number.
+    /// The ready server with the highest id; `None` if there is none.
     pub(super) fn last(&self) -> Option<&ReadyServer> {
         self.0.iter().filter_map(|of_role| of_role.last()).max()
     }
 
+    /// Adds a server or removes it.
     fn set(&mut self, role: Role, server: ReadyServer, operation: Operation) {
         let members = &mut self.0[role as usize];
         match (members.binary_search(&server), operation) {
@@ -208,26 +220,30 @@
         }
     }
 
+    /// Whether the cell has no ready server.
     fn is_empty(&self) -> bool {
         self.0.iter().all(Vec::is_empty)
     }
 }
 
-/// See the [module](self).
+/// The index over all servers of a fleet. See the [module](self).
 #[derive(Debug)]
 pub(super) struct FleetIndex {
     pub(super) roles: [RoleIndex; ROLES],
     pub(super) stages: [StageIndex; STAGES],
     pub(super) cells: BTreeMap<CellId, CellIndex>,
+    /// Servers with unanswered attempts of this dispatcher.
     pub(super) busy: BTreeSet<ServerId>,
-    /// Servers that have failed requests of some class since they last served one.
+    /// Servers with a failure, in some class, since they last served a request of that class.
     pub(super) suspects: BTreeSet<ServerId>,
+    /// Servers that are gone from the list but still stored.
     pub(super) gone: BTreeSet<ServerId>,
-    /// Servers in slow start, by the end of it.
+    /// Servers in slow start, ordered by when it ends.
     pub(super) warming: BTreeSet<(Micros, ServerId)>,
 }
 
 impl FleetIndex {
+    /// An empty index. Sums of decaying rates start from `epoch`.
     pub(super) fn new(times: FleetTimes, epoch: Micros) -> Self {
         Self {
             roles: std::array::from_fn(|_| RoleIndex::new(times, epoch)),
@@ -240,25 +256,26 @@
         }
     }
 
-    /// Adds a server that was not there.
+    /// Adds a server that is not in the index yet.
     pub(super) fn add(&mut self, id: ServerId, server: &IndexedServer) {
         self.count(id, server, Operation::Add);
-        self.order(id, server, Operation::Add);
+        self.update_orders(id, server, Operation::Add);
     }
 
-    /// Removes a server, as it was added.
+    /// Removes a server; `server` must equal the value that it was last added or replaced with.
     pub(super) fn remove(&mut self, id: ServerId, server: &IndexedServer) {
         self.count(id, server, Operation::Remove);
-        self.order(id, server, Operation::Remove);
+        self.update_orders(id, server, Operation::Remove);
     }
 
-    /// Replaces what is kept of a server, as far as it differs.
+    /// Replaces the indexed properties of a server, updating only what differs. `before` must equal the value
+    /// that it was last added or replaced with.
     pub(super) fn replace(&mut self, id: ServerId, before: &IndexedServer, after: &IndexedServer) {
         if before.us_per_token != after.us_per_token || before.queueing != after.queueing {
-            self.order(id, before, Operation::Remove);
-            self.order(id, after, Operation::Add);
+            self.update_orders(id, before, Operation::Remove);
+            self.update_orders(id, after, Operation::Add);
         }
-        if differs_in_load_alone(before, after) {
+        if differs_only_in_load(before, after) {
             self.replace_load(id, before, after);
         } else {
             self.count(id, before, Operation::Remove);
@@ -266,7 +283,8 @@
         }
     }
 
-    /// Replaces what attempts change of a server that is otherwise as it was: the common case, kept cheap.
+    /// Updates the properties that attempts change, for a server whose other properties are the same as
+    /// before. This is the common case and avoids removing and adding the server.
     fn replace_load(&mut self, id: ServerId, before: &IndexedServer, after: &IndexedServer) {
         let role = &mut self.roles[after.role as usize];
         role.memory_tokens_in_flight =
@@ -284,6 +302,8 @@
         }
     }
 
+    /// Adds a server to all counts, sums and sets, or removes it. Does not include the ordered values, see
+    /// [`Self::update_orders`].
     fn count(&mut self, id: ServerId, server: &IndexedServer, operation: Operation) {
         let role = &mut self.roles[server.role as usize];
         operation.count(&mut role.known);
@@ -311,6 +331,7 @@
         }
     }
 
+    /// Adds a ready server to the aggregates over ready servers, or removes it.
     fn count_ready(&mut self, id: ServerId, server: &IndexedServer, operation: Operation) {
         let role = &mut self.roles[server.role as usize];
         operation.count(&mut role.ready);
@@ -333,8 +354,8 @@
         }
     }
 
-    /// Puts a server's pace and queueing into their orders, or takes them out.
-    fn order(&mut self, id: ServerId, server: &IndexedServer, operation: Operation) {
+    /// Adds a server's time per token and queueing delay to the values ordered by stage, or removes them.
+    fn update_orders(&mut self, id: ServerId, server: &IndexedServer, operation: Operation) {
         for (stage, of_stage) in self.stages.iter_mut().enumerate() {
             match (server.us_per_token[stage], operation) {
                 (Some(us_per_token), Operation::Add) => of_stage.us_per_token.insert(us_per_token),
@@ -348,9 +369,10 @@
     }
 }
 
-/// Whether a server has only more or less to do than before.
-fn differs_in_load_alone(before: &IndexedServer, after: &IndexedServer) -> bool {
-    let with_load_of_before = IndexedServer {
+/// Whether two versions of a server differ in nothing but load: properties that attempts change, and those
+/// handled by [`FleetIndex::update_orders`].
+fn differs_only_in_load(before: &IndexedServer, after: &IndexedServer) -> bool {
+    let after_with_load_before = IndexedServer {
         memory_tokens_in_flight: before.memory_tokens_in_flight,
         is_busy: before.is_busy,
         slow_start_budget: before.slow_start_budget,
@@ -359,5 +381,5 @@
         queueing: before.queueing,
         ..after.clone()
     };
-    with_load_of_before == *before
+    after_with_load_before == *before
 }
--- a/crates/router/src/prefix_holders.rs
+++ b/crates/router/src/prefix_holders.rs
@@ -1,41 +1,44 @@
-//! The index from a prefix to the servers that were lately sent it. A record without any rule: whether an
-//! entry is still believed is said by the server's [`PrefixTable`](crate::prefix_table::PrefixTable).
+//! The index from prefixes to the servers that were recently sent them. It stores data and makes no
+//! decisions: the server's [`PrefixTable`](crate::prefix_table::PrefixTable) determines whether a prefix
+//! still counts as cached.
 
 use std::collections::{BTreeSet, HashMap};
 
 use crate::interface::{Key, Micros, ServerId};
 
-/// A server that was sent a prefix, and when last.
+/// A server that was sent a prefix, with the time of the last send.
 #[derive(Clone, Copy, Debug)]
 struct Holder {
     server: ServerId,
     sent_at: Micros,
 }
 
-/// See the [module](self). Invariant: it names at least the servers whose tables have a key that has not
-/// expired.
+/// The servers that were sent each prefix. See the [module](self).
+///
+/// Invariant: the holders of a key include every server with an unexpired entry for it in its prefix table.
 #[derive(Debug, Default)]
 pub(crate) struct PrefixHolders {
-    /// For each key, its holders in the order of their numbers. Looked up, never iterated.
+    /// The holders of each key, ordered by server id. The map is never iterated, as its order is random.
     by_key: HashMap<Key, Vec<Holder>>,
-    by_age: BTreeSet<(Micros, Key, ServerId)>,
+    /// All entries ordered by the time of the last send.
+    by_sent_at: BTreeSet<(Micros, Key, ServerId)>,
 }
 
 impl PrefixHolders {
-    /// A server has been sent a prefix at that time.
+    /// Records that a server was sent a prefix at `sent_at`.
     pub(crate) fn insert(&mut self, key: Key, server: ServerId, sent_at: Micros) {
         let holders = self.by_key.entry(key).or_default();
         match holders.binary_search_by_key(&server, |holder| holder.server) {
             Ok(position) => {
-                let before = std::mem::replace(&mut holders[position].sent_at, sent_at);
-                self.by_age.remove(&(before, key, server));
+                let previous = std::mem::replace(&mut holders[position].sent_at, sent_at);
+                self.by_sent_at.remove(&(previous, key, server));
             }
             Err(position) => holders.insert(position, Holder { server, sent_at }),
         }
-        self.by_age.insert((sent_at, key, server));
+        self.by_sent_at.insert((sent_at, key, server));
     }
 
-    /// A server's table has the key no more.
+    /// Removes a server from the holders of a key, if it is one. Called when its prefix table drops the key.
     pub(crate) fn remove(&mut self, key: Key, server: ServerId) {
         let Some(holders) = self.by_key.get_mut(&key) else { return };
         let Ok(position) = holders.binary_search_by_key(&server, |holder| holder.server) else { return };
@@ -43,27 +46,27 @@
         if holders.is_empty() {
             self.by_key.remove(&key);
         }
-        self.by_age.remove(&(removed.sent_at, key, server));
+        self.by_sent_at.remove(&(removed.sent_at, key, server));
     }
 
-    /// Forgets what was sent at that time or before.
+    /// Removes all entries that were last sent at `until` or earlier.
     pub(crate) fn remove_older(&mut self, until: Micros) {
-        while let Some(&(_, key, server)) = self.by_age.first().filter(|(at, ..)| *at <= until) {
+        while let Some(&(_, key, server)) = self.by_sent_at.first().filter(|(at, ..)| *at <= until) {
             self.remove(key, server);
         }
     }
 
-    /// Servers that were sent a prefix, in the order of their numbers.
+    /// The servers that were sent a prefix, ordered by id.
     pub(crate) fn servers(&self, key: Key) -> impl Iterator<Item = ServerId> + '_ {
         self.by_key.get(&key).into_iter().flatten().map(|holder| holder.server)
     }
 
-    /// Number of pairs of a key and a server.
+    /// Number of entries, i.e. of pairs of a key and a server.
     pub(crate) fn len(&self) -> usize {
-        self.by_age.len()
+        self.by_sent_at.len()
     }
 
-    /// Whether a server is known to have been sent a prefix at that time or later.
+    /// Whether a server is recorded as having been sent a prefix at `sent_at` or later.
     pub(crate) fn contains(&self, key: Key, server: ServerId, sent_at: Micros) -> bool {
         let mut holders = self.by_key.get(&key).into_iter().flatten();
         holders.any(|holder| holder.server == server && holder.sent_at >= sent_at)
