--- a/crates/router/src/gossip.rs
+++ b/crates/router/src/gossip.rs
@@ -1,68 +1,73 @@
-//! Load gossip: what dispatchers tell one another of the work that waits at readers, where the settings allow
-//! it.
+//! Load gossip: dispatchers inform one another about the work queued at readers, if the settings allow it.
 //!
-//! A dispatcher tells of work that it sends there, which adds up at all others, and of a queue that it finds
-//! there and nobody knew of, which replaces what they believe. What is believed only lowers preference, and
-//! passes with time. An update is five bytes, so that its price stays small however many receive it. One that
-//! is malformed or late is dropped.
+//! A dispatcher reports work that it sends to a server, which all others add to their estimate for that
+//! server, and a queue that is much longer than the estimates said, which raises the estimate to its length.
+//! Estimates only lower the preference for a server, and shrink as time passes. An update is five bytes long,
+//! so that its price stays small with many receivers. Malformed and late updates are dropped.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::interface::{Action, Micros, ServerId, Settings};
 use crate::statistics::mix;
 
-/// The checksum starts from it, so that updates of another version do not pass.
+/// Initial value of the checksum, so that updates of another protocol version are dropped.
 const VERSION: u8 = 0xa2;
+/// Length of an encoded update.
 const UPDATE_BYTES: usize = 5;
-/// Older updates tell of a queue that is another by now (us).
+/// Updates older than this are dropped, as the queue has changed since (us).
 const MAX_AGE_US: Micros = 1_500_000;
-/// Clocks may differ by so much (us).
+/// Maximum difference assumed between the clocks of two dispatchers (us).
 const MAX_CLOCK_SKEW_US: Micros = 200_000;
-/// Times are told in these steps (us): 256 of them are more than all ages that may be taken for fresh.
+/// Resolution of encoded times (us). An encoded time is one byte; 256 steps are longer than the maximum age
+/// plus clock skew, so that it is unambiguous.
 const TIME_STEP_US: Micros = 1 << 14;
-/// Amounts are told as the time (us) of the first step, doubled with each so many steps: up to 60 s, with
-/// steps of 9% (an estimate is no better), in seven bits.
+/// Amounts of work are encoded logarithmically in seven bits: step 0 is this time (us), and the time doubles
+/// with every `STEPS_PER_DOUBLING` steps. This covers up to 60 s in steps of 9%, which is as precise as the
+/// estimates themselves.
 const MIN_AMOUNT_US: f64 = 1_000.0;
 const STEPS_PER_DOUBLING: f64 = 8.0;
 const MAX_STEPS: u8 = 0x7f;
 
-/// What an update says of a server.
+/// The load of a server that an update reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Load {
-    /// So much work has been sent there (us).
+    /// The sender has just sent this much work to the server (us).
     Sent(Micros),
-    /// So much work waits there (us).
+    /// This much work is queued at the server, from any dispatcher (us).
     Waits(Micros),
 }
 
-/// What a dispatcher says of a server, as of a time.
+/// A report on the load of one server, sent from one dispatcher to all others.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadUpdate {
-    /// The server's tag, of [`tag`].
+    /// The server's tag, as returned by [`tag`].
     pub server: u16,
-    /// What it says (in steps).
+    /// The reported load; encoding rounds it to a step.
     pub load: Load,
-    /// When it was sent (us, in steps).
+    /// When the update was sent (us); encoding rounds it down to a step.
     pub at: Micros,
 }
 
-/// The part of a server's id that updates name it by. Two servers with one tag share what is said of either.
+/// A 16-bit hash of a server's id that identifies it in updates. Servers with equal tags share one estimate.
 #[must_use]
 pub fn tag(server: ServerId) -> u16 {
     mix(u64::from(server.0)) as u16
 }
 
+/// Encodes an amount of work (us) as a number of steps, at most `MAX_STEPS`.
 fn to_steps(amount: Micros) -> u8 {
     let steps = (amount as f64 / MIN_AMOUNT_US).max(1.0).log2() * STEPS_PER_DOUBLING;
     (steps.round() as u8).min(MAX_STEPS)
 }
 
+/// The amount of work (us) for a number of steps.
 fn from_steps(steps: u8) -> Micros {
     (MIN_AMOUNT_US * (f64::from(steps) / STEPS_PER_DOUBLING).exp2()) as Micros
 }
 
 impl LoadUpdate {
-    /// As it is sent: checksum, server (little-endian), time, kind (the highest bit) and amount.
+    /// Encodes the update: checksum, server tag (two bytes, little-endian), time, and amount. The highest bit
+    /// of the amount is set for [`Load::Waits`].
     #[must_use]
     pub fn to_bytes(&self) -> [u8; UPDATE_BYTES] {
         let [low, high] = self.server.to_le_bytes();
@@ -75,8 +80,8 @@
         bytes
     }
 
-    /// Reads one that has come at `now` (us); `None` for what is to be dropped: malformed, of another
-    /// version, or too old.
+    /// Decodes an update received at `now` (us). Returns `None` if it is malformed, of another protocol
+    /// version or too old.
     #[must_use]
     pub fn read(bytes: &[u8], now: Micros) -> Option<Self> {
         let bytes: &[u8; UPDATE_BYTES] = bytes.try_into().ok()?;
@@ -84,205 +89,219 @@
         if received != checksum(bytes) {
             return None;
         }
-        // The lowest bits of its time, against those of a moment that lies as far ahead as clocks may differ.
+        // The update has only the lowest eight bits of its time. Its age is counted back from the latest time
+        // that the sender's clock can show, so that it is never negative.
         let from = (now + MAX_CLOCK_SKEW_US) / TIME_STEP_US;
         let age = Micros::from((from as u8).wrapping_sub(time));
         let amount_us = from_steps(amount & MAX_STEPS);
         let load = if amount & !MAX_STEPS == 0 { Load::Sent(amount_us) } else { Load::Waits(amount_us) };
         let at = (from.saturating_sub(age) * TIME_STEP_US).min(now);
-        let fresh = age * TIME_STEP_US <= MAX_AGE_US + MAX_CLOCK_SKEW_US;
-        fresh.then_some(Self { server: u16::from_le_bytes([low, high]), load, at })
+        let is_fresh = age * TIME_STEP_US <= MAX_AGE_US + MAX_CLOCK_SKEW_US;
+        is_fresh.then_some(Self { server: u16::from_le_bytes([low, high]), load, at })
     }
 }
 
-/// Differs wherever one bit does, and is not 0 for what holds nothing.
+/// Checksum of the bytes after the first. It detects every single-bit error, and is not 0 for all-zero bytes.
 fn checksum(bytes: &[u8; UPDATE_BYTES]) -> u8 {
     bytes[1..].iter().fold(VERSION, |sum: u8, byte| sum.rotate_left(1) ^ byte)
 }
 
-/// What became of updates since the start.
+/// Counts of gossip updates since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GossipCounts {
-    /// Sent to the other dispatchers.
+    /// Updates sent to the other dispatchers, counted once each, however many receive them.
     pub sent: u64,
-    /// Received and taken.
+    /// Updates received and applied.
     pub received: u64,
-    /// Received and dropped: malformed, of another version, late, or of a server that the list does not have.
+    /// Updates received and dropped: malformed, of another version, late, for a server that is not listed, or
+    /// received while gossip is disabled.
     pub dropped: u64,
 }
 
-/// Bytes that the price of a message is told for.
+/// The price of gossip is set for this many delivered bytes.
 const PRICED_BYTES: f64 = 256.0;
-/// A queue is news where it differs from what all believe by this share of the shortest latency objective,
-/// and twofold.
-const QUEUE_NEWS_SHARE_OF_OBJECTIVE: f64 = 0.15;
-const QUEUE_NEWS_MULTIPLE: f64 = 2.0;
-/// Work that is sent is news from this share of the shortest latency objective on. Less is not worth the
-/// price of a datagram: a queue is made by long prompts, and one that many short ones have made is seen by
-/// those that come back.
-const WORK_NEWS_SHARE_OF_OBJECTIVE: f64 = 0.6;
-/// For each request of its own, a dispatcher sends as much as costs this share of the result.
+/// A queue is reported if it is longer than twice the estimate (`QUEUE_REPORT_MULTIPLE`) plus this share of
+/// the shortest latency objective.
+const MIN_QUEUE_SHARE_OF_OBJECTIVE: f64 = 0.15;
+const QUEUE_REPORT_MULTIPLE: f64 = 2.0;
+/// Sent work is reported if it takes at least this share of the shortest latency objective. Less is not worth
+/// the price of a datagram: queues are mostly caused by long prompts, and one caused by many short prompts
+/// shows in the answers to them.
+const MIN_WORK_SHARE_OF_OBJECTIVE: f64 = 0.6;
+/// Maximum cost of gossip per request received by this dispatcher, as a share of the total result.
 const MAX_COST_SHARE: f64 = 0.01;
-/// Updates that may be saved up.
+/// Maximum credit that accumulates while none is spent (number of updates).
 const MAX_CREDIT: f64 = 4.0;
 
-/// Something to tell of a server, in the current step.
+/// A load report of the current event, before it is decided whether to send it.
 #[derive(Clone, Copy, Debug)]
-struct News {
+struct PendingReport {
     server: ServerId,
     load: Load,
 }
 
-/// Work that is believed to wait at a server, as of a time.
+/// The work estimated to be queued at a server (us), as of time `at`.
 #[derive(Clone, Copy, Debug)]
-struct Belief {
+struct LoadEstimate {
     queueing_us: f64,
     at: Micros,
 }
 
-/// What all dispatchers believe to wait at servers, and when to tell the others something new. A dispatcher
-/// that sees few requests would find a buried or slow server at the price of one, and a hundred of them at
-/// the price of each.
+/// Estimates of the work queued at servers, and the decision when to send updates to the other dispatchers.
+/// Without gossip, each dispatcher would detect an overloaded or slow server only by a late request of its
+/// own: a hundred dispatchers that see few requests each would pay with a hundred late requests.
 #[derive(Debug)]
 pub(crate) struct LoadGossip {
-    /// By the servers' tags.
-    beliefs: BTreeMap<u16, Belief>,
-    /// Tags of the servers of the list.
+    /// Estimates by server tag.
+    estimates: BTreeMap<u16, LoadEstimate>,
+    /// Tags of the servers on the list.
     listed: BTreeSet<u16>,
-    pending: Vec<News>,
-    costs: GossipCosts,
-    /// Updates that may be sent now.
+    /// Reports that the current event has produced.
+    pending: Vec<PendingReport>,
+    limits: GossipLimits,
+    /// Number of updates that may be sent now. Each request received adds to it.
     credit: f64,
     counts: GossipCounts,
 }
 
-/// What the settings make of gossip.
+/// Limits of gossip derived from the settings.
 #[derive(Clone, Copy, Debug)]
-struct GossipCosts {
+struct GossipLimits {
+    /// Gossip is allowed and there are other dispatchers.
     is_enabled: bool,
+    /// How far a queue must exceed `QUEUE_REPORT_MULTIPLE` times its estimate to be reported (us).
     min_queue_step_us: f64,
+    /// Sent work is reported from this amount on (us).
     min_work_us: f64,
+    /// Updates that one received request allows for, at most 1.
     credit_per_request: f64,
 }
 
-impl GossipCosts {
+impl GossipLimits {
     fn new(settings: &Settings) -> Self {
         let receivers = f64::from(settings.dispatcher_count.saturating_sub(1));
         let price = settings.gossip_price * receivers * UPDATE_BYTES as f64 / PRICED_BYTES;
         Self {
             is_enabled: settings.peers && settings.dispatcher_count > 1,
-            min_queue_step_us: QUEUE_NEWS_SHARE_OF_OBJECTIVE * settings.shortest_latency_objective(),
-            min_work_us: WORK_NEWS_SHARE_OF_OBJECTIVE * settings.shortest_latency_objective(),
+            min_queue_step_us: MIN_QUEUE_SHARE_OF_OBJECTIVE * settings.shortest_latency_objective(),
+            min_work_us: MIN_WORK_SHARE_OF_OBJECTIVE * settings.shortest_latency_objective(),
             credit_per_request: (MAX_COST_SHARE / price.max(f64::MIN_POSITIVE)).min(1.0),
         }
     }
 
-    /// Whether a queue of that length is news where so much was expected.
-    fn is_queue_news(&self, queueing_us: f64, expected_us: f64) -> bool {
-        queueing_us > QUEUE_NEWS_MULTIPLE * expected_us + self.min_queue_step_us
+    /// Whether a queue is so much longer than expected that it is reported.
+    fn is_significant_queue(&self, queueing_us: f64, expected_us: f64) -> bool {
+        queueing_us > QUEUE_REPORT_MULTIPLE * expected_us + self.min_queue_step_us
     }
 }
 
 impl LoadGossip {
     pub(crate) fn new(settings: &Settings) -> Self {
         Self {
-            beliefs: BTreeMap::new(),
+            estimates: BTreeMap::new(),
             listed: BTreeSet::new(),
             pending: Vec::new(),
-            costs: GossipCosts::new(settings),
+            limits: GossipLimits::new(settings),
             credit: 0.0,
             counts: GossipCounts::default(),
         }
     }
 
-    /// Takes new settings; what is believed and counted stays.
+    /// Applies reloaded settings. Estimates, credit and counts are kept.
     pub(crate) fn reload(&mut self, settings: &Settings) {
-        self.costs = GossipCosts::new(settings);
+        self.limits = GossipLimits::new(settings);
     }
 
+    /// Counts of updates since the start.
     pub(crate) fn counts(&self) -> GossipCounts {
         self.counts
     }
 
-    /// A request has come in: it pays for some updates.
+    /// Adds the credit of one received request.
     pub(crate) fn add_credit(&mut self) {
-        self.credit = (self.credit + self.costs.credit_per_request).min(MAX_CREDIT);
+        self.credit = (self.credit + self.limits.credit_per_request).min(MAX_CREDIT);
     }
 
-    /// How much work is believed to wait at a server (us).
+    /// The work estimated to be queued at a server (us). The estimate shrinks by the time that has passed, as
+    /// the server works.
     pub(crate) fn believed_us(&self, server: ServerId, now: Micros) -> f64 {
-        self.believed_of_tag(tag(server), now)
+        self.estimated_by_tag_us(tag(server), now)
     }
 
-    fn believed_of_tag(&self, tag: u16, now: Micros) -> f64 {
-        let Some(belief) = self.beliefs.get(&tag) else { return 0.0 };
-        (belief.queueing_us - now.saturating_sub(belief.at) as f64).max(0.0)
+    fn estimated_by_tag_us(&self, tag: u16, now: Micros) -> f64 {
+        let Some(estimate) = self.estimates.get(&tag) else { return 0.0 };
+        (estimate.queueing_us - now.saturating_sub(estimate.at) as f64).max(0.0)
     }
 
-    /// This dispatcher sends so much work there (us).
+    /// Records that this dispatcher sends `work_us` of work to a server.
     pub(crate) fn record_sent(&mut self, server: ServerId, work_us: f64) {
-        if self.costs.is_enabled {
-            self.pending.push(News { server, load: Load::Sent(work_us as Micros) });
+        if self.limits.is_enabled {
+            self.pending.push(PendingReport { server, load: Load::Sent(work_us as Micros) });
         }
     }
 
-    /// This dispatcher has seen work queue at a server for so long, where so much was expected to (us).
+    /// Records that this dispatcher saw an attempt queue at a server for `queueing_us`, where `expected_us`
+    /// was the estimate at its send.
     pub(crate) fn record_queueing(&mut self, server: ServerId, queueing_us: f64, expected_us: f64) {
-        if self.costs.is_enabled && self.costs.is_queue_news(queueing_us, expected_us) {
-            self.pending.push(News { server, load: Load::Waits(queueing_us as Micros) });
+        if self.limits.is_enabled && self.limits.is_significant_queue(queueing_us, expected_us) {
+            self.pending.push(PendingReport { server, load: Load::Waits(queueing_us as Micros) });
         }
     }
 
-    /// Sends the others what is news to them, as far as that is paid for.
+    /// Sends the pending reports that are significant, as far as the credit allows, and applies them to this
+    /// dispatcher's own estimates. Sent work is applied even if it is too small to be sent.
     pub(crate) fn publish(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        for News { server, load } in std::mem::take(&mut self.pending) {
+        for PendingReport { server, load } in std::mem::take(&mut self.pending) {
             let update = LoadUpdate { server: tag(server), load, at: now };
-            let is_news = match load {
-                Load::Sent(work_us) => work_us as f64 >= self.costs.min_work_us,
+            let is_significant = match load {
+                Load::Sent(work_us) => work_us as f64 >= self.limits.min_work_us,
                 Load::Waits(queueing_us) => {
-                    self.costs.is_queue_news(queueing_us as f64, self.believed_us(server, now))
+                    self.limits.is_significant_queue(queueing_us as f64, self.believed_us(server, now))
                 }
             };
-            if is_news && self.credit >= 1.0 {
+            if is_significant && self.credit >= 1.0 {
                 self.credit -= 1.0;
                 self.counts.sent += 1;
                 actions.push(Action::PublishGossip(update.to_bytes().to_vec()));
             }
-            if is_news || matches!(load, Load::Sent(_)) {
-                self.believe(update, now);
+            if is_significant || matches!(load, Load::Sent(_)) {
+                self.apply(update, now);
             }
         }
     }
 
-    /// Takes a message of another dispatcher, if it is an update on a server that the list has.
+    /// Applies an update from another dispatcher. Drops it if it is invalid, if its server is not listed, or
+    /// if gossip is disabled.
     pub(crate) fn receive(&mut self, bytes: &[u8], now: Micros) {
-        let is_listed = |update: &LoadUpdate| self.costs.is_enabled && self.listed.contains(&update.server);
+        let is_listed = |update: &LoadUpdate| self.limits.is_enabled && self.listed.contains(&update.server);
         match LoadUpdate::read(bytes, now).filter(is_listed) {
             Some(update) => {
                 self.counts.received += 1;
-                self.believe(update, now);
+                self.apply(update, now);
             }
             None => self.counts.dropped += 1,
         }
     }
 
-    fn believe(&mut self, update: LoadUpdate, now: Micros) {
-        let before_us = self.believed_of_tag(update.server, now);
-        let passed_us = now.saturating_sub(update.at) as f64;
+    /// Applies an update to the estimate of its server.
+    fn apply(&mut self, update: LoadUpdate, now: Micros) {
+        let previous_us = self.estimated_by_tag_us(update.server, now);
+        let age_us = now.saturating_sub(update.at) as f64;
         let queueing_us = match update.load {
             Load::Sent(work_us) => {
-                // Behind other work it waits in full; at an idle server it has been worked off since.
-                let worked_off_us = if before_us > 0.0 { 0.0 } else { passed_us };
-                before_us + (work_us as f64 - worked_off_us).max(0.0)
+                // Behind other work all of it is still queued; an idle server has worked on it since it was
+                // sent.
+                let worked_off_us = if previous_us > 0.0 { 0.0 } else { age_us };
+                previous_us + (work_us as f64 - worked_off_us).max(0.0)
             }
-            Load::Waits(queueing_us) => before_us.max(queueing_us as f64 - passed_us),
+            Load::Waits(queueing_us) => previous_us.max(queueing_us as f64 - age_us),
         };
-        self.beliefs.insert(update.server, Belief { queueing_us, at: now });
+        self.estimates.insert(update.server, LoadEstimate { queueing_us, at: now });
     }
 
-    /// These servers are on the list; others are forgotten.
+    /// Sets the servers that are on the list, and drops the estimates of all others.
     pub(crate) fn set_servers(&mut self, servers: impl Iterator<Item = ServerId>) {
         self.listed = servers.map(tag).collect();
-        self.beliefs.retain(|tag, _| self.listed.contains(tag));
+        self.estimates.retain(|tag, _| self.listed.contains(tag));
     }
 }
--- a/crates/router/src/handover.rs
+++ b/crates/router/src/handover.rs
@@ -1,9 +1,10 @@
-//! What a process that ends hands over to the one that takes its place on the same machine: the prefixes that
-//! it believes servers to keep, and how fast they were. Without it the new one has only homes and first
-//! guesses to go by.
+//! The learnt state that a terminating process hands over to its replacement on the same machine (hot
+//! restart): the prefixes that servers are expected to have cached, the popularity of shared prefixes, and
+//! the speed of servers and stages. Without it the new process starts from initial guesses, and routes shared
+//! prefixes by their home servers alone.
 //!
-//! The written form is JSON and is read by older and newer versions: names of fields stay as they are written
-//! (`tests/written_forms.rs`).
+//! The serialized form is JSON, which older and newer versions read: the serialized field names must not
+//! change (checked by `tests/written_forms.rs`).
 
 use serde::{Deserialize, Serialize};
 
@@ -13,29 +14,31 @@
 use crate::routing_state::RoutingState;
 use crate::statistics::{DecayingAverage, DecayingRate};
 
-/// Newest prefixes that are handed over, over all servers; at some 46 bytes each under 1 MB as text.
+/// Maximum number of prefixes handed over, summed over all servers; the newest are kept. About 46 bytes each
+/// as text, so less than 1 MB.
 const MAX_PREFIXES: usize = 20_000;
-/// Shared prefixes of which the popularity is handed over, those last asked for.
+/// Maximum number of shared prefixes whose popularity is handed over; the most recently requested are kept.
 const MAX_SHARED_PREFIXES: usize = 1_000;
 
-/// See the [module](self).
+/// State handed over in a hot restart. See the [module](self).
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Handover {
     #[serde(rename = "at")]
     written_at: Micros,
     #[serde(rename = "call_rate")]
     request_rate: DecayingRate,
-    /// Absent from versions that judged popularity over the time of `request_rate`: their shared prefixes are
-    /// left.
+    /// The rate that popularity is judged against. Absent in files of versions that judged it against
+    /// `request_rate`; their `shared_prefixes` are not imported.
     #[serde(default, rename = "calls_lately")]
     recent_request_rate: DecayingRate,
     stages: Vec<StageRecord>,
     servers: Vec<ServerRecord>,
-    /// The most recent first.
+    /// Ordered by last use, the most recent first.
     #[serde(rename = "beginnings")]
     shared_prefixes: Vec<SharedPrefixRecord>,
 }
 
+/// Learnt figures of one stage, over all servers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct StageRecord {
     #[serde(rename = "usual")]
@@ -48,10 +51,12 @@
     tokens_in_flight: DecayingRate,
 }
 
+/// Learnt figures and prefixes of one server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct ServerRecord {
     id: u32,
-    /// The life of the server that this is about: one that has started since keeps nothing.
+    /// Start time of the server that the record is about. A server that has restarted since has an empty
+    /// cache, and the record is not imported.
     started: Option<Micros>,
     #[serde(rename = "pace")]
     us_per_token: [DecayingAverage; 3],
@@ -59,22 +64,22 @@
     served_per_second: DecayingRate,
     #[serde(rename = "distrusted")]
     prefixes_invalid_until: Micros,
-    /// The oldest first.
+    /// Ordered by the time of the last send, the oldest first.
     prefixes: Vec<PrefixRecord>,
 }
 
-/// Key, tokens, when it was sent; written as a list of three.
+/// Key, length in tokens, and time of the last send (us). Serialized as an array of three.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct PrefixRecord(u64, u64, Micros);
 
-/// Key, requests with it; written as a list of two.
+/// Key, and rate of requests with that prefix. Serialized as an array of two.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct SharedPrefixRecord(u64, DecayingRate);
 
 impl Handover {
-    /// What is learnt by now.
+    /// Exports the state learnt so far.
     pub(crate) fn of(state: &RoutingState) -> Self {
-        let since = oldest_handed_over(state);
+        let since = export_cutoff(state);
         let shared_prefixes = state.shared_prefixes.iter().take(MAX_SHARED_PREFIXES);
         Self {
             written_at: state.now,
@@ -88,7 +93,7 @@
         }
     }
 
-    /// The same as told by a clock that is ahead by so much (us).
+    /// Converts all times to a clock that is ahead of the current one by `ahead_us` microseconds.
     #[must_use]
     pub fn with_clock_shifted(mut self, ahead_us: i64) -> Self {
         shift(&mut self.written_at, ahead_us);
@@ -106,8 +111,9 @@
         self
     }
 
-    /// Takes what another process has learnt, where this one has learnt nothing newer by itself. What is of
-    /// the future, or not even a number, is not taken: clocks of one machine agree.
+    /// Imports the state, except where this process has newer data of its own. Values that are not valid
+    /// numbers or have times in the future are skipped: the clocks of one machine agree, so such values are
+    /// corrupt.
     pub(crate) fn import(self, state: &mut RoutingState) {
         let now = state.now;
         if self.written_at > now || self.stages.len() != state.stages.len() {
@@ -136,6 +142,7 @@
         }
     }
 
+    /// Overwrites `own` with the record, if `own` has no samples yet and the record is plausible.
     fn import(self, own: &mut StageStatistics, now: Micros) {
         let figures = [self.median_us_per_token, self.unloaded_us_per_token, self.tokens_per_attempt];
         let is_plausible = figures.into_iter().all(is_positive) && self.tokens_in_flight.is_plausible(now);
@@ -150,9 +157,9 @@
 }
 
 impl ServerRecord {
-    /// With prefixes that were sent at `since` or later.
+    /// Exports a server's figures, and its prefixes that were sent at `since` or later.
     fn of(server: &Server, since: Micros) -> Self {
-        // The table has the newest first.
+        // The prefix table iterates from the newest to the oldest.
         let oldest_first = server.prefixes.sent.iter().rev().filter(|(_, prefix)| prefix.sent_at >= since);
         Self {
             id: server.entry.server.0,
@@ -166,6 +173,7 @@
         }
     }
 
+    /// Converts all times to a clock that is ahead by `ahead_us` microseconds.
     fn shift_clock(&mut self, ahead_us: i64) {
         if let Some(started) = &mut self.started {
             shift(started, ahead_us);
@@ -180,6 +188,7 @@
         }
     }
 
+    /// Imports the record, if the server is listed with the same start time.
     fn import(self, state: &mut RoutingState) {
         let (id, now) = (ServerId(self.id), state.now);
         if state.fleet.get(id).is_none_or(|server| server.entry.started != self.started) {
@@ -207,8 +216,9 @@
     }
 }
 
-/// When the oldest prefix was sent that is handed over.
-fn oldest_handed_over(state: &RoutingState) -> Micros {
+/// The send time of the oldest prefix to hand over, such that about `MAX_PREFIXES` prefixes are as new or
+/// newer; 0 if there are fewer in all.
+fn export_cutoff(state: &RoutingState) -> Micros {
     let mut sent_at: Vec<Micros> = Vec::new();
     for server in state.fleet.iter() {
         sent_at.extend(server.prefixes.sent.iter().map(|(_, prefix)| prefix.sent_at));
@@ -217,15 +227,16 @@
     sent_at.len().checked_sub(MAX_PREFIXES).map_or(0, |position| sent_at[position])
 }
 
-/// Shared prefixes are taken only together with the rate that they are judged by.
+/// Imports the popularity of shared prefixes, together with the request rate that it is judged against.
+/// Skipped if that rate is absent or implausible, or if this process has received requests already.
 fn import_popularity(
     state: &mut RoutingState,
     recent_request_rate: DecayingRate,
     shared_prefixes: Vec<SharedPrefixRecord>,
 ) {
     let now = state.now;
-    let is_usable = !recent_request_rate.is_new() && recent_request_rate.is_plausible(now);
-    if !state.recent_request_rate.is_new() || !is_usable {
+    let is_rate_usable = !recent_request_rate.is_new() && recent_request_rate.is_plausible(now);
+    if !state.recent_request_rate.is_new() || !is_rate_usable {
         return;
     }
     state.recent_request_rate = recent_request_rate;
@@ -236,6 +247,7 @@
     }
 }
 
+/// Adds a clock difference to a time, saturating at the limits of the type.
 fn shift(at: &mut Micros, ahead_us: i64) {
     *at = at.saturating_add_signed(ahead_us);
 }
