--- a/crates/router/src/classes.rs
+++ b/crates/router/src/classes.rs
@@ -1,70 +1,72 @@
-//! Classes that change while requests are open. A class is known by its name. Its number is used once: a
-//! class whose rules change goes on under a new number, and requests that are open keep the old one to their
-//! end.
+//! Reloading of classes while requests are open. A class is identified by its name. Numbers are never reused:
+//! a class whose rules change gets a new number, and open requests keep the old number, with the old rules,
+//! until they end.
 
 use std::collections::BTreeMap;
 
 use crate::interface::Class;
 
-/// The classes of a dispatcher.
+/// The classes of a dispatcher, with their numbers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Classes {
-    /// The number that the next new class gets.
+    /// The next unused number.
     next_number: u32,
-    /// By number: those that new requests may have, and retired ones that open requests still have.
+    /// All classes by number: the current ones, and retired ones that open requests still use.
     by_number: BTreeMap<u32, Class>,
 }
 
 impl Classes {
-    /// The classes at the start, by number.
+    /// Creates the initial set from the configured classes, by number.
     #[must_use]
     pub fn new(by_number: BTreeMap<u32, Class>) -> Self {
         let next_number = by_number.last_key_value().map_or(0, |(number, _)| number + 1);
         Self { next_number, by_number }
     }
 
-    /// All that are known, by number, retired ones included.
+    /// All classes by number, retired ones included.
     #[must_use]
     pub fn known(&self) -> &BTreeMap<u32, Class> {
         &self.by_number
     }
 
-    /// Whether a request may come with this number: its class, or what became of it, is known.
+    /// Whether this is the number of a class, current or retired.
     #[must_use]
     pub fn contains(&self, number: u32) -> bool {
         self.by_number.contains_key(&number)
     }
 
-    /// Takes the classes that there are from now on. One that is as it was keeps its number; others get new
-    /// ones, and those that no request has (`is_in_use`) are forgotten. Returns for each new number the one
-    /// before it under the same name: what is known of a class stays with its name.
+    /// Replaces the current classes. An unchanged class keeps its number; changed and added ones get new
+    /// numbers. Previous classes that are no longer current are retired if `is_in_use` says that an open
+    /// request uses them, and removed otherwise. Returns the class renumbering: a map from each new number to
+    /// the previous number of the class with that name, so that data learnt about a class is kept under its
+    /// new number.
     pub fn update(
         &mut self,
         classes: impl IntoIterator<Item = Class>,
         is_in_use: impl Fn(u32) -> bool,
     ) -> BTreeMap<u32, u32> {
-        let before = std::mem::take(&mut self.by_number);
+        let previous = std::mem::take(&mut self.by_number);
         let mut renumbering = BTreeMap::new();
         for class in classes {
-            let unchanged = before.iter().find(|(_, old)| !old.retired && **old == class);
+            let unchanged = previous.iter().find(|(_, old)| !old.retired && **old == class);
             if let Some((&number, _)) = unchanged {
                 self.by_number.insert(number, class);
                 continue;
             }
-            // The newest under this name: numbers only grow.
-            if let Some((&old, _)) = before.iter().rev().find(|(_, old)| old.name == class.name) {
+            // The highest number is the latest version of the class.
+            if let Some((&old, _)) = previous.iter().rev().find(|(_, old)| old.name == class.name) {
                 renumbering.insert(self.next_number, old);
             }
             self.by_number.insert(self.next_number, class);
             self.next_number += 1;
         }
-        self.retire(before, is_in_use);
+        self.retire(previous, is_in_use);
         renumbering
     }
 
-    /// Keeps those classes of before that are gone and still in use.
-    fn retire(&mut self, before: BTreeMap<u32, Class>, is_in_use: impl Fn(u32) -> bool) {
-        for (number, mut class) in before {
+    /// Retires the previous classes that are no longer current and still in use, and drops the rest.
+    fn retire(&mut self, previous: BTreeMap<u32, Class>, is_in_use: impl Fn(u32) -> bool) {
+        for (number, mut class) in previous {
             if !self.by_number.contains_key(&number) && is_in_use(number) {
                 class.retired = true;
                 self.by_number.insert(number, class);
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,5 +1,6 @@
-//! The decisions of a dispatcher: which server, whether to try again, what is turned away. Time, randomness
-//! and news come in as arguments, and [`Router::handle`] returns what is to be done. Nothing here can do I/O.
+//! The routing decisions of a dispatcher: which server gets a request, whether a failed attempt is retried,
+//! and which requests are rejected. Time, the random seed and events are passed in as arguments, and
+//! [`Router::handle`] appends the resulting actions. The crate performs no I/O.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -1,18 +1,20 @@
-//! The router: the one place that owns the state of a dispatcher's decisions. It takes events, asks the rules
-//! what is to be done, applies that to its state and returns it as actions.
+//! The router, which owns all state behind a dispatcher's decisions. It takes events, calls the rules to
+//! decide what to do, applies the decision to its state and returns it as actions.
 //!
-//! The rules are functions over [`RoutingState`] and a request; none of them changes anything. Reading order,
-//! along a request's life:
+//! The rules are functions of [`RoutingState`] and a request, and have no side effects. In the order of a
+//! request's life:
 //!
-//! - `admission.rs`: the next step of a request, and the answer that ends one at once, by `overload.rs`;
-//! - `placement.rs` and `writers.rs`: which server takes it, by `eligibility.rs`, `load.rs`, `health.rs`,
-//!   `popularity.rs`, `remote_fetch.rs`, `slow_start.rs`;
-//! - `attempts.rs`: what a send amounts to, by `work.rs` and `timeouts.rs`, and how its end changes the
-//!   request;
-//! - `learning.rs`: what is learnt from requests and from the ends of attempts, by `averaging.rs`;
-//! - `server_list.rs` and `cells.rs`: what the list of servers changes.
+//! - `admission.rs`: the next step of a request, or the final answer that ends it without a stream; uses
+//!   `overload.rs`;
+//! - `placement.rs` and `writers.rs`: the choice of a server; use `eligibility.rs`, `load.rs`, `health.rs`,
+//!   `popularity.rs`, `remote_fetch.rs` and `slow_start.rs`;
+//! - `attempts.rs`: the estimated work and the timeout of an attempt, by `work.rs` and `timeouts.rs`, and how
+//!   the end of an attempt changes its request;
+//! - `learning.rs`: how requests and ends of attempts update the averages and rates; uses `averaging.rs`;
+//! - `server_list.rs` and `cells.rs`: how updates of the list of servers change the state.
 //!
-//! Invariant: an open request has either one attempt in flight, or waits for a writer, or is removed.
+//! Invariant: after every event, each open request either has one attempt in flight or waits for a writer;
+//! any other request has been removed.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -43,26 +45,26 @@
 use crate::sweep::{SWEEP, SWEEP_INTERVAL_US};
 use crate::work::WRITE_OVERHEAD_TOKENS;
 
-/// A dispatcher's decisions. See the [module](self).
+/// Makes a dispatcher's routing decisions. See the [module](self).
 #[derive(Debug)]
 pub struct Router {
     state: RoutingState,
     rng: Pcg64Mcg,
-    /// Looked up; never iterated where the order matters.
+    /// Open requests. Only iterated where the order does not matter, as it is random.
     requests: HashMap<RequestId, RequestState>,
-    /// Requests whose state waits for a writer.
+    /// Requests whose state is held at a reader until a writer can take it; retried with each sweep.
     awaiting_writer: BTreeSet<RequestId>,
     list_backoff: ListBackoff,
-    /// When the list is to be asked for; `None` while that is not needed.
+    /// When to subscribe to the list of servers; `None` if no call is due.
     subscribe_at: Option<Micros>,
-    /// The sweep's timer runs.
+    /// The timer of the periodic sweep is running.
     is_sweeping: bool,
-    /// Of the event that was taken last.
+    /// The requests that the last event ended without a stream, with the reasons.
     end_reasons: EndReasons,
 }
 
 impl Router {
-    /// A dispatcher that has just started.
+    /// Creates the router of a dispatcher that starts at `now`. Equal seeds and events give equal actions.
     #[must_use]
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         let subscribe_at = settings.must_subscribe.then_some(now);
@@ -78,7 +80,8 @@
         }
     }
 
-    /// Takes an event and appends what is to be done to `actions`. `now` never goes back between calls.
+    /// Handles an event and appends the resulting actions to `actions`. `now` must not decrease between
+    /// calls.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.state.now = now;
         self.end_reasons.clear();
@@ -99,38 +102,40 @@
                 self.on_settings_reloaded(*settings, &class_renumbering);
             }
             Event::StateImported(handover) => handover.import(&mut self.state),
-            Event::LimitShareChanged(part) => self.state.limit_share = part,
+            Event::LimitShareChanged(share) => self.state.limit_share = share,
             Event::DeadlinesCapped(at) => self.on_deadlines_capped(at),
             Event::TimerFired(_) | Event::Ignored => {}
         }
         self.state.gossip.publish(now, actions);
     }
 
-    /// Why requests were answered by the event that was taken last.
+    /// The requests that the last call of [`Self::handle`] rejected or failed, with the reasons.
     #[must_use]
     pub fn end_reasons(&self) -> &EndReasons {
         &self.end_reasons
     }
 
-    /// What is learnt by now, for the process that takes this one's place.
+    /// Exports the learnt state for the process that replaces this one in a hot restart.
     #[must_use]
     pub fn export_state(&self) -> Handover {
         Handover::of(&self.state)
     }
 
-    /// What became of messages between dispatchers.
+    /// Counts of gossip updates sent, received and dropped.
     #[must_use]
     pub fn gossip_counts(&self) -> GossipCounts {
         self.state.gossip.counts()
     }
 
-    /// Number of listed servers that get no new work now: they drain, or are ejected for some class.
+    /// Number of listed servers that currently get no new work, or none of some class: they are draining, or
+    /// ejected for that class.
     #[must_use]
     pub fn avoided_servers(&self) -> usize {
         metrics::avoided_servers(&self.state)
     }
 
-    /// What the index of servers says otherwise than a recount of them, if anything: for tests.
+    /// Describes the first difference between the index of servers and a recount; `None` if they agree. For
+    /// tests, as it visits all servers.
     #[must_use]
     pub fn index_disagreement(&self) -> Option<String> {
         self.state.fleet.index_disagreement()
@@ -138,6 +143,7 @@
 
     // ---- Events ----
 
+    /// Applies a list update, or schedules the next call for the list after a failed one.
     fn on_list_update(&mut self, kind: ListUpdateKind, entries: Vec<ServerEntry>) {
         let settings = &self.state.settings;
         if kind == ListUpdateKind::Failed {
@@ -150,7 +156,7 @@
         server_list::apply_list(&mut self.state, kind, entries, &mut self.rng);
     }
 
-    /// A client asks. An id that is open already is ignored.
+    /// Admits a new request and takes its first step. Ignores the event if a request with this id is open.
     fn on_request(&mut self, info: RequestInfo, actions: &mut Vec<Action>) {
         let id = info.id;
         if self.requests.contains_key(&id) {
@@ -161,7 +167,8 @@
         self.advance(id, actions);
     }
 
-    /// An answer has begun to stream: its state is fetched, and the client has it from now on.
+    /// Records the first token of an answer. The writer has fetched the state by then, so no state is held
+    /// any more.
     fn on_first_token(&mut self, id: RequestId, number: u32, taken_us: Micros) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let in_flight = request.in_flight.as_mut();
@@ -175,6 +182,7 @@
         learning::record_first_token(&mut self.state, id, &attempt, taken_us);
     }
 
+    /// Records the end of an attempt, then closes its request or takes the next step.
     fn on_attempt_finished(&mut self, ended: AttemptFinished, actions: &mut Vec<Action>) {
         let (id, now) = (ended.id, self.state.now);
         self.state.fleet.record_report(ended.server, ended.report);
@@ -196,8 +204,8 @@
         }
     }
 
-    /// The client has left: what is in flight is cancelled where that is allowed; a late read is released
-    /// then.
+    /// Handles a client's disconnect: cancels the attempt in flight, if that is allowed and it is not
+    /// streaming. If the attempt is a read and still succeeds, its state is released when it ends.
     fn on_disconnect(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.is_completed = true;
@@ -209,8 +217,8 @@
         self.close(id, actions);
     }
 
-    /// New settings. What is known of servers for a class goes on under its new number: `class_renumbering` has the
-    /// old one.
+    /// Applies reloaded settings. Failure records of servers are kept under the new class numbers;
+    /// `class_renumbering` maps each new number to the old one.
     fn on_settings_reloaded(&mut self, settings: Settings, class_renumbering: &BTreeMap<u32, u32>) {
         let state = &mut self.state;
         state.fleet.renumber_classes(class_renumbering, &settings.classes);
@@ -220,15 +228,16 @@
         state.settings = settings;
     }
 
-    /// Open requests have to be answered by a time, in whatever order they are gone through.
+    /// Limits the deadlines of all open requests to `at`. The result does not depend on the order of
+    /// iteration.
     fn on_deadlines_capped(&mut self, at: Micros) {
         for request in self.requests.values_mut() {
             request.info.not_after = request.info.not_after.min(at);
         }
     }
 
-    /// What no event brings up: the list to ask for, the medians, states that wait for a writer, readers that
-    /// have become unresponsive.
+    /// Periodic work that no other event triggers: subscribing to the list when due, updating medians,
+    /// retrying requests that wait for a writer, and reporting overdue reads. Restarts its own timer.
     fn sweep(&mut self, actions: &mut Vec<Action>) {
         actions.push(Action::StartTimer { delay: SWEEP_INTERVAL_US, token: SWEEP });
         if self.subscribe_at.is_some_and(|at| at <= self.state.now) {
@@ -242,7 +251,8 @@
         self.report_overdue_reads();
     }
 
-    /// Reads that are overdue are news to the other dispatchers before they end.
+    /// Reports overdue reads to the other dispatchers by gossip, before the reads end. Only the oldest
+    /// unanswered attempt of each reader counts.
     fn report_overdue_reads(&mut self) {
         let RoutingState { fleet, gossip, stages, now, .. } = &mut self.state;
         let unloaded_us_per_token = stages[Stage::Read as usize].unloaded_us_per_token;
@@ -270,7 +280,8 @@
         }
     }
 
-    /// Sends a request to a server. The rules are asked once more, whoever has chosen it.
+    /// Sends a request to a server. Checks once more that this is permitted, whichever rule chose the server,
+    /// and ends the request if it is not.
     fn send(&mut self, id: RequestId, to: ServerId, stage: Stage, actions: &mut Vec<Action>) {
         let state = &mut self.state;
         let (Some(request), Some(server)) = (self.requests.get_mut(&id), state.fleet.get(to)) else { return };
@@ -285,7 +296,7 @@
         self.awaiting_writer.remove(&id);
     }
 
-    /// Ends a request without a stream and releases its state.
+    /// Ends a request without a stream (rejected or failed) and releases its state.
     fn answer(&mut self, id: RequestId, reason: EndReason, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         self.end_reasons.push((id, reason));
@@ -294,8 +305,8 @@
         self.close(id, actions);
     }
 
-    /// Removes a request that is completed and has nothing in flight; a state that is held for it is
-    /// released.
+    /// Removes a request if it is completed and has no attempt in flight, and releases a state that is held
+    /// for it.
     fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         self.awaiting_writer.remove(&id);
         let Some(request) = self.requests.get(&id) else { return };
@@ -309,7 +320,7 @@
     }
 }
 
-/// What is known at the start: nothing but first guesses.
+/// The state at the start, with initial guesses in place of learnt figures.
 fn initial_state(settings: Settings, now: Micros) -> RoutingState {
     let us_per_token = settings.shortest_latency_objective() / FIRST_GUESS_TOKENS;
     let times = FleetTimes {
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -1,6 +1,7 @@
-//! Settings as `path=value` pairs: the one form in which the simulator and the configuration file meet.
+//! Parses [`Settings`] from `path=value` pairs, the form that both the simulator and the configuration file
+//! are converted to.
 //!
-//! An empty value and `-` stand for an absent one. Paths that are not known are skipped.
+//! For most paths an empty value or `-` means that the value is absent. Unknown paths are ignored.
 
 use std::collections::HashMap;
 use std::str::FromStr;
@@ -9,110 +10,115 @@
 
 use crate::interface::{Class, DedupGroup, Effect, Kind, Micros, Role, Settings, ZoneId, REPORT_FIELDS};
 
-/// A value that can't be read.
+/// A settings value that cannot be parsed or is not valid.
 #[derive(Clone, Debug, Error, PartialEq)]
 #[error("settings {path}: {problem}")]
 pub struct SettingsError {
-    /// Which value.
+    /// The path of the value, such as `limits.max_attempts`.
     pub path: String,
-    /// What is wrong with it.
+    /// Why the value is rejected.
     pub problem: SettingsProblem,
 }
 
-/// What is wrong with a value. Operators and the simulator see these texts.
+/// Why a settings value is rejected. The messages are shown to operators and returned to the simulator.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum SettingsProblem {
-    /// No whole number, or no number at all, as the path wants it.
+    /// Not a number, or not a whole number at a path that requires one. Contains the text.
     #[error("can't read '{0}'")]
     Unreadable(String),
-    /// No number of a list.
+    /// An element of a list that is not a number, or too large. Contains the text.
     #[error("'{0}' is no number")]
     NotANumber(String),
-    /// No time in seconds.
+    /// Not a time in seconds, too large, or negative. Contains the text.
     #[error("'{0}' is no time")]
     NotATime(String),
-    /// A time of a list that is negative.
+    /// A negative time in a list. Contains the value.
     #[error("{0} is no time")]
     NegativeTime(f64),
-    /// A price that is negative or not finite.
+    /// A price that is negative or not finite. Contains the value.
     #[error("{0} is no price")]
     NotAPrice(f64),
-    /// Neither `true` nor `false`, nor 1 nor 0.
+    /// A flag that is none of `true`, `false`, `1` and `0`. Contains the text.
     #[error("'{0}' is neither true nor false")]
     NotAFlag(String),
-    /// Outside of what it may be.
+    /// A number outside of its valid range.
     #[error("{value} is not {min} to {max}")]
     OutOfRange {
-        /// What was told.
+        /// The rejected value.
         value: f64,
-        /// The least that it may be.
+        /// Minimum valid value.
         min: f64,
-        /// The most.
+        /// Maximum valid value.
         max: f64,
     },
-    /// A word that the path does not have.
+    /// A word that is not one of the valid ones for its path.
     #[error("unknown {what} '{word}'")]
     UnknownWord {
-        /// What the words of the path stand for.
+        /// What the words at this path name, such as "effect" or "role".
         what: &'static str,
-        /// The word.
+        /// The rejected word.
         word: String,
     },
-    /// The name of two kinds of servers.
+    /// A name that two kinds of servers share. Contains the name.
     #[error("'{0}' is there twice")]
     DuplicateKind(String),
-    /// A memory that is not a positive number.
+    /// A memory size of a kind of servers that is not a positive number.
     #[error("{value} of kind {kind} is not a positive number")]
     InvalidMemory {
-        /// What was told.
+        /// The rejected value, in tokens.
         value: f64,
-        /// The kind's number.
+        /// The number of the kind, i.e. its position in the list.
         kind: usize,
     },
 }
 
-/// More dispatchers than this are a mistake in the settings.
+/// Maximum number of dispatchers; a larger number is taken for a configuration mistake.
 const MAX_DISPATCHERS: u32 = 100_000;
-/// Tokens, times in seconds and multiples above this are mistakes in the settings.
+/// Limit for numbers of tokens, times in seconds and multiples; larger ones are taken for configuration
+/// mistakes.
 const MAX_NUMBER: f64 = 1e12;
-/// Where a class's time-out is not told (us).
+/// Default timeout of a class that does not set one (us).
 const DEFAULT_TIMEOUT_US: Micros = 10_000_000;
-/// What `domain.report_xN` says of a field that holds the share of memory held; the configuration has blanks
-/// there, the simulator, whose values have none, these.
+/// The value of `domain.report_xN` for the load report field that contains the share of held memory. The
+/// configuration file writes it with spaces, which are replaced before the comparison; the simulator, whose
+/// values cannot contain spaces, writes underscores.
 const MEMORY_HELD: &str = "share_of_memory_that_is_held";
-/// Times of classes lie below this path.
+/// Path prefix of the settings of classes.
 const CLASSES: &str = "lanes.";
 
-/// The pairs, looked up by path.
+/// The pairs, with lookups that parse the value at a path.
 struct KeyValues<'a> {
     values: HashMap<&'a str, &'a str>,
 }
 
 impl<'a> KeyValues<'a> {
-    /// The value at a path, unless it is absent.
-    fn told(&self, path: &str) -> Option<&'a str> {
+    /// The value at a path; `None` if the path is missing or its value is empty or `-`.
+    fn non_empty(&self, path: &str) -> Option<&'a str> {
         self.values.get(path).copied().filter(|text| !matches!(*text, "" | "-"))
     }
 
-    /// The value at a path as it stands; empty where there is none.
+    /// The raw value at a path; empty if the path is missing.
     fn text(&self, path: &str) -> &'a str {
         self.values.get(path).copied().unwrap_or("")
     }
 
-    fn number<T: FromStr>(&self, path: &str, absent: T) -> Result<T, SettingsError> {
-        let Some(text) = self.told(path) else { return Ok(absent) };
+    /// The number at a path, or `default` if absent.
+    fn number<T: FromStr>(&self, path: &str, default: T) -> Result<T, SettingsError> {
+        let Some(text) = self.non_empty(path) else { return Ok(default) };
         text.parse().map_err(|_| error(path, SettingsProblem::Unreadable(text.to_owned())))
     }
 
-    /// A time in seconds.
-    fn time_us(&self, path: &str, absent: Micros) -> Result<Micros, SettingsError> {
-        let Some(text) = self.told(path) else { return Ok(absent) };
-        // Negative times of classes count as 0 here; they are refused with more to say where a file is read.
+    /// The time at a path, converted from seconds to microseconds, or `default` if absent.
+    fn time_us(&self, path: &str, default: Micros) -> Result<Micros, SettingsError> {
+        let Some(text) = self.non_empty(path) else { return Ok(default) };
+        // Negative times of classes become 0 here. Reading a configuration file rejects them, with a more
+        // specific message.
         let may_be_negative = path.starts_with(CLASSES);
         let time_us = parse_micros(text).filter(|_| may_be_negative || !text.starts_with('-'));
         time_us.ok_or_else(|| error(path, SettingsProblem::NotATime(text.to_owned())))
     }
 
+    /// The price at a path, 0 if absent.
     fn price(&self, path: &str) -> Result<f64, SettingsError> {
         let price: f64 = self.number(path, 0.0)?;
         if !price.is_finite() || price < 0.0 {
@@ -121,6 +127,7 @@
         Ok(price)
     }
 
+    /// The flag at a path, `false` if absent.
     fn flag(&self, path: &str) -> Result<bool, SettingsError> {
         match self.text(path) {
             "true" | "1" => Ok(true),
@@ -129,27 +136,28 @@
         }
     }
 
-    /// A number from 0 to `max`.
-    fn number_up_to(&self, path: &str, absent: f64, max: f64) -> Result<f64, SettingsError> {
-        let value = self.number(path, absent)?;
+    /// The number at a path, which must be from 0 to `max`, or `default` if absent.
+    fn number_up_to(&self, path: &str, default: f64, max: f64) -> Result<f64, SettingsError> {
+        let value = self.number(path, default)?;
         if !(0.0..=max).contains(&value) {
             return Err(error(path, SettingsProblem::OutOfRange { value, min: 0.0, max }));
         }
         Ok(value)
     }
 
+    /// The elements of the comma-separated list at a path. Empty elements are skipped.
     fn list(&self, path: &str) -> Vec<&'a str> {
         self.text(path).split(',').filter(|part| !part.is_empty()).collect()
     }
 
-    /// A number of the list at a path; 0 where it is not told.
+    /// The number at a position of the list at a path; 0 if the list is shorter.
     fn number_in_list(&self, path: &str, position: usize) -> Result<f64, SettingsError> {
         let Some(&text) = self.list(path).get(position) else { return Ok(0.0) };
         let number = text.parse().ok().filter(|number: &f64| number.abs() < MAX_NUMBER);
         number.ok_or_else(|| error(path, SettingsProblem::NotANumber(text.to_owned())))
     }
 
-    /// A time of the list at a path, in the path's own unit; 0 where it is not told.
+    /// The time at a position of the list at a path, in the unit of that path; 0 if the list is shorter.
     fn time_in_list(&self, path: &str, position: usize) -> Result<f64, SettingsError> {
         let time = self.number_in_list(path, position)?;
         if time < 0.0 || time.is_nan() {
@@ -167,17 +175,19 @@
     error(path, SettingsProblem::UnknownWord { what, word: word.to_owned() })
 }
 
-/// Reads settings from their `path=value` pairs. Unknown paths are skipped.
+/// Parses settings from `path=value` pairs. Absent values get defaults, and unknown paths are ignored.
 ///
 /// # Errors
-/// The first value that can't be read.
+/// Returns the error of the first value that cannot be parsed or is not valid.
 pub fn from_key_values(values: HashMap<&str, &str>) -> Result<Settings, SettingsError> {
     let values = KeyValues { values };
     let class_count = values.number("lanes.count", 0)?;
     Ok(Settings {
         dispatcher_count: dispatcher_count(&values)?,
         zone: ZoneId(values.number("locality", 0)?),
-        classes: (0..class_count).map(|at| Ok((at, class(&values, at)?))).collect::<Result<_, _>>()?,
+        classes: (0..class_count)
+            .map(|class_number| Ok((class_number, class(&values, class_number)?)))
+            .collect::<Result<_, _>>()?,
         kinds: kinds(&values)?,
         must_subscribe: must_subscribe(&values)?,
         max_list_age: values.time_us("rules.must_ask_in_s", 0)?,
@@ -213,26 +223,27 @@
     }
 }
 
-/// The report field that holds the share of memory held, where one is told to.
+/// Index of the load report field that contains the share of held memory; `None` if no field is set to that.
 fn memory_field(values: &KeyValues) -> Option<usize> {
     let meaning = |field: &usize| values.text(&format!("domain.report_x{field}")).replace(' ', "_");
     (0..REPORT_FIELDS).find(|field| meaning(field) == MEMORY_HELD)
 }
 
+/// Parses the class with a number. Some of its settings are elements of lists over all classes.
 fn class(values: &KeyValues, number: u32) -> Result<Class, SettingsError> {
     let path = |name: &str| format!("{CLASSES}{number}.{name}");
     let position = number as usize;
     let effect = effect(values, &path("effect"))?;
     let dedup_group = dedup_group(values, &path("group"))?;
     let name = values.text(&path("name"));
-    let objective_per_1000_us = "domain.aim_us_per_1000_prompt_tokens";
+    let objective_per_1000_path = "domain.aim_us_per_1000_prompt_tokens";
     Ok(Class {
         name: if name.is_empty() { number.to_string() } else { name.to_owned() },
         default_timeout: values.time_us(&path("give_up_s"), DEFAULT_TIMEOUT_US)?,
         max_attempts: values.number("limits.max_attempts", u32::MAX)?,
         retired: false,
         latency_objective: values.time_us(&path("aim_s"), 0)?,
-        latency_objective_per_1000_tokens: round(values.time_in_list(objective_per_1000_us, position)?),
+        latency_objective_per_1000_tokens: round(values.time_in_list(objective_per_1000_path, position)?),
         token_interval_objective: round(values.time_in_list("domain.token_aim_s", position)? * 1e6),
         effect,
         dedup_group,
@@ -255,11 +266,13 @@
         "zone" => Ok(DedupGroup::Zone),
         "cell" => Ok(DedupGroup::Cell),
         "all" | "" | "-" => Ok(DedupGroup::All),
-        // A guess could send what may have run to a server that does not know of it.
+        // There is no default for unknown words: a wrong group could send a request that may have run to a
+        // server that does not deduplicate it.
         other => Err(unknown_word(path, "group", other)),
     }
 }
 
+/// Parses the kinds of servers. There are as many as the longer of the lists of roles and names has elements.
 fn kinds(values: &KeyValues) -> Result<Vec<Kind>, SettingsError> {
     let (roles, names) = (values.list("domain.role_by_kind"), values.list("kinds"));
     for (position, name) in names.iter().enumerate() {
@@ -275,6 +288,7 @@
     Ok(kinds)
 }
 
+/// Parses a role; a kind without one is mixed.
 fn role(word: Option<&str>) -> Result<Role, SettingsError> {
     match word {
         Some("read") => Ok(Role::Reader),
@@ -284,25 +298,26 @@
     }
 }
 
-/// The memory of a kind of servers in tokens; 0 where it is not told.
+/// Memory of a kind of servers in tokens; 0 if not set.
 fn memory_tokens(values: &KeyValues, kind: usize) -> Result<u64, SettingsError> {
     let path = "domain.kind_memory_tokens";
     let value = values.number_in_list(path, kind)?;
-    let is_told = values.list(path).get(kind).is_some();
-    if is_told && !(value.is_finite() && value > 0.0) {
+    let is_set = values.list(path).get(kind).is_some();
+    if is_set && !(value.is_finite() && value > 0.0) {
         return Err(error(path, SettingsProblem::InvalidMemory { value, kind }));
     }
     Ok(round(value))
 }
 
-/// Seconds with decimals, in whole microseconds; `None` where the text is no time.
+/// Parses a time in decimal seconds into whole microseconds; `None` if the text is not a number or too large.
+/// Negative times become 0.
 #[must_use]
 pub fn parse_micros(text: &str) -> Option<Micros> {
     let seconds: f64 = text.parse().ok()?;
     (seconds.is_finite() && seconds.abs() < MAX_NUMBER).then(|| round(seconds * 1e6))
 }
 
-/// The nearest whole number; 0 for a negative one.
+/// Rounds to the nearest whole number; negative values become 0.
 fn round(value: f64) -> u64 {
     value.round().max(0.0) as u64
 }
