--- a/crates/idempotency/src/lib.rs
+++ b/crates/idempotency/src/lib.rs
@@ -1,16 +1,17 @@
 //! Idempotency of requests that clients repeat: a state machine without I/O.
 //!
-//! A repeat is recognised by the client's idempotency key, or by its body where a library says that it retries. It
-//! joins the request that is in flight, is given a replay of the kept answer from its first byte, runs because the
-//! first provably never ran, or is rejected. [`IdempotencyStore`] decides; `docs/design/ledger.md` tells what was
-//! weighed.
+//! A repeat is recognised by the client's idempotency key, or by its body where the client library marks its retries.
+//! A repeat joins the request that is in flight, gets a replay of the kept answer from its first byte, runs because
+//! the first attempt provably never ran, or is rejected. [`IdempotencyStore`] decides which; `docs/design/ledger.md`
+//! discusses the alternatives.
 //!
-//! Times are whole microseconds ([`Micros`]) on the caller's clock; randomness comes as an argument. What is to be done
-//! outside is returned as [`Effect`].
+//! Times are whole microseconds ([`Micros`]) on the caller's clock. The caller passes random numbers as arguments,
+//! and the store returns the actions that the caller must take as [`Effect`]s.
 //!
-//! Order of the modules, lower ones first: `fingerprint`, `timing_wheel`, `linked_lists`, `recording`, `retry_budget`;
-//! `types` (requests, decisions, outcomes) and `policy`; `entry` and `entry_table` (what is remembered, and within which
-//! bounds); `tenants`; `store`, and `admission`, the part of it that decides what a repeat gets.
+//! The modules, each after those that it depends on: `fingerprint`, `timing_wheel`, `linked_lists`, `recording`,
+//! `retry_budget`; `types` (requests, decisions, outcomes) and `policy`; `entry` and `entry_table` (the remembered
+//! requests and their limits); `tenants`; `store`, and `admission`, the part of the store that decides what to do
+//! with a request.
 
 mod admission;
 mod entry;
@@ -35,5 +36,5 @@
     RequestIdentity, Stats,
 };
 
-/// A point on the caller's clock, or a length of time, in microseconds.
+/// A point on the caller's clock, or a duration, in microseconds.
 pub type Micros = u64;
--- a/crates/idempotency/src/policy.rs
+++ b/crates/idempotency/src/policy.rs
@@ -1,29 +1,29 @@
-//! Bounds of what is remembered, and retention times.
+//! Limits of the store, and its retention times.
 
 use crate::retry_budget::RetryBudgetPolicy;
 use crate::Micros;
 
-/// Bounds, and for how long requests are remembered.
+/// Limits of the store, and for how long it remembers requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Policy {
-    /// Requests that are remembered at once.
+    /// The maximum number of remembered requests.
     pub max_entries: usize,
-    /// Memory of all entries with their answers (bytes).
+    /// The maximum memory that all entries with their answers are charged for (bytes).
     pub max_bytes: usize,
-    /// An answer is kept for replay up to this length (bytes).
+    /// The store keeps an answer for replay up to this length (bytes).
     pub max_answer_bytes: usize,
-    /// Clients that may read one answer at once, the first among them.
+    /// The maximum number of clients that read one answer at the same time, including the one whose request runs.
     pub max_readers: u32,
-    /// The share of entries that one tenant may hold, in thousandths.
+    /// The maximum share of `max_entries` that one tenant may hold, in thousandths.
     pub tenant_permille: u32,
-    /// How long a request is remembered after its end (us).
+    /// For how long a request is remembered after its run ended (us).
     pub retention_us: Micros,
-    /// For so long after the start, a repeat of an at-most-once request whose first is not known is rejected: the first
-    /// may have come before the start (us).
+    /// For this long after the start (us), a retry of an at-most-once request that has no entry is rejected: its
+    /// first attempt may have come before the start.
     pub startup_guard_us: Micros,
-    /// An at-most-once request goes on for so long after its last client has left (us); 0 cancels it at once.
+    /// For how long an at-most-once request goes on after its last client has left (us); 0 cancels it at once.
     pub linger_us: Micros,
-    /// Each tenant's budget for retries.
+    /// The retry budget of each tenant.
     pub retry_budget: RetryBudgetPolicy,
 }
 
--- a/crates/idempotency/src/types.rs
+++ b/crates/idempotency/src/types.rs
@@ -1,14 +1,15 @@
-//! What goes into the store and what comes out of it: requests, decisions, outcomes and effects.
+//! Input and output of the store: requests, decisions, outcomes and effects.
 
 use crate::fingerprint::Fingerprint;
 use crate::Micros;
 
-/// By what a repeat of a request would be recognised.
+/// The fingerprint by which the store recognises a repeat of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestIdentity {
-    /// The idempotency key that its client gave it.
+    /// Fingerprint of the idempotency key that the client sent.
     Key(Fingerprint),
-    /// Its body, where its library marks retries. Two different requests may have the same one.
+    /// Fingerprint of the body, used where the client library marks its retries. Two different requests may have the
+    /// same body.
     Body(Fingerprint),
 }
 
@@ -23,22 +24,23 @@
     }
 }
 
-/// A request that a client makes.
+/// A request as it arrives from a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IncomingRequest {
-    /// Whose it is.
+    /// The tenant that sent the request.
     pub tenant: u32,
-    /// It must not run twice.
+    /// The request must not run twice.
     pub at_most_once: bool,
-    /// By what a repeat of it would be recognised; `None` if it would not be.
+    /// The identity by which a repeat is recognised; `None` if repeats of this request cannot be recognised.
     pub identity: Option<RequestIdentity>,
-    /// The body's fingerprint.
+    /// Fingerprint of the body. A repeat must have the same one.
     pub body: Fingerprint,
-    /// Its client says that it is a retry.
+    /// The client marked the request as a retry.
     pub is_retry: bool,
 }
 
-/// A remembered request, in one of its runs. One that runs again has another id to those who read the run before.
+/// Identifies one run of a remembered request. When the request runs again, the id changes, so that readers of the
+/// previous run cannot read the new one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EntryId {
     pub(crate) index: u32,
@@ -46,32 +48,33 @@
 }
 
 impl EntryId {
-    /// Its place in the table, which no other entry has at the same time.
+    /// Index of the entry in the table. It is unique among current entries, and reused once the entry is freed.
     #[must_use]
     pub fn index(self) -> u32 {
         self.index
     }
 }
 
-/// What is to be done with a request. With [`Run`](Self::Run) and [`Join`](Self::Join) the client becomes a reader of
-/// the entry, until it is reported to have [left](crate::IdempotencyStore::reader_left).
+/// The decision about a request. With [`Run`](Self::Run) and [`Join`](Self::Join) the client becomes a reader of
+/// the entry, until the caller reports that it has [left](crate::IdempotencyStore::reader_left).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is to run, and its answer to be recorded.
+    /// The caller runs the request and records its answer under this id.
     Run(EntryId),
-    /// It is a repeat: the entry's answer is read from its first byte, live or kept.
+    /// The request is a repeat: the client reads the answer of this entry from its first byte, while the answer
+    /// streams or as a replay.
     Join(EntryId),
-    /// It is to run, and nothing of it is remembered.
+    /// The caller runs the request; the store remembers nothing of it.
     RunUnrecorded,
-    /// Its idempotency key came with another body before.
+    /// The entry of this identity belongs to a request with another body, or with another `at_most_once`.
     KeyReused,
-    /// It must not run, now or later.
+    /// The request must not run, now or later.
     Reject(RejectReason),
-    /// Not now. It did not run and may come back.
+    /// The request did not run, and the client may retry it later.
     Defer {
-        /// After this (us).
+        /// The client may retry after this delay (us).
         retry_after_us: Micros,
-        /// Why.
+        /// The limit that deferred the request.
         reason: DeferReason,
     },
 }
@@ -79,99 +82,101 @@
 /// Why a request must not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// It ran and was answered; the answer is not kept any more.
+    /// The request ran and was answered, but its answer is no longer kept.
     AlreadyAnswered,
-    /// It may have run; whether it did is not known.
+    /// An earlier attempt may have run; whether it did is unknown.
     MayHaveExecuted,
-    /// The program started after the first may have come, so it can't know.
+    /// The store started so recently that an earlier attempt may predate it, so the store cannot know whether the
+    /// request ran.
     RecentStart,
 }
 
 /// Why a request may only run later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeferReason {
-    /// The tenant's retries are too many for its fresh requests.
+    /// The tenant has used up its retry budget, which grows with its fresh requests.
     RetryBudget,
-    /// There is no room to remember it, and it must not be forgotten.
+    /// The store has no room for an entry, and the request must not run without one.
     Capacity,
-    /// Too many clients read the same answer.
+    /// The entry already has the maximum number of readers.
     TooManyReaders,
 }
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// With a whole answer.
+    /// The answer is complete.
     Completed,
-    /// With an answer that broke off; why, as a number of the caller's own.
+    /// The answer broke off; the number is a reason code that the caller defines.
     Interrupted(u8),
-    /// Refused by the servers: it never ran.
+    /// The servers refused the request: it never ran.
     Refused {
-        /// When the client may come again (us).
+        /// The client may retry after this delay (us).
         retry_after_us: Micros,
     },
-    /// Failed without an answer.
+    /// The run failed without an answer.
     Failed {
-        /// Whether it may have run.
+        /// Whether the request may have run.
         may_have_executed: bool,
     },
-    /// Canceled, as [`Effect::Cancel`] asked for.
+    /// The caller canceled the run after [`Effect::Cancel`].
     Canceled {
-        /// Whether it may have run.
+        /// Whether the request may have run.
         may_have_executed: bool,
     },
 }
 
-/// What a reader finds at its place in the answer.
+/// What a reader finds at its offset in the answer.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ReadResult<'a> {
-    /// More of the answer.
+    /// The next bytes of the answer.
     Data(&'a [u8]),
-    /// Nothing yet: [`Effect::Wake`] will tell.
+    /// No data yet: [`Effect::Wake`] follows when there is some, or when the run ends.
     Pending,
-    /// The run ended so; there is no more of its answer.
+    /// The reader has read the whole recorded answer, and the run ended with this outcome.
     Ended(Outcome),
-    /// The answer went on without this reader: it was too slow, and the answer had outgrown what is kept.
+    /// The bytes at this offset were dropped: the reader was too slow, and the answer had outgrown the kept size.
     Overrun,
-    /// This run is gone and nothing is known of it: the request is to be submitted again.
+    /// The run is no longer in the store: the caller must submit the request again.
     Gone,
 }
 
-/// What is to be done outside.
+/// An action that the caller must take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Readers of this entry, and the task that records it, have something to do.
+    /// Wake the readers of this entry and the task that records its answer.
     Wake(EntryId),
-    /// Nobody reads this run any more: it is to be canceled, and how that ended to be reported.
+    /// The run has no reader left: cancel it, and report the outcome with
+    /// [`finish`](crate::IdempotencyStore::finish).
     Cancel(EntryId),
 }
 
-/// Figures of the caller's own that are kept with a run.
+/// Data of the caller that the store keeps with a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Execution {
-    /// The id under which it was sent to servers.
+    /// The id under which the request is sent to servers.
     pub request_id: u64,
-    /// When it began to run (us).
+    /// When the run began (us).
     pub started_us: Micros,
 }
 
-/// What the store holds and has done.
+/// Current size of the store, and counters since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
-    /// Requests that are remembered.
+    /// Requests that are remembered now.
     pub entries: usize,
-    /// Bytes that are held for them.
+    /// Bytes that these entries are charged for, with their answers.
     pub bytes: usize,
     /// Repeats that joined a request in flight.
     pub joined: u64,
-    /// Repeats that were given a kept answer.
+    /// Repeats that got a replay of a kept answer.
     pub replayed: u64,
-    /// Repeats that ran again: the first never ran, or may run again.
+    /// Repeats that ran again, because the first attempt never ran or the request may run twice.
     pub rerun: u64,
-    /// Repeats that were rejected for good.
+    /// Requests that got [`Admission::Reject`].
     pub rejected: u64,
-    /// Requests that were deferred for want of room or budget.
+    /// Requests that got [`Admission::Defer`].
     pub deferred: u64,
-    /// Entries and answers that were evicted before their time, for want of room.
+    /// Entries and answers that were evicted before they expired, to make room.
     pub evicted: u64,
 }
