--- a/crates/idempotency/src/admission.rs
+++ b/crates/idempotency/src/admission.rs
@@ -1,4 +1,4 @@
-//! What a request gets: it runs, joins a run in flight, is given a replay, or is rejected or deferred.
+//! Decides about an incoming request: it runs, joins a run in flight, gets a replay, or is rejected or deferred.
 
 use crate::entry::EntryState;
 use crate::recording::RESERVED_BYTES;
@@ -7,20 +7,21 @@
 use crate::types::{Admission, DeferReason, IncomingRequest, Outcome, RejectReason, RequestIdentity};
 use crate::Micros;
 
-/// What becomes of a repeat, by the state of its entry.
+/// How a repeat is handled, by the state of the entry that it repeats.
 enum Repeat {
-    /// It reads the run in flight.
+    /// The repeat reads the answer of the run in flight.
     JoinInFlight,
-    /// It reads the kept answer.
+    /// The repeat reads the kept answer.
     Replay,
-    /// The first may have run, so one that must not run twice is rejected.
-    MayRunTwice(RejectReason),
-    /// The first never ran.
+    /// The first attempt may have run, and its answer cannot be read from the start: an at-most-once repeat is
+    /// rejected with this reason, another one runs.
+    MayHaveRun(RejectReason),
+    /// The first attempt never ran, so the repeat may run.
     NeverRan,
 }
 
 impl IdempotencyStore {
-    /// A client makes a request. `random` spreads those that are deferred.
+    /// Decides about a request of a client. `random` spreads the times at which deferred clients retry.
     pub fn admit(&mut self, now: Micros, request: &IncomingRequest, random: u64) -> Admission {
         self.advance(now);
         let admission = self.decide(request, random);
@@ -33,12 +34,14 @@
     }
 
     fn decide(&mut self, request: &IncomingRequest, random: u64) -> Admission {
-        // Nobody could tell a repeat of it from a fresh one, but one that says it is a retry pays as such.
+        // Without an identity, repeats cannot be recognised. A request marked as a retry still counts against the
+        // retry budget.
         let Some(identity) = request.identity else { return self.run_unrecorded(request, random) };
         if let Some(index) = self.entries.find(request, identity, self.now) {
             return self.admit_repeat(index, request, random);
         }
-        // Guards a request whose first may have run before this program started: no entry proves nothing then.
+        // Shortly after the start, the first attempt may have run before the start, so that a missing entry does not
+        // prove that the request never ran.
         let guard_end = self.started_us.saturating_add(self.policy.startup_guard_us);
         if request.is_retry && request.at_most_once && self.now < guard_end {
             return Admission::Reject(RejectReason::RecentStart);
@@ -46,7 +49,7 @@
         self.admit_first(request, identity, random)
     }
 
-    /// Admits a request of which nothing is known.
+    /// Decides about a request that has no entry.
     fn admit_first(
         &mut self,
         request: &IncomingRequest,
@@ -60,21 +63,22 @@
             }
             return self.run_unrecorded(request, random);
         }
-        if let Err(deferred) = self.spend(request.tenant, request.is_retry, random) {
+        if let Err(deferred) = self.apply_retry_budget(request.tenant, request.is_retry, random) {
             return deferred;
         }
         let index = self.entries.insert(request, identity, account);
         Admission::Run(self.entries.id(index))
     }
 
+    /// Lets a request run without an entry, if the retry budget allows it.
     fn run_unrecorded(&mut self, request: &IncomingRequest, random: u64) -> Admission {
-        match self.spend(request.tenant, request.is_retry, random) {
+        match self.apply_retry_budget(request.tenant, request.is_retry, random) {
             Ok(()) => Admission::RunUnrecorded,
             Err(deferred) => deferred,
         }
     }
 
-    /// Admits a request whose first has this entry.
+    /// Decides about a request that repeats the one of this entry.
     fn admit_repeat(&mut self, index: u32, request: &IncomingRequest, random: u64) -> Admission {
         let entry = self.entries.entry(index);
         if entry.body != request.body || entry.at_most_once != request.at_most_once {
@@ -83,15 +87,16 @@
         match self.classify_repeat(index) {
             Repeat::JoinInFlight => return self.join(index, false, random),
             Repeat::Replay => return self.join(index, true, random),
-            Repeat::MayRunTwice(reason) if request.at_most_once => return Admission::Reject(reason),
-            Repeat::MayRunTwice(_) | Repeat::NeverRan => {}
+            Repeat::MayHaveRun(reason) if request.at_most_once => return Admission::Reject(reason),
+            Repeat::MayHaveRun(_) | Repeat::NeverRan => {}
         }
-        if let Err(deferred) = self.spend(request.tenant, true, random) {
+        if let Err(deferred) = self.apply_retry_budget(request.tenant, true, random) {
             return deferred;
         }
         let entry = self.entries.entry(index);
         let is_read = entry.readers > 0 && entry.answer_end() > 0;
-        // The run before is still being read, and can't be given from its first byte: this one runs beside it.
+        // The previous run is in flight or still being read, and cannot be read from its first byte: the repeat runs
+        // in addition to it, without an entry.
         if entry.is_running() || is_read {
             return Admission::RunUnrecorded;
         }
@@ -101,25 +106,27 @@
     fn classify_repeat(&self, index: u32) -> Repeat {
         let entry = self.entries.entry(index);
         match entry.state {
-            EntryState::Waiting | EntryState::Streaming if !entry.lost_beginning() => Repeat::JoinInFlight,
-            // Whether it ever ran is known when its cancellation has ended: until then its repeat waits for that.
+            EntryState::Waiting | EntryState::Streaming if !entry.is_pass_through() => Repeat::JoinInFlight,
+            // Whether the request ran is known only when its cancellation has ended: the repeat waits for that as a
+            // reader.
             EntryState::Canceling if entry.answer_end() == 0 => Repeat::JoinInFlight,
             EntryState::Waiting | EntryState::Streaming | EntryState::Canceling => {
-                Repeat::MayRunTwice(RejectReason::MayHaveExecuted)
+                Repeat::MayHaveRun(RejectReason::MayHaveExecuted)
             }
-            EntryState::Ended { outcome: Outcome::Completed, .. } if !entry.lost_beginning() => {
+            EntryState::Ended { outcome: Outcome::Completed, .. } if !entry.is_pass_through() => {
                 Repeat::Replay
             }
             EntryState::Ended { outcome: Outcome::Completed, .. } | EntryState::AnswerEvicted { .. } => {
-                Repeat::MayRunTwice(RejectReason::AlreadyAnswered)
+                Repeat::MayHaveRun(RejectReason::AlreadyAnswered)
             }
             EntryState::Ended { outcome, .. } if outcome.may_have_executed() => {
-                Repeat::MayRunTwice(RejectReason::MayHaveExecuted)
+                Repeat::MayHaveRun(RejectReason::MayHaveExecuted)
             }
             EntryState::Ended { .. } | EntryState::Free => Repeat::NeverRan,
         }
     }
 
+    /// Adds a reader to an entry, if it has room for one.
     fn join(&mut self, index: u32, is_replay: bool, random: u64) -> Admission {
         let max_readers = self.policy.max_readers;
         let entry = self.entries.entry_mut(index);
@@ -131,24 +138,24 @@
             self.stats.replayed += 1;
         } else {
             self.stats.joined += 1;
-            self.entries.deadlines.cancel(index); // it has a reader again
+            self.entries.deadlines.cancel(index); // a lingering run has a reader again
         }
-        self.entries.keep(index);
+        self.entries.exclude_from_eviction(index);
         Admission::Join(self.entries.id(index))
     }
 
-    /// An entry whose run has ended, and may be repeated, runs again.
+    /// Starts a new run of an entry whose run has ended and may be repeated.
     fn run_again(&mut self, index: u32, request: &IncomingRequest, random: u64) -> Admission {
-        self.entries.keep(index);
-        self.entries.release_answer(index);
+        self.entries.exclude_from_eviction(index);
+        self.entries.drop_answer(index);
         let entry = self.entries.entry_mut(index);
         let expires_us = entry.expires_us().unwrap_or(Micros::MAX);
-        // Others may still read the run before: it is over for them, and they are not counted for this one.
+        // Readers of the previous run find it gone, and do not count as readers of the new one.
         entry.run += 1;
         entry.readers = 1;
         entry.state = EntryState::Waiting;
         if !self.entries.make_room(RESERVED_BYTES) {
-            // What is known of it stays true: it may run, and does not now.
+            // The request still may run, but does not now, which is what a refused outcome says.
             let entry = self.entries.entry_mut(index);
             entry.state = EntryState::Ended { outcome: Outcome::Refused { retry_after_us: 0 }, expires_us };
             entry.readers = 0;
@@ -164,8 +171,9 @@
         Admission::Run(self.entries.id(index))
     }
 
-    /// Counts a request that is to run against its tenant's budget: a fresh one earns for retries, a retry pays.
-    fn spend(&mut self, tenant: u32, is_retry: bool, random: u64) -> Result<(), Admission> {
+    /// Applies a request that is to run to its tenant's retry budget: a fresh request adds to the budget, a retry
+    /// takes from it. Returns the decision to defer a retry that exceeds the budget.
+    fn apply_retry_budget(&mut self, tenant: u32, is_retry: bool, random: u64) -> Result<(), Admission> {
         let (now, policy) = (self.now, self.policy.retry_budget);
         let account = self.tenants.account(tenant);
         let budget = self.tenants.budget(account, &policy, now);
@@ -173,11 +181,12 @@
             budget.record_fresh(&policy, now);
             return Ok(());
         }
-        let paid = budget.try_spend(&policy, now, random);
-        paid.map_err(|retry_after_us| Admission::Defer { retry_after_us, reason: DeferReason::RetryBudget })
+        let spent = budget.try_spend(&policy, now, random);
+        spent.map_err(|retry_after_us| Admission::Defer { retry_after_us, reason: DeferReason::RetryBudget })
     }
 
-    /// Asks one back that is turned away for want of room.
+    /// Defers a request that a limit of the store leaves no room for. The delays are spread over a quarter of the
+    /// range that the retry budget allows.
     fn defer(&self, reason: DeferReason, random: u64) -> Admission {
         let RetryBudgetPolicy { min_retry_after_us, max_retry_after_us, .. } = self.policy.retry_budget;
         let spread = max_retry_after_us.saturating_sub(min_retry_after_us) / 4;
--- a/crates/idempotency/src/entry.rs
+++ b/crates/idempotency/src/entry.rs
@@ -5,60 +5,62 @@
 use crate::types::{Execution, IncomingRequest, Outcome, RequestIdentity};
 use crate::Micros;
 
-/// Bytes of an entry's places in the index, the timing wheel and the eviction lists.
+/// Bytes that one entry takes in the index, the timing wheel and the eviction lists.
 const INDEX_BYTES: usize = 24;
 const WHEEL_BYTES: usize = 12;
 const LIST_BYTES: usize = 12;
 
-/// Memory that an entry takes beside its answer (bytes).
+/// Memory that an entry takes in addition to its answer (bytes).
 pub const ENTRY_BYTES: usize =
     size_of::<Entry>() + size_of::<Recording>() + INDEX_BYTES + WHEEL_BYTES + LIST_BYTES;
 
-/// How far a request has come.
+/// The state of a remembered request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EntryState {
-    /// The place is free.
+    /// The table slot is free.
     Free,
-    /// It runs; nothing of its answer has come.
+    /// The request runs; nothing of its answer has arrived.
     Waiting,
-    /// It runs, and its answer comes.
+    /// The request runs, and its answer is arriving.
     Streaming,
-    /// Its last reader has left; it is being canceled.
+    /// The last reader has left, and the run is being canceled.
     Canceling,
-    /// It has ended, and is forgotten when the time comes.
+    /// The run has ended with `outcome`; the entry is forgotten at `expires_us`.
     Ended { outcome: Outcome, expires_us: Micros },
-    /// It ended with a whole answer, which was evicted.
+    /// The run ended with a complete answer, which has been dropped since.
     AnswerEvicted { expires_us: Micros },
 }
 
+/// A remembered request: its identity, the state of its run, its recorded answer and its readers.
 #[derive(Debug)]
 pub(crate) struct Entry {
-    /// The fingerprint of its key or body.
+    /// The fingerprint of the request's key or body.
     pub(crate) identity: Fingerprint,
-    /// Whether that is of a key.
+    /// Whether `identity` is the fingerprint of a key.
     pub(crate) is_keyed: bool,
     pub(crate) body: Fingerprint,
     pub(crate) at_most_once: bool,
     pub(crate) tenant: u32,
-    /// The account that its place is counted on: its tenant's, or that of all tenants beyond the bound.
+    /// The account that the entry counts against: the tenant's own, or the one shared by all tenants above the limit
+    /// on accounts.
     pub(crate) account: u32,
     pub(crate) state: EntryState,
     pub(crate) answer: Option<Box<Recording>>,
-    /// Clients that read this run.
+    /// Number of clients that read this run.
     pub(crate) readers: u32,
-    /// Counts the runs at this place: ids of earlier ones are stale.
+    /// The current run in this table slot; ids with another run number are stale.
     pub(crate) run: u32,
-    /// The number of its run among all runs: later ones have greater ones.
+    /// Position of the run among all runs of the store: later runs have greater numbers.
     pub(crate) sequence: u32,
     pub(crate) execution: Execution,
-    /// Bytes that are counted for it.
+    /// Bytes that the table charges for this entry and its answer.
     pub(crate) charged_bytes: u32,
-    /// It is out of the index already, and goes with its last reader.
+    /// The entry was removed from the index; its slot is freed when the last reader leaves.
     pub(crate) is_detached: bool,
 }
 
 impl Entry {
-    /// A request that is about to run, with its client as the first reader.
+    /// Creates the entry of a request that is about to run, with its client as the first reader.
     pub(crate) fn new(request: &IncomingRequest, identity: RequestIdentity, account: u32) -> Self {
         Self {
             identity: identity.fingerprint(),
@@ -82,7 +84,7 @@
         matches!(self.state, EntryState::Waiting | EntryState::Streaming | EntryState::Canceling)
     }
 
-    /// When it is forgotten, once it has ended.
+    /// When the entry is forgotten; `None` while the run has not ended.
     pub(crate) fn expires_us(&self) -> Option<Micros> {
         match self.state {
             EntryState::Ended { expires_us, .. } | EntryState::AnswerEvicted { expires_us } => {
@@ -100,22 +102,22 @@
         }
     }
 
-    /// Whether the first byte of its answer is not held any more, so that nobody can begin to read it.
-    pub(crate) fn lost_beginning(&self) -> bool {
-        self.answer.as_ref().is_some_and(|answer| answer.is_passing())
+    /// Whether the answer no longer keeps its first byte, so that no new reader can start on it.
+    pub(crate) fn is_pass_through(&self) -> bool {
+        self.answer.as_ref().is_some_and(|answer| answer.is_pass_through())
     }
 
-    /// Bytes of its answer that have come.
+    /// Length of the answer so far (bytes).
     pub(crate) fn answer_end(&self) -> u64 {
         self.answer.as_ref().map_or(0, |answer| answer.end())
     }
 
-    /// Bytes that its answer holds.
+    /// Memory that the recorded answer takes (bytes).
     pub(crate) fn answer_bytes(&self) -> usize {
         self.answer.as_ref().map_or(0, |answer| answer.held_bytes())
     }
 
-    /// Whether it can be forgotten at once without harm.
+    /// Whether forgetting the entry before it expires cannot make an at-most-once request run twice.
     pub(crate) fn is_disposable(&self) -> bool {
         !self.at_most_once || !self.may_have_executed()
     }
@@ -130,7 +132,7 @@
         }
     }
 
-    /// Whether what was recorded of its answer can be given to readers.
+    /// Whether readers may get the recorded part of the answer.
     pub(crate) fn has_answer(self) -> bool {
         matches!(self, Self::Completed | Self::Interrupted(_))
     }
--- a/crates/idempotency/src/entry_table.rs
+++ b/crates/idempotency/src/entry_table.rs
@@ -1,5 +1,6 @@
-//! All entries, found by identity, within bounds of number, memory and share of each tenant. What has to make room is
-//! evicted in this order: entries that can be forgotten without harm, then kept answers of entries that can't.
+//! The table of all entries, found by identity, with limits on their number, their memory and the share of each
+//! tenant. To make room it evicts entries that can be forgotten without harm first, then the kept answers of entries
+//! that must not be forgotten.
 
 use std::collections::HashMap;
 
@@ -13,28 +14,29 @@
 use crate::types::{EntryId, IncomingRequest, Outcome, RequestIdentity};
 use crate::Micros;
 
-/// The list of entries that can be forgotten at once without harm, the first to be evicted first.
+/// The eviction list of entries that can be forgotten without harm, in the order in which they are evicted.
 const DISPOSABLE: usize = 0;
-/// The list of entries that must not be forgotten, but whose answer may be evicted.
+/// The eviction list of entries that must not be forgotten, but whose answer may be dropped.
 const ANSWER_DISPOSABLE: usize = 1;
 
+/// Holds the entries in reusable slots, with the index, expiry times, eviction lists and memory accounting.
 #[derive(Debug)]
 pub(crate) struct EntryTable {
     max_entries: usize,
     max_bytes: usize,
-    /// Entries that one account may hold.
+    /// The maximum number of entries of one account.
     max_account_entries: u64,
     entries: Vec<Entry>,
-    free: Vec<u32>,
-    /// Places of entries by the fingerprint of their identity.
+    free_slots: Vec<u32>,
+    /// Slots of entries by the fingerprint of their identity.
     index: HashTable<u32>,
-    /// When entries expire, or are to be canceled as nobody reads them any more.
+    /// When ended entries expire, and when running ones without a reader are to be canceled.
     pub(crate) deadlines: TimingWheel,
     evictable: LinkedLists<2>,
     entries_by_account: HashMap<u32, u64>,
     bytes: usize,
-    /// Runs that have begun.
-    runs: u32,
+    /// Number of runs that have begun.
+    run_count: u32,
     evicted: u64,
 }
 
@@ -46,35 +48,36 @@
             max_bytes: policy.max_bytes,
             max_account_entries: share.max(1),
             entries: Vec::new(),
-            free: Vec::new(),
+            free_slots: Vec::new(),
             index: HashTable::new(),
             deadlines: TimingWheel::new(now),
             evictable: LinkedLists::new(),
             entries_by_account: HashMap::new(),
             bytes: 0,
-            runs: 0,
+            run_count: 0,
             evicted: 0,
         }
     }
 
-    /// Entries that are held.
+    /// Number of slots in use.
     pub(crate) fn len(&self) -> usize {
-        self.entries.len() - self.free.len()
+        self.entries.len() - self.free_slots.len()
     }
 
-    /// Bytes that are counted for them.
+    /// Bytes that all entries are charged for.
     pub(crate) fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Entries and answers that were evicted before their time.
+    /// Number of entries and answers that were evicted before they expired.
     pub(crate) fn evicted(&self) -> u64 {
         self.evicted
     }
 
-    /// Memory that the tables have reserved, answers aside (bytes).
+    /// Memory that the table, index, timing wheel and lists have reserved, without the answers (bytes).
     pub(crate) fn reserved_bytes(&self) -> usize {
-        let entries = self.entries.capacity() * size_of::<Entry>() + self.free.capacity() * size_of::<u32>();
+        let entries =
+            self.entries.capacity() * size_of::<Entry>() + self.free_slots.capacity() * size_of::<u32>();
         entries + self.index.allocation_size() + self.deadlines.bytes() + self.evictable.bytes()
     }
 
@@ -90,14 +93,15 @@
         &mut self.entries[index as usize]
     }
 
-    /// The entry of this id, if this run is still there.
+    /// The entry of this id; `None` if the entry was freed or has begun another run.
     pub(crate) fn get_mut(&mut self, id: EntryId) -> Option<&mut Entry> {
         let entry = self.entries.get_mut(id.index as usize)?;
         (entry.run == id.run && entry.state != EntryState::Free).then_some(entry)
     }
 
-    /// The entry that a request repeats. Of several with the same body that one is meant which runs on without a
-    /// reader, or else the latest that may have run: taken for the repeat of one that never ran, it could run twice.
+    /// Finds the entry that a request repeats. Of several entries with the same body, it takes one that runs without
+    /// a reader, or else the latest that may have run: if the request were matched to an entry that never ran, it
+    /// could run twice.
     pub(crate) fn find(
         &self,
         request: &IncomingRequest,
@@ -110,7 +114,7 @@
         let fingerprint = identity.fingerprint();
         let matches = |index: &&u32| {
             let entry = self.entry(**index);
-            // An expired entry counts no more, also where the wheel has not come to it.
+            // An expired entry does not match, even if the timing wheel has not fired for it yet.
             let is_expired = entry.expires_us().is_some_and(|expires_us| expires_us <= now);
             entry.identity == fingerprint
                 && entry.is_keyed == identity.is_key()
@@ -124,9 +128,9 @@
         self.index.iter_hash(fingerprint.hash_bits()).filter(matches).copied().max_by_key(rank)
     }
 
-    /// Whether an account may have one entry more; evicts what can be forgotten without harm.
+    /// Whether an account may add an entry; evicts entries that can be forgotten without harm to make room for it.
     pub(crate) fn make_room_for_entry(&mut self, account: u32) -> bool {
-        // Before the eviction: what that frees of the account's own does not count yet.
+        // Read before the eviction: an entry of this account that is evicted below still counts against its share.
         let held = self.entries_by_account.get(&account).copied().unwrap_or(0);
         while self.len() >= self.max_entries {
             let Some(index) = self.evictable.oldest(DISPOSABLE) else { return false };
@@ -136,14 +140,14 @@
         held < self.max_account_entries && self.make_room(ENTRY_BYTES + RESERVED_BYTES)
     }
 
-    /// Whether so many bytes can be had; evicts entries and answers for them.
+    /// Whether `bytes` more bytes fit into the limit; evicts entries and answers to make room for them.
     pub(crate) fn make_room(&mut self, bytes: usize) -> bool {
         while self.bytes + bytes > self.max_bytes {
             if let Some(index) = self.evictable.oldest(DISPOSABLE) {
                 self.forget(index);
             } else if let Some(index) = self.evictable.oldest(ANSWER_DISPOSABLE) {
-                self.evictable.leave(index);
-                self.release_answer(index);
+                self.evictable.unlink(index);
+                self.drop_answer(index);
             } else {
                 return false;
             }
@@ -152,7 +156,7 @@
         true
     }
 
-    /// Adds a request that begins to run.
+    /// Adds the entry of a request that begins to run, and returns its slot.
     pub(crate) fn insert(
         &mut self,
         request: &IncomingRequest,
@@ -161,7 +165,7 @@
     ) -> u32 {
         *self.entries_by_account.entry(account).or_default() += 1;
         let entry = Entry::new(request, identity, account);
-        let index = match self.free.pop() {
+        let index = match self.free_slots.pop() {
             Some(index) => {
                 let run = self.entries[index as usize].run.wrapping_add(1);
                 self.entries[index as usize] = Entry { run, ..entry };
@@ -179,55 +183,58 @@
         index
     }
 
-    /// A run begins, with room for what its readers must never wait for.
+    /// Starts a run with an empty recording. The entry is charged for the recording's reserved bytes at once, so
+    /// that its readers never wait for memory.
     pub(crate) fn begin_run(&mut self, index: u32) {
-        self.runs = self.runs.wrapping_add(1);
+        self.run_count = self.run_count.wrapping_add(1);
         self.charge(index, ENTRY_BYTES + RESERVED_BYTES);
-        let sequence = self.runs;
+        let sequence = self.run_count;
         let entry = self.entry_mut(index);
         entry.sequence = sequence;
         entry.answer = Some(Box::<Recording>::default());
     }
 
-    /// An entry that somebody reads again, or that runs again, is not to be evicted.
-    pub(crate) fn keep(&mut self, index: u32) {
-        self.evictable.leave(index);
+    /// Removes an entry from the eviction lists, because it has a reader or runs again.
+    pub(crate) fn exclude_from_eviction(&mut self, index: u32) {
+        self.evictable.unlink(index);
     }
 
-    /// Counts this many bytes for an entry.
+    /// Sets the number of bytes that an entry is charged for.
     pub(crate) fn charge(&mut self, index: u32, bytes: usize) {
         let entry = &mut self.entries[index as usize];
         self.bytes = self.bytes - entry.charged_bytes as usize + bytes;
         entry.charged_bytes = bytes as u32;
     }
 
-    /// Drops an entry's answer.
-    pub(crate) fn release_answer(&mut self, index: u32) {
+    /// Drops the answer of an entry, and charges the entry without it.
+    pub(crate) fn drop_answer(&mut self, index: u32) {
         let entry = self.entry_mut(index);
         if let EntryState::Ended { outcome: Outcome::Completed, expires_us } = entry.state {
-            // Never to be taken for an answer of no bytes.
+            // A completed entry without a recording would look like an empty answer.
             entry.state = EntryState::AnswerEvicted { expires_us };
         }
         entry.answer = None;
         self.charge(index, ENTRY_BYTES);
     }
 
-    /// Files an entry that has ended and that nobody reads: freed, or listed for eviction.
+    /// Handles an entry that has ended and has no reader: frees it if it was removed from the index, or else adds it
+    /// to an eviction list if something of it may be evicted. Does nothing for other entries.
     pub(crate) fn retire(&mut self, index: u32) {
         let entry = self.entry(index);
         if entry.readers > 0 || entry.expires_us().is_none() {
             return;
         }
         if entry.is_detached {
-            self.release(index);
+            self.free_slot(index);
         } else if entry.is_disposable() {
-            self.evictable.join(DISPOSABLE, index);
+            self.evictable.push_back(DISPOSABLE, index);
         } else if entry.answer_bytes() > 0 {
-            self.evictable.join(ANSWER_DISPOSABLE, index);
+            self.evictable.push_back(ANSWER_DISPOSABLE, index);
         }
     }
 
-    /// Forgets an entry, as it has expired or its room is needed; who reads it may go on.
+    /// Removes an entry from the index, because it has expired or to make room. Its readers can read on; the slot is
+    /// freed when the last of them leaves.
     pub(crate) fn forget(&mut self, index: u32) {
         let entry = self.entry_mut(index);
         if std::mem::replace(&mut entry.is_detached, true) {
@@ -238,19 +245,19 @@
             found.remove();
         }
         if readers == 0 {
-            self.release(index);
+            self.free_slot(index);
         }
     }
 
-    /// Frees the place of an entry that nobody needs any more.
-    fn release(&mut self, index: u32) {
-        self.evictable.leave(index);
+    /// Frees the slot of an entry that has no reader and is not in the index.
+    fn free_slot(&mut self, index: u32) {
+        self.evictable.unlink(index);
         self.deadlines.cancel(index);
         self.charge(index, 0);
         let entry = self.entry_mut(index);
         entry.state = EntryState::Free;
         entry.answer = None;
-        // Ids of this run are stale from now on.
+        // Makes the ids of this run stale.
         entry.run = entry.run.wrapping_add(1);
         let account = entry.account;
         if let Some(held) = self.entries_by_account.get_mut(&account) {
@@ -259,6 +266,6 @@
                 self.entries_by_account.remove(&account);
             }
         }
-        self.free.push(index);
+        self.free_slots.push(index);
     }
 }
--- a/crates/idempotency/src/linked_lists.rs
+++ b/crates/idempotency/src/linked_lists.rs
@@ -1,13 +1,14 @@
-//! Doubly linked lists over small numbers, in order of joining, which any member can leave at once.
+//! Doubly linked lists over small numbers, in order of insertion, with removal of any member in constant time.
 
+/// Stands for the absence of a neighbour, or of a first or last member.
 const NONE: u32 = u32::MAX;
-/// The list of a number that is in none.
+/// The value of [`Link::list`] for a number that is in no list.
 const UNLISTED: u8 = u8::MAX;
 
 #[derive(Clone, Copy, Debug)]
 struct Link {
-    before: u32,
-    after: u32,
+    previous: u32,
+    next: u32,
     list: u8,
 }
 
@@ -17,7 +18,7 @@
     last: u32,
 }
 
-/// `N` lists; a number is a member of one of them at most. Memory grows with the greatest number.
+/// `N` lists; a number is a member of at most one of them. Memory grows with the greatest number.
 #[derive(Debug)]
 pub(crate) struct LinkedLists<const N: usize> {
     ends: [Ends; N],
@@ -29,44 +30,44 @@
         Self { ends: [Ends { first: NONE, last: NONE }; N], links: Vec::new() }
     }
 
-    /// Memory that the lists hold (bytes).
+    /// Memory that the links have reserved (bytes).
     pub(crate) fn bytes(&self) -> usize {
         self.links.capacity() * size_of::<Link>()
     }
 
-    /// Puts a number at the end of a list, and takes it from the one where it was.
-    pub(crate) fn join(&mut self, list: usize, member: u32) {
-        self.leave(member);
+    /// Appends a number to a list, after removing it from the list that it was in.
+    pub(crate) fn push_back(&mut self, list: usize, member: u32) {
+        self.unlink(member);
         if self.links.len() <= member as usize {
-            let unlisted = Link { before: NONE, after: NONE, list: UNLISTED };
+            let unlisted = Link { previous: NONE, next: NONE, list: UNLISTED };
             self.links.resize(member as usize + 1, unlisted);
         }
         let last = self.ends[list].last;
-        self.links[member as usize] = Link { before: last, after: NONE, list: list as u8 };
+        self.links[member as usize] = Link { previous: last, next: NONE, list: list as u8 };
         match last {
             NONE => self.ends[list].first = member,
-            last => self.links[last as usize].after = member,
+            last => self.links[last as usize].next = member,
         }
         self.ends[list].last = member;
     }
 
-    /// Takes a number from the list where it is, if it is in one.
-    pub(crate) fn leave(&mut self, member: u32) {
+    /// Removes a number from the list that it is in, if any.
+    pub(crate) fn unlink(&mut self, member: u32) {
         let link = self.links.get(member as usize).filter(|link| link.list != UNLISTED);
-        let Some(&Link { before, after, list }) = link else { return };
+        let Some(&Link { previous, next, list }) = link else { return };
         let ends = &mut self.ends[list as usize];
-        match before {
-            NONE => ends.first = after,
-            before => self.links[before as usize].after = after,
+        match previous {
+            NONE => ends.first = next,
+            previous => self.links[previous as usize].next = next,
         }
-        match after {
-            NONE => ends.last = before,
-            after => self.links[after as usize].before = before,
+        match next {
+            NONE => ends.last = previous,
+            next => self.links[next as usize].previous = previous,
         }
         self.links[member as usize].list = UNLISTED;
     }
 
-    /// The number that has been in a list for longest.
+    /// The number that was appended to the list first; `None` if the list is empty.
     pub(crate) fn oldest(&self, list: usize) -> Option<u32> {
         Some(self.ends[list].first).filter(|&member| member != NONE)
     }
--- a/crates/idempotency/src/recording.rs
+++ b/crates/idempotency/src/recording.rs
@@ -1,82 +1,84 @@
-//! An answer as it is recorded: from its first byte, or, once it may not grow any more, only what its fastest reader
-//! has still to take.
+//! The recording of an answer. It holds the answer from the first byte until it may not grow any more. From then on
+//! it is pass-through: to make room, it drops the bytes that its fastest reader has read.
 
-/// Room that every recording is given when its run begins, so that its readers never wait for memory (bytes).
+/// Bytes that every recording is charged for when its run begins, so that its readers never wait for memory.
 pub(crate) const RESERVED_BYTES: usize = 16 << 10;
-/// The least that a recording reserves when it grows (bytes).
+/// The smallest capacity that a recording reserves when it grows (bytes).
 const MIN_GROWTH_BYTES: usize = 1 << 10;
 
+/// The held bytes of one answer, and where in the answer they are.
 #[derive(Debug, Default)]
 pub(crate) struct Recording {
     bytes: Vec<u8>,
-    /// Place in the answer of the first byte that is held.
-    start: u64,
-    /// How far the fastest reader has come.
-    front: u64,
-    /// Its beginning is gone, or may go: nobody who comes later can read it from its first byte.
-    passing: bool,
+    /// Offset in the answer of the first byte in `bytes`.
+    start_offset: u64,
+    /// Offset in the answer up to which the fastest reader has read.
+    fastest_offset: u64,
+    /// The beginning of the answer may be dropped, or has been: a new reader cannot start at the first byte.
+    pass_through: bool,
 }
 
 impl Recording {
-    /// Bytes that it holds, also those that it has only reserved.
+    /// Memory that the recording takes, including reserved capacity (bytes).
     pub(crate) fn held_bytes(&self) -> usize {
         self.bytes.capacity()
     }
 
-    /// Place in the answer behind the last byte that has come.
+    /// Offset in the answer after the last recorded byte.
     pub(crate) fn end(&self) -> u64 {
-        self.start + self.bytes.len() as u64
+        self.start_offset + self.bytes.len() as u64
     }
 
-    pub(crate) fn is_passing(&self) -> bool {
-        self.passing
+    pub(crate) fn is_pass_through(&self) -> bool {
+        self.pass_through
     }
 
-    /// What it would hold after `more` bytes.
-    pub(crate) fn capacity_for(&self, more: usize) -> usize {
-        let needed = self.bytes.len() + more;
+    /// The capacity that the recording would need to append `additional` bytes.
+    pub(crate) fn capacity_for(&self, additional: usize) -> usize {
+        let needed = self.bytes.len() + additional;
         let held = self.bytes.capacity();
         if needed <= held {
             return held;
         }
-        // Half as much again: appending stays cheap, and little is reserved in vain.
+        // Growing by half keeps the cost of appending low and little capacity unused.
         needed.max(held + held / 2).max(MIN_GROWTH_BYTES)
     }
 
-    /// Appends all of `data`, holding up to `capacity` bytes.
+    /// Appends all of `data`, growing to `capacity` bytes, which must come from [`Self::capacity_for`].
     pub(crate) fn append(&mut self, data: &[u8], capacity: usize) {
         self.bytes.reserve_exact(capacity.saturating_sub(self.bytes.len()).max(data.len()));
         self.bytes.extend_from_slice(data);
     }
 
-    /// From now on it only passes on: what its fastest reader has had may be dropped.
-    pub(crate) fn set_passing(&mut self) {
-        self.passing = true;
+    /// Makes the recording pass-through: bytes that the fastest reader has read may be dropped from now on.
+    pub(crate) fn set_pass_through(&mut self) {
+        self.pass_through = true;
     }
 
-    /// Appends as much of `data` as there is room for within `capacity`; returns how much that was.
+    /// Appends as much of `data` as fits into `capacity` bytes, after dropping what the fastest reader has read if
+    /// that is needed. Returns how many bytes were appended.
     pub(crate) fn append_within(&mut self, data: &[u8], capacity: usize) -> usize {
         if self.bytes.len() + data.len() > capacity {
-            let had = (self.front - self.start) as usize;
-            self.bytes.drain(..had);
-            self.start = self.front;
+            let consumed = (self.fastest_offset - self.start_offset) as usize;
+            self.bytes.drain(..consumed);
+            self.start_offset = self.fastest_offset;
         }
-        let taken = data.len().min(capacity.saturating_sub(self.bytes.len()));
-        self.bytes.reserve_exact(taken);
-        self.bytes.extend_from_slice(&data[..taken]);
-        taken
+        let appended = data.len().min(capacity.saturating_sub(self.bytes.len()));
+        self.bytes.reserve_exact(appended);
+        self.bytes.extend_from_slice(&data[..appended]);
+        appended
     }
 
-    /// Up to `max_bytes` bytes from a place on; `None` if they are gone.
+    /// Up to `max_bytes` bytes from offset `from` of the answer; `None` if they were dropped.
     pub(crate) fn read(&mut self, from: u64, max_bytes: usize) -> Option<&[u8]> {
-        let at = usize::try_from(from.checked_sub(self.start)?).ok()?;
-        let rest = self.bytes.get(at..)?;
+        let skip = usize::try_from(from.checked_sub(self.start_offset)?).ok()?;
+        let rest = self.bytes.get(skip..)?;
         let piece = &rest[..rest.len().min(max_bytes)];
-        self.front = self.front.max(from + piece.len() as u64);
+        self.fastest_offset = self.fastest_offset.max(from + piece.len() as u64);
         Some(piece)
     }
 
-    /// Gives back what was reserved and not used.
+    /// Releases reserved capacity that is not used.
     pub(crate) fn shrink(&mut self) {
         self.bytes.shrink_to_fit();
     }
--- a/crates/idempotency/src/store.rs
+++ b/crates/idempotency/src/store.rs
@@ -1,5 +1,5 @@
-//! The idempotency store: what is known of requests that clients repeat. This module keeps it up to date; what a
-//! repeat gets is decided in `admission`.
+//! The idempotency store, which remembers requests so that repeats of them can be recognised. This module records
+//! runs, their answers and their readers; `admission` decides about incoming requests.
 
 use crate::entry::{Entry, EntryState, ENTRY_BYTES};
 use crate::entry_table::EntryTable;
@@ -9,8 +9,9 @@
 use crate::types::{Effect, EntryId, Execution, Outcome, ReadResult, Stats};
 use crate::Micros;
 
-/// The store. Every method that takes `now` reports something that has happened; what is to be done outside is fetched
-/// with [`effects`](Self::effects). Time never goes back: an earlier `now` is taken for the latest one.
+/// The store. The caller reports events through the methods that take `now`, and then fetches the actions to take
+/// with [`effects`](Self::effects). Time never goes back: a `now` earlier than the latest one counts as the latest
+/// one.
 #[derive(Debug)]
 pub struct IdempotencyStore {
     pub(crate) policy: Policy,
@@ -20,12 +21,12 @@
     pub(crate) tenants: Tenants,
     pub(crate) stats: Stats,
     effects: Vec<Effect>,
-    /// Kept between two calls, so that its memory is not allocated anew.
+    /// Buffer for due entries, empty between calls and kept so that its memory is reused.
     due: Vec<u32>,
 }
 
 impl IdempotencyStore {
-    /// An empty store that starts now.
+    /// Creates an empty store. `now` is its start, from which [`Policy::startup_guard_us`] counts.
     #[must_use]
     pub fn new(policy: Policy, now: Micros) -> Self {
         Self {
@@ -40,31 +41,33 @@
         }
     }
 
-    /// What it holds and has done.
+    /// The current size of the store and its counters.
     #[must_use]
     pub fn stats(&self) -> Stats {
         let (entries, bytes) = (self.entries.len(), self.entries.bytes());
         Stats { entries, bytes, evicted: self.entries.evicted(), ..self.stats }
     }
 
-    /// Memory that its tables have reserved, answers aside (bytes).
+    /// Memory that the tables of the store have reserved, without the answers (bytes).
     #[must_use]
     pub fn reserved_bytes(&self) -> usize {
         self.entries.reserved_bytes()
     }
 
-    /// What is to be done outside, in order.
+    /// Takes the actions that the caller must carry out, in order.
     pub fn effects(&mut self) -> impl Iterator<Item = Effect> + '_ {
         self.effects.drain(..)
     }
 
-    /// When [`advance`](Self::advance) has something to do although nothing happens (us).
+    /// When the caller must call [`advance`](Self::advance) if no other event comes before (us); `None` if no entry
+    /// has a deadline.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Micros> {
         self.entries.deadlines.next_due()
     }
 
-    /// Time has passed: what has expired is forgotten, and runs that nobody came back to are canceled.
+    /// Moves the time forward: forgets expired entries, and cancels runs that have had no reader for
+    /// [`Policy::linger_us`].
     pub fn advance(&mut self, now: Micros) {
         self.now = self.now.max(now);
         let mut due = std::mem::take(&mut self.due);
@@ -79,19 +82,19 @@
         self.due = due;
     }
 
-    /// Keeps figures of the caller's own with a run.
+    /// Stores data of the caller with a run.
     pub fn set_execution(&mut self, id: EntryId, execution: Execution) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.execution = execution;
         }
     }
 
-    /// The figures kept with a run; zeros where there are none.
+    /// The data that the caller stored with a run; zeros if there is none or the run is gone.
     pub fn execution(&mut self, id: EntryId) -> Execution {
         self.entries.get_mut(id).map_or(Execution::default(), |entry| entry.execution)
     }
 
-    /// The first of a run's answer has come.
+    /// Reports that the answer of a run has begun to arrive.
     pub fn stream_started(&mut self, now: Micros, id: EntryId) {
         self.now = self.now.max(now);
         let Some(entry) = self.entries.get_mut(id) else { return };
@@ -101,51 +104,51 @@
         }
     }
 
-    /// More of a run's answer has come; returns how many bytes were taken in. Where that is not all, the rest is to be
-    /// recorded again once [`Effect::Wake`] has come.
+    /// Records more of a run's answer, and returns how many bytes were accepted. If that is not all of `data`, the
+    /// caller must record the rest after the next [`Effect::Wake`].
     pub fn record(&mut self, now: Micros, id: EntryId, data: &[u8]) -> usize {
         self.now = self.now.max(now);
         let max_answer_bytes = self.policy.max_answer_bytes;
-        // Of a run that is gone, or over, all is taken in: nobody waits for it.
+        // If the run is gone or its answer was dropped, accept and discard all: nobody reads it.
         let Some(entry) = self.entries.get_mut(id) else { return data.len() };
         let Some(answer) = &entry.answer else { return data.len() };
         let capacity = answer.capacity_for(data.len());
         let charged = entry.charged_bytes as usize;
-        let more = (ENTRY_BYTES + capacity.max(RESERVED_BYTES)).saturating_sub(charged);
-        let may_grow = !answer.is_passing() && answer.end() as usize + data.len() <= max_answer_bytes;
-        let is_kept = may_grow && self.entries.make_room(more);
+        let additional = (ENTRY_BYTES + capacity.max(RESERVED_BYTES)).saturating_sub(charged);
+        let may_grow = !answer.is_pass_through() && answer.end() as usize + data.len() <= max_answer_bytes;
+        let is_kept = may_grow && self.entries.make_room(additional);
         if is_kept {
-            self.entries.charge(id.index, charged + more);
+            self.entries.charge(id.index, charged + additional);
         }
         let entry = self.entries.entry_mut(id.index);
         let reserved = entry.charged_bytes as usize - ENTRY_BYTES;
         let Some(answer) = &mut entry.answer else { return data.len() };
-        let taken = if is_kept {
+        let accepted = if is_kept {
             answer.append(data, capacity);
             data.len()
         } else {
-            answer.set_passing();
+            answer.set_pass_through();
             answer.append_within(data, reserved)
         };
-        if taken > 0 {
+        if accepted > 0 {
             self.effects.push(Effect::Wake(id));
         }
-        taken
+        accepted
     }
 
-    /// A run has ended.
+    /// Reports that a run has ended, and starts its retention time.
     pub fn finish(&mut self, now: Micros, id: EntryId, outcome: Outcome) {
         self.advance(now);
         let expires_us = self.now.saturating_add(self.policy.retention_us);
         let Some(entry) = self.entries.get_mut(id).filter(|entry| entry.is_running()) else { return };
         entry.state = EntryState::Ended { outcome, expires_us };
-        if submits_again(entry, outcome) {
+        if must_resubmit(entry, outcome) {
             entry.readers = 0;
             entry.run = entry.run.wrapping_add(1);
         }
-        let is_replayable = outcome.has_answer() && !entry.lost_beginning();
+        let is_replayable = outcome.has_answer() && !entry.is_pass_through();
         if !is_replayable && entry.readers == 0 {
-            self.entries.release_answer(id.index);
+            self.entries.drop_answer(id.index);
         }
         let entry = self.entries.entry_mut(id.index);
         if let Some(answer) = &mut entry.answer {
@@ -158,10 +161,10 @@
         self.entries.retire(id.index);
     }
 
-    /// What a reader finds at a place of the answer, up to `max_bytes` at once.
+    /// Reads up to `max_bytes` bytes of the answer at offset `from`.
     pub fn read(&mut self, id: EntryId, from: u64, max_bytes: usize) -> ReadResult<'_> {
         let Some(entry) = self.entries.get_mut(id) else { return ReadResult::Gone };
-        let (is_passing, end) = (entry.lost_beginning(), entry.answer_end());
+        let (is_pass_through, end) = (entry.is_pass_through(), entry.answer_end());
         match entry.state {
             EntryState::Free | EntryState::AnswerEvicted { .. } => return ReadResult::Gone,
             EntryState::Ended { outcome, .. } if from >= end => return ReadResult::Ended(outcome),
@@ -172,16 +175,16 @@
             None => ReadResult::Overrun,
             Some([]) => ReadResult::Pending,
             Some(piece) => {
-                if is_passing {
-                    self.effects.push(Effect::Wake(id)); // there is room to record more
+                if is_pass_through {
+                    self.effects.push(Effect::Wake(id)); // the recorder may have room now
                 }
                 ReadResult::Data(piece)
             }
         }
     }
 
-    /// A reader has had the end of the answer, or has left before. The last one of a run that goes on cancels it, at
-    /// once or after the time to linger.
+    /// Reports that a reader has left, after the end of the answer or before. When the last reader of a run in flight
+    /// leaves, the run is canceled: at once, or after [`Policy::linger_us`] if it is at-most-once.
     pub fn reader_left(&mut self, now: Micros, id: EntryId) {
         self.advance(now);
         let linger_us = self.policy.linger_us;
@@ -197,23 +200,24 @@
                 self.entries.deadlines.set(id.index, cancel_at);
             }
             EntryState::Waiting | EntryState::Streaming => self.cancel(id.index),
-            EntryState::Ended { outcome, .. } if entry.lost_beginning() || !outcome.has_answer() => {
-                self.entries.release_answer(id.index);
+            EntryState::Ended { outcome, .. } if entry.is_pass_through() || !outcome.has_answer() => {
+                self.entries.drop_answer(id.index);
                 self.entries.retire(id.index);
             }
             _ => self.entries.retire(id.index),
         }
     }
 
+    /// Marks a run as being canceled, and asks the caller to cancel it.
     fn cancel(&mut self, index: u32) {
         self.entries.entry_mut(index).state = EntryState::Canceling;
         self.effects.push(Effect::Cancel(self.entries.id(index)));
     }
 }
 
-/// Whether readers that joined while the run was canceled are to submit their request again: it did no harm, and
-/// nothing of it can be read.
-fn submits_again(entry: &Entry, outcome: Outcome) -> bool {
+/// Whether readers that joined while the run was being canceled must submit their request again: the run had no
+/// effect or may run twice, and there is no answer to read.
+fn must_resubmit(entry: &Entry, outcome: Outcome) -> bool {
     let Outcome::Canceled { may_have_executed } = outcome else { return false };
     (!may_have_executed || !entry.at_most_once) && entry.answer_end() == 0
 }
