--- a/crates/resume/src/lib.rs
+++ b/crates/resume/src/lib.rs
@@ -1,8 +1,8 @@
-//! Resumption of answers whose server broke off: whether an answer may go on elsewhere, what is requested then, and how
-//! its parts become one text without a gap and with nothing twice.
+//! Resumption of answers whose server broke off: whether another server may continue an answer, what to request from
+//! it, and how to join the parts into one text without gaps or repetitions.
 //!
-//! Pure: time comes as whole microseconds on the caller's clock, and what is to be done is returned. One
-//! [`ResumableStream`] follows one choice of one answer from its first event to its end.
+//! The crate does no I/O: times are whole microseconds on the caller's clock, and methods return what the caller must
+//! do. One [`ResumableStream`] follows one choice of one answer from its first event to its end.
 
 mod stream;
 mod types;
@@ -10,5 +10,5 @@
 pub use stream::ResumableStream;
 pub use types::{AnswerEvent, BreakDecision, ChoiceTraits, CutReason, Forward, Mode, Policy};
 
-/// A point on the caller's clock, or a length of time, in microseconds.
+/// A point on the caller's clock, or a duration, in microseconds.
 pub type Micros = u64;
--- a/crates/resume/src/stream.rs
+++ b/crates/resume/src/stream.rs
@@ -1,35 +1,36 @@
-//! One choice of an answer, across all servers that wrote a part of it.
+//! One choice of an answer, across all servers that generate parts of it.
 
 use crate::types::{AnswerEvent, BreakDecision, ChoiceTraits, CutReason, Forward, Mode, Policy};
 use crate::Micros;
 
-/// The most characters that a token is taken to have. With it the tokens of a text are counted, at the least: what is
-/// left of a bound on tokens must not be underrated by much, or the rest is cut short. Servers count better; they are
-/// not asked.
+/// The assumed maximum number of characters per token, from which the minimum number of tokens of a text is
+/// estimated. The estimate must not be much too high: the rest may have only the tokens that remain, and would be
+/// cut short. Servers know the exact count, but are not asked.
 const MAX_CHARS_PER_TOKEN: u64 = 6;
 
-/// One choice of an answer.
+/// Tracks one choice of an answer: the text that the client has received, and how often the choice was resumed.
 #[derive(Clone, Debug)]
 pub struct ResumableStream {
     policy: Policy,
     traits: ChoiceTraits,
-    /// What the client has had; empty once it is longer than the policy allows.
+    /// The text that the client has received; empty once it exceeds the length that the policy allows.
     text: String,
-    /// The text grew too long, and was dropped.
+    /// The text exceeded the allowed length and was dropped.
     is_too_long: bool,
-    /// Events with text that the client has had: each holds a token at the least.
+    /// Number of events with text that the client has received; each contains at least one token.
     text_events: u64,
-    /// The client has had more than text.
+    /// The client has received something other than text.
     had_more_than_text: bool,
     is_finished: bool,
-    /// How much of the text the part that comes now has repeated (bytes); `None` once it is beyond.
+    /// How much of `text` the current part has repeated (bytes); `None` if the part is past it, or does not repeat
+    /// it.
     repeated_bytes: Option<usize>,
     resumptions: u32,
     first_break_us: Option<Micros>,
 }
 
 impl ResumableStream {
-    /// A choice of which nothing has come.
+    /// Creates the state of a choice that has not begun.
     #[must_use]
     pub fn new(policy: Policy, traits: ChoiceTraits) -> Self {
         Self {
@@ -46,16 +47,16 @@
         }
     }
 
-    /// How often it was resumed.
+    /// How many times the choice was resumed.
     #[must_use]
     pub fn resumptions(&self) -> u32 {
         self.resumptions
     }
 
-    /// An event has come; returns what of it is forwarded to the client.
+    /// Reports an event of a server; returns which part of it the caller forwards to the client.
     pub fn on_event(&mut self, event: AnswerEvent<'_>) -> Forward {
         if self.is_finished {
-            // Guards against a server that goes on after its end: the client has had it.
+            // A server may send events after the end of the answer, which the client already has.
             return Forward::Nothing;
         }
         self.is_finished = event.is_last;
@@ -69,11 +70,12 @@
         }
     }
 
-    /// An event of a part that still repeats what the client has had.
+    /// Handles an event of a part that still repeats text that the client has received.
     fn on_repeating_event(&mut self, event: AnswerEvent<'_>, repeated: usize) -> Forward {
-        // The client has had only text, or the answer would not have been resumed: more than text is new.
-        let rest = &self.text[repeated..];
-        if let Some(new) = event.text.strip_prefix(rest) {
+        // The client has received only text, or the answer would not have been resumed: anything else in the event is
+        // new.
+        let unrepeated = &self.text[repeated..];
+        if let Some(new) = event.text.strip_prefix(unrepeated) {
             let new = new.to_owned();
             self.repeated_bytes = None;
             self.had_more_than_text |= event.has_more_than_text;
@@ -83,17 +85,18 @@
             }
             return Forward::WithText(new);
         }
-        if event.has_more_than_text || event.is_last || !rest.starts_with(event.text) {
+        if event.has_more_than_text || event.is_last || !unrepeated.starts_with(event.text) {
             return Forward::Cut(CutReason::Diverged);
         }
         self.repeated_bytes = Some(repeated + event.text.len());
         Forward::Nothing
     }
 
+    /// Adds text that is forwarded to the client, and drops the text once it is too long to be resumed.
     fn record_text(&mut self, text: &str) {
         self.text_events += u64::from(!text.is_empty());
         if self.text.len() + text.len() > self.policy.max_text_bytes {
-            // It is never given to a server again: it is not kept either.
+            // A text of this length is never sent to another server, so it is not kept.
             self.is_too_long = true;
         }
         if self.is_too_long {
@@ -103,12 +106,12 @@
         }
     }
 
-    /// The part that came has broken off; returns what is to be done.
+    /// Reports that the current part has broken off; returns what the caller must do.
     pub fn on_break(&mut self, now: Micros) -> BreakDecision {
         if self.is_finished {
             return BreakDecision::Finished;
         }
-        if let Some(reason) = self.never_resumable() {
+        if let Some(reason) = self.permanent_cut_reason() {
             return BreakDecision::Cut(reason);
         }
         let first_break = *self.first_break_us.get_or_insert(now);
@@ -135,8 +138,8 @@
         BreakDecision::Resume { text: self.text.clone(), max_tokens, deadline_us }
     }
 
-    /// Why this answer can't be resumed however often and whenever it breaks, if so.
-    fn never_resumable(&self) -> Option<CutReason> {
+    /// Why this answer can never be resumed, independently of time and of earlier resumptions; `None` if it can be.
+    fn permanent_cut_reason(&self) -> Option<CutReason> {
         if !self.traits.may_rerun {
             Some(CutReason::AtMostOnce)
         } else if self.is_too_long {
@@ -148,17 +151,18 @@
         }
     }
 
-    /// Tokens that the client has had, at the least.
+    /// The minimum number of tokens that the client has received.
     fn min_tokens(&self) -> u64 {
         let characters = self.text.chars().count() as u64;
         characters.div_ceil(MAX_CHARS_PER_TOKEN).max(self.text_events)
     }
 
-    /// The rest that was requested did not begin: it was refused, with a time to come back, or failed. Returns what is
-    /// to be done.
+    /// Reports that the requested rest did not begin, because the request was refused with a retry delay, or failed
+    /// (`None`). Returns what the caller must do.
     pub fn on_resume_failed(&mut self, now: Micros, retry_after_us: Option<Micros>) -> BreakDecision {
         if let Some(retry_after_us) = retry_after_us {
-            // Who is told to come back does not come earlier; the client has no other use for the time.
+            // The request must not be retried before the delay is over, and the client has nothing else to wait for:
+            // end the answer now if the delay exceeds the deadline.
             let deadline_us = self.first_break_us.map(|at| at.saturating_add(self.policy.max_duration_us));
             if deadline_us.is_none_or(|deadline_us| now + retry_after_us >= deadline_us) {
                 return BreakDecision::Cut(CutReason::NoServer);
@@ -170,8 +174,8 @@
         }
     }
 
-    /// The part has ended in good order; returns whether the answer has: a part that stops while it still repeats has
-    /// lost what the client had.
+    /// Whether the answer is complete when the current part ends without an error. It is not if the part ends while
+    /// it still repeats text: then the part is shorter than what the client has received.
     #[must_use]
     pub fn ended_whole(&self) -> bool {
         self.repeated_bytes.is_none()
--- a/crates/resume/src/types.rs
+++ b/crates/resume/src/types.rs
@@ -1,97 +1,100 @@
-//! Settings, events and decisions of resumption.
+//! Policy, events and decisions of resumption.
 
 use crate::Micros;
 
-/// What servers do with the beginning of an answer that they are given.
+/// What servers do when a request contains the beginning of the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// They go on from its end.
+    /// They continue from the end of the given text.
     Continue,
-    /// They begin anew and come to the same words again, as those do that sample nothing at random.
+    /// They generate the answer again from its start, with the same text, as servers that decode without random
+    /// sampling do.
     Restart,
 }
 
-/// Bounds of resumption.
+/// Limits of resumption.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Policy {
-    /// What servers do.
+    /// What servers do with the beginning of an answer.
     pub mode: Mode,
-    /// Times that one answer may be resumed.
+    /// How many times one answer may be resumed.
     pub max_resumptions: u32,
     /// For how long after its first break an answer may be resumed (us).
     pub max_duration_us: Micros,
-    /// A longer answer is not resumed (bytes).
+    /// The maximum length of an answer that may be resumed (bytes).
     pub max_text_bytes: usize,
 }
 
-/// What one choice of an answer is like.
+/// The properties of one choice of an answer that decide whether and how it can be resumed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ChoiceTraits {
-    /// Its request may run again.
+    /// The request may run again.
     pub may_rerun: bool,
-    /// More than its text is wanted (log probabilities, say), which can't be put together from parts.
+    /// The request asks for more than text (log probabilities, for example), which cannot be joined from parts.
     pub wants_more_than_text: bool,
-    /// The most tokens that it may have.
+    /// The maximum number of tokens of the choice.
     pub max_tokens: u64,
 }
 
 /// Why an answer is not resumed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CutReason {
-    /// Its request must not run again.
+    /// The request must not run again.
     AtMostOnce,
-    /// It holds tool calls, refusals or more that can't be put together from parts.
+    /// The answer contains, or was asked to contain, more than text (tool calls, refusals or log probabilities, for
+    /// example), which cannot be joined from parts.
     MoreThanText,
-    /// It was resumed as often, or for as long, as the policy allows.
+    /// The answer was resumed as often, or for as long, as the policy allows.
     LimitReached,
-    /// It is longer than the policy allows.
+    /// The answer is longer than the policy allows.
     TooLong,
-    /// The resumed part does not repeat what had come before.
+    /// The resumed part does not begin with the text that the client has received.
     Diverged,
-    /// The other servers had no room, or failed.
+    /// The other servers were at capacity, or failed.
     NoServer,
 }
 
-/// What is to be done when a part of an answer has broken off.
+/// What the caller must do when a part of an answer has broken off.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BreakDecision {
-    /// Request the rest.
+    /// Request the rest of the answer from another server.
     Resume {
-        /// What the client has had of the answer.
+        /// The text of the answer that the client has received.
         text: String,
-        /// The most tokens of the rest, or of the whole where servers begin anew.
+        /// The maximum number of tokens of the rest, or of the whole answer in [`Mode::Restart`].
         max_tokens: u64,
-        /// By when its first event must have come (us).
+        /// The time by which the first event of the rest must arrive (us).
         deadline_us: Micros,
     },
-    /// The answer had come to its end already.
+    /// The answer was complete before the break.
     Finished,
-    /// The answer has as many tokens as it may, and no server has said so: its end is still to be written.
+    /// The answer has reached its maximum number of tokens, but no server has sent its last event: the caller must
+    /// write the end.
     TokenLimitReached,
-    /// The answer ends here, with an error.
+    /// End the answer here with an error.
     Cut(CutReason),
 }
 
-/// What an event of a server holds, as far as it matters here.
+/// The content of a server's event, as far as resumption needs it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnswerEvent<'a> {
-    /// Its text.
+    /// The text of the event; may be empty.
     pub text: &'a str,
-    /// It holds something besides.
+    /// The event contains something in addition to text.
     pub has_more_than_text: bool,
-    /// It ends the answer.
+    /// The event ends the answer.
     pub is_last: bool,
 }
 
-/// What of an event is forwarded to the client.
+/// Which part of an event the caller forwards to the client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Forward {
-    /// All of it.
+    /// The whole event.
     Unchanged,
-    /// It, with this text in place of its own.
+    /// The event with this text in place of its own.
     WithText(String),
-    /// Nothing: the client has had all that it holds.
+    /// Nothing: the client already has the content of the event, or the whole answer.
     Nothing,
-    /// The answer can't be put together: it is cut.
+    /// The parts cannot be joined: end the answer with an error.
     Cut(CutReason),
 }
