--- a/crates/idempotency/benches/idempotency_store.rs
+++ b/crates/idempotency/benches/idempotency_store.rs
@@ -1,5 +1,5 @@
-//! The idempotency store at 10^5 and 10^6 keys against a plain `HashMap` with a sorted set of expiries: cost of an operation
-//! and bytes a key, in one run. `cargo bench -p dewladder-idempotency`.
+//! Compares the idempotency store at 10^5 and 10^6 keys with a baseline, a `HashMap` with a sorted set of expiry
+//! times: time per operation and memory per key. Run with `cargo bench -p dewladder-idempotency`.
 
 use std::collections::{BTreeSet, HashMap};
 use std::hint::black_box;
@@ -10,38 +10,41 @@
     RequestIdentity, RetryBudgetPolicy,
 };
 
-const WINDOW: Micros = 600_000_000;
+/// For how long both stores remember a key.
+const RETENTION_US: Micros = 600_000_000;
 const ANSWER: &[u8] = &[b'x'; 256];
 
-/// Numbers that look random and are the same each time (splitmix64).
-fn number(at: u64) -> u64 {
-    let mixed = (at.wrapping_add(1)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+/// A reproducible pseudo-random number for each index (splitmix64).
+fn pseudo_random(index: u64) -> u64 {
+    let mixed = (index.wrapping_add(1)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed ^ (mixed >> 27)
 }
 
-fn print(at: u64) -> Fingerprint {
-    Fingerprint([number(2 * at), number(2 * at + 1)])
+fn fingerprint_of(index: u64) -> Fingerprint {
+    Fingerprint([pseudo_random(2 * index), pseudo_random(2 * index + 1)])
 }
 
-/// What a plain store would keep: no bounds, no readers, no budgets.
+/// The baseline: a store without limits, readers or retry budgets.
 #[derive(Default)]
-struct Plain {
+struct BaselineStore {
+    /// For each key: fingerprint of the body, expiry time and answer.
     entries: HashMap<Fingerprint, (Fingerprint, Micros, Vec<u8>)>,
     due: BTreeSet<(Micros, Fingerprint)>,
 }
 
-impl Plain {
-    fn offer(&mut self, now: Micros, key: Fingerprint, body: Fingerprint) -> bool {
+impl BaselineStore {
+    /// Forgets expired keys, and adds `key` if it is new. Returns whether it is a repeat with the same body.
+    fn admit_key(&mut self, now: Micros, key: Fingerprint, body: Fingerprint) -> bool {
         while let Some(&(due, key)) = self.due.first().filter(|(due, _)| *due <= now) {
             self.due.remove(&(due, key));
             self.entries.remove(&key);
         }
-        if let Some((known, _, _)) = self.entries.get(&key) {
-            return *known == body;
+        if let Some((known_body, _, _)) = self.entries.get(&key) {
+            return *known_body == body;
         }
-        self.due.insert((now + WINDOW, key));
-        self.entries.insert(key, (body, now + WINDOW, Vec::new()));
+        self.due.insert((now + RETENTION_US, key));
+        self.entries.insert(key, (body, now + RETENTION_US, Vec::new()));
         false
     }
 
@@ -52,46 +55,48 @@
     }
 }
 
-/// Resident memory in bytes, as the system tells it.
-fn resident() -> usize {
+/// The resident memory of this process, from `/proc` (bytes).
+fn resident_bytes() -> usize {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     text.split(' ').nth(1).and_then(|pages| pages.parse::<usize>().ok()).unwrap_or(0) * 4_096
 }
 
-fn row(what: &str, keys: u64, fill: f64, repeat: f64, turn: f64, bytes: usize) {
-    let each = |seconds: f64| seconds * 1e9 / keys as f64;
+/// Prints one row of the table. `fill`, `repeat` and `churn` are the seconds that all operations of a phase took.
+fn print_row(label: &str, keys: u64, fill: f64, repeat: f64, churn: f64, bytes: usize) {
+    let ns_per_key = |seconds: f64| seconds * 1e9 / keys as f64;
     println!(
-        "{what:<28} {keys:>9} {:>10.0} {:>10.0} {:>10.0} {:>10}",
-        each(fill),
-        each(repeat),
-        each(turn),
+        "{label:<28} {keys:>9} {:>10.0} {:>10.0} {:>10.0} {:>10}",
+        ns_per_key(fill),
+        ns_per_key(repeat),
+        ns_per_key(churn),
         bytes / keys as usize
     );
 }
 
 fn main() {
-    // Under `cargo test` a benchmark is only to show that it builds.
+    // `cargo test` runs benchmarks without `--bench`, only to check that they build.
     if !std::env::args().any(|argument| argument == "--bench") {
         return;
     }
     let arguments: Vec<String> = std::env::args().collect();
-    if let [_, which, keys, answer, ..] = &arguments[..] {
+    if let [_, variant, keys, answer, ..] = &arguments[..] {
         if let (Ok(keys), Ok(answer)) = (keys.parse(), answer.parse()) {
-            return if which == "ledger" { store(keys, answer) } else { plain(keys, answer) };
+            return if variant == "store" { store(keys, answer) } else { baseline(keys, answer) };
         }
     }
     println!(
         "{:<28} {:>9} {:>10} {:>10} {:>10} {:>10}",
-        "", "keys", "new ns", "repeat ns", "turn ns", "bytes a key"
+        "", "keys", "new ns", "repeat ns", "churn ns", "bytes/key"
     );
-    let program = std::env::current_exe().expect("this program");
+    let program = std::env::current_exe().expect("the path of this program");
     for keys in ["100000", "1000000"] {
         for answer in ["0", "256"] {
-            for which in ["ledger", "plain"] {
-                // A process each: what one has freed must not count as room of the next.
+            for variant in ["store", "baseline"] {
+                // Each run has its own process, so that memory freed by one run does not lower the figure of the
+                // next.
                 let run =
-                    std::process::Command::new(&program).args([which, keys, answer, "--bench"]).status();
-                assert!(run.is_ok_and(|status| status.success()), "{which} at {keys} keys");
+                    std::process::Command::new(&program).args([variant, keys, answer, "--bench"]).status();
+                assert!(run.is_ok_and(|status| status.success()), "{variant} at {keys} keys");
             }
         }
     }
@@ -104,12 +109,14 @@
     println!("fingerprint of a 16 KiB body: {:.1} us", start.elapsed().as_secs_f64() * 100.0);
 }
 
-/// When each key comes: all within half a window, so that all are remembered at the end.
-fn time(at: u64, keys: u64) -> Micros {
-    at * (WINDOW / 2) / keys
+/// The time at which a key arrives. All arrive within half of the retention time, so that all are remembered at the
+/// end.
+fn time(index: u64, keys: u64) -> Micros {
+    index * (RETENTION_US / 2) / keys
 }
 
-fn kept(answer: &[u8]) -> String {
+/// The part of a row's label that names the length of kept answers.
+fn answer_label(answer: &[u8]) -> String {
     if answer.is_empty() {
         String::new()
     } else {
@@ -117,28 +124,29 @@
     }
 }
 
+/// Measures the idempotency store: new keys, repeats, and new keys while old ones expire.
 fn store(keys: u64, answer: usize) {
     let answer = &ANSWER[..answer];
-    let before = resident();
+    let before = resident_bytes();
     let policy = Policy {
         max_entries: keys as usize + 1,
         max_bytes: usize::MAX / 2,
-        retention_us: WINDOW,
+        retention_us: RETENTION_US,
         tenant_permille: 1_000,
         retry_budget: RetryBudgetPolicy::default(),
         ..Policy::default()
     };
     let mut store = IdempotencyStore::new(policy, 0);
-    let request = |at: u64| IncomingRequest {
+    let request = |index: u64| IncomingRequest {
         tenant: 1,
         at_most_once: true,
-        identity: Some(RequestIdentity::Key(print(at))),
-        body: print(at ^ 1 << 40),
+        identity: Some(RequestIdentity::Key(fingerprint_of(index))),
+        body: fingerprint_of(index ^ 1 << 40),
         is_retry: false,
     };
     let start = Instant::now();
-    let run = |store: &mut IdempotencyStore, now: Micros, at: u64| {
-        if let Admission::Run(id) = store.admit(now, &request(at), at) {
+    let run = |store: &mut IdempotencyStore, now: Micros, index: u64| {
+        if let Admission::Run(id) = store.admit(now, &request(index), index) {
             if !answer.is_empty() {
                 store.stream_started(now, id);
                 store.record(now, id, answer);
@@ -148,50 +156,59 @@
             store.effects().for_each(drop);
         }
     };
-    for at in 0..keys {
-        run(&mut store, time(at, keys), at);
+    for index in 0..keys {
+        run(&mut store, time(index, keys), index);
     }
     let fill = start.elapsed().as_secs_f64();
-    let bytes = resident().saturating_sub(before);
+    let bytes = resident_bytes().saturating_sub(before);
     let start = Instant::now();
-    for at in 0..keys {
-        let admission = store.admit(WINDOW / 2, &request(number(at) % keys), at);
+    for index in 0..keys {
+        let admission = store.admit(RETENTION_US / 2, &request(pseudo_random(index) % keys), index);
         if let Admission::Join(id) = black_box(admission) {
-            store.reader_left(WINDOW / 2, id);
+            store.reader_left(RETENTION_US / 2, id);
         }
     }
     let repeat = start.elapsed().as_secs_f64();
     let start = Instant::now();
-    for at in 0..keys {
-        run(&mut store, WINDOW + time(at, keys), keys + at); // one comes and one goes
+    for index in 0..keys {
+        run(&mut store, RETENTION_US + time(index, keys), keys + index); // each new key expires an old one
     }
-    let turn = start.elapsed().as_secs_f64();
-    row(&format!("ledger{}", kept(answer)), keys, fill, repeat, turn, bytes);
+    let churn = start.elapsed().as_secs_f64();
+    print_row(&format!("IdempotencyStore{}", answer_label(answer)), keys, fill, repeat, churn, bytes);
 }
 
-fn plain(keys: u64, answer: usize) {
+/// Measures the baseline with the same operations.
+fn baseline(keys: u64, answer: usize) {
     let answer = &ANSWER[..answer];
 
-    let before = resident();
-    let mut plain = Plain::default();
+    let before = resident_bytes();
+    let mut baseline = BaselineStore::default();
     let start = Instant::now();
-    for at in 0..keys {
-        plain.offer(time(at, keys), print(at), print(at ^ 1 << 40));
-        plain.answer(print(at), answer);
+    for index in 0..keys {
+        baseline.admit_key(time(index, keys), fingerprint_of(index), fingerprint_of(index ^ 1 << 40));
+        baseline.answer(fingerprint_of(index), answer);
     }
     let fill = start.elapsed().as_secs_f64();
-    let bytes = resident().saturating_sub(before);
+    let bytes = resident_bytes().saturating_sub(before);
     let start = Instant::now();
-    for at in 0..keys {
-        let at = number(at) % keys;
-        black_box(plain.offer(WINDOW / 2, print(at), print(at ^ 1 << 40)));
+    for index in 0..keys {
+        let index = pseudo_random(index) % keys;
+        black_box(baseline.admit_key(
+            RETENTION_US / 2,
+            fingerprint_of(index),
+            fingerprint_of(index ^ 1 << 40),
+        ));
     }
     let repeat = start.elapsed().as_secs_f64();
     let start = Instant::now();
-    for at in keys..2 * keys {
-        plain.offer(WINDOW + time(at - keys, keys), print(at), print(at ^ 1 << 40));
-        plain.answer(print(at), answer);
+    for index in keys..2 * keys {
+        baseline.admit_key(
+            RETENTION_US + time(index - keys, keys),
+            fingerprint_of(index),
+            fingerprint_of(index ^ 1 << 40),
+        );
+        baseline.answer(fingerprint_of(index), answer);
     }
-    let turn = start.elapsed().as_secs_f64();
-    row(&format!("HashMap + BTreeSet{}", kept(answer)), keys, fill, repeat, turn, bytes);
+    let churn = start.elapsed().as_secs_f64();
+    print_row(&format!("HashMap + BTreeSet{}", answer_label(answer)), keys, fill, repeat, churn, bytes);
 }
--- a/crates/idempotency/tests/entry_size.rs
+++ b/crates/idempotency/tests/entry_size.rs
@@ -1,8 +1,8 @@
-//! What an entry is counted as: with it, which requests fit into a bound on memory.
+//! The size that an entry is charged for, which decides how many requests fit into the memory limit.
 
 use dewladder_idempotency::ENTRY_BYTES;
 
 #[test]
-fn an_entry_is_counted_as_this_many_bytes() {
+fn an_entry_without_an_answer_is_charged_208_bytes() {
     assert_eq!(ENTRY_BYTES, 208);
 }
--- a/crates/idempotency/tests/model.rs
+++ b/crates/idempotency/tests/model.rs
@@ -1,5 +1,5 @@
-//! The store against a plain account of every run there ever was: whatever happens, nothing that must not run
-//! twice is let run twice, readers get what was recorded, and the bounds hold.
+//! The store, compared with a model that keeps every run. Random sequences of steps must never let an at-most-once
+//! request run twice, give a reader anything but the recorded answer, or exceed the limits of the store.
 
 use std::collections::BTreeMap;
 
@@ -11,30 +11,39 @@
 
 const MS: Micros = 1_000;
 
+/// One step of a random test sequence. A `usize` index selects one of the runs in flight or of the open readers,
+/// modulo their number.
 #[derive(Clone, Debug)]
 enum Step {
-    Offer { tenant: u32, name: u64, keyed: bool, body: u64, repeat: bool },
-    Began(usize),
+    /// A client makes a request.
+    Offer { tenant: u32, request_number: u64, keyed: bool, body: u64, repeat: bool },
+    /// The answer of a run begins to arrive.
+    StreamStarted(usize),
+    /// This many bytes of a run's answer arrive, if it has begun.
     Record(usize, usize),
+    /// A run ends; the number selects the outcome.
     Ended(usize, u8),
+    /// A reader reads up to this many bytes.
     Read(usize, usize),
+    /// A reader leaves.
     Left(usize),
-    Pass(Micros),
+    /// This much time passes.
+    AdvanceTime(Micros),
 }
 
-/// A run as it was, whatever the store remembers.
+/// The full history of a run, independent of what the store still remembers.
 struct Run {
     id: EntryId,
     request: IncomingRequest,
     recorded: Vec<u8>,
-    began: bool,
-    /// When and how it ended.
+    started: bool,
+    /// When the run ended, and its outcome.
     ended: Option<(Micros, Outcome)>,
     canceled: bool,
 }
 
 impl Run {
-    /// Whether it may have taken effect, or may still.
+    /// Whether the request may have run, or is still running.
     fn may_have_executed(&self) -> bool {
         match self.ended {
             None | Some((_, Outcome::Completed | Outcome::Interrupted(_))) => true,
@@ -46,59 +55,68 @@
     }
 }
 
+/// A client that reads the answer of a run.
 struct Reader {
+    /// Index in [`Model::runs`].
     run: usize,
+    /// Offset in the answer of the next byte to read.
     at: u64,
     done: bool,
 }
 
-struct World {
+/// The store under test, with all its runs and readers.
+struct Model {
     policy: Policy,
     store: IdempotencyStore,
     now: Micros,
     runs: Vec<Run>,
     readers: Vec<Reader>,
+    /// How often each admission and each read result occurred.
     counts: BTreeMap<&'static str, usize>,
 }
 
-/// Half of all names are of a class that must not run twice.
-fn once(name: u64) -> bool {
-    name.is_multiple_of(2)
+/// Half of all requests are at-most-once.
+fn is_at_most_once(request_number: u64) -> bool {
+    request_number.is_multiple_of(2)
 }
 
-impl World {
+impl Model {
     fn new(policy: Policy) -> Self {
         let store = IdempotencyStore::new(policy, 0);
         Self { policy, store, now: MS, runs: Vec::new(), readers: Vec::new(), counts: BTreeMap::new() }
     }
 
-    fn count(&mut self, what: &'static str) {
-        *self.counts.entry(what).or_default() += 1;
+    fn count(&mut self, label: &'static str) {
+        *self.counts.entry(label).or_default() += 1;
     }
 
     fn step(&mut self, step: &Step) {
         match *step {
-            Step::Offer { tenant, name, keyed, body, repeat } => {
-                let print = Fingerprint([name * 1_000 + u64::from(tenant), 7]);
-                let body = if keyed { body } else { name };
-                let identity = if keyed { RequestIdentity::Key(print) } else { RequestIdentity::Body(print) };
+            Step::Offer { tenant, request_number, keyed, body, repeat } => {
+                let fingerprint = Fingerprint([request_number * 1_000 + u64::from(tenant), 7]);
+                let body = if keyed { body } else { request_number };
+                let identity = if keyed {
+                    RequestIdentity::Key(fingerprint)
+                } else {
+                    RequestIdentity::Body(fingerprint)
+                };
                 let body = Fingerprint([body, 9]);
                 self.admit(IncomingRequest {
                     tenant,
-                    at_most_once: once(name),
+                    at_most_once: is_at_most_once(request_number),
                     identity: Some(identity),
                     body,
                     is_retry: repeat,
                 });
             }
-            Step::Began(at) => {
+            Step::StreamStarted(at) => {
                 if let Some(at) = self.running(at) {
-                    self.runs[at].began = true;
+                    self.runs[at].started = true;
                     self.store.stream_started(self.now, self.runs[at].id);
                 }
             }
             Step::Record(at, bytes) => {
-                if let Some(at) = self.running(at).filter(|&at| self.runs[at].began) {
+                if let Some(at) = self.running(at).filter(|&at| self.runs[at].started) {
                     let run = &mut self.runs[at];
                     let data: Vec<u8> =
                         (0..bytes).map(|byte| (run.recorded.len() + byte + at) as u8).collect();
@@ -106,24 +124,24 @@
                     run.recorded.extend_from_slice(&data[..taken]);
                 }
             }
-            Step::Ended(at, how) => {
+            Step::Ended(at, selector) => {
                 if let Some(at) = self.running(at) {
                     let run = &self.runs[at];
-                    let ending = match how % 5 {
+                    let outcome = match selector % 5 {
                         _ if run.canceled => {
-                            Outcome::Canceled { may_have_executed: run.began || how & 1 == 0 }
+                            Outcome::Canceled { may_have_executed: run.started || selector & 1 == 0 }
                         }
-                        0 | 1 if run.began => Outcome::Completed,
-                        _ if run.began => Outcome::Interrupted(3),
+                        0 | 1 if run.started => Outcome::Completed,
+                        _ if run.started => Outcome::Interrupted(3),
                         2 => Outcome::Refused { retry_after_us: 5 },
                         3 => Outcome::Failed { may_have_executed: false },
                         _ => Outcome::Failed { may_have_executed: true },
                     };
-                    self.runs[at].ended = Some((self.now, ending));
-                    self.store.finish(self.now, self.runs[at].id, ending);
+                    self.runs[at].ended = Some((self.now, outcome));
+                    self.store.finish(self.now, self.runs[at].id, outcome);
                 }
             }
-            Step::Read(at, most) => self.read(at, most),
+            Step::Read(at, read_limit) => self.read(at, read_limit),
             Step::Left(at) => {
                 let open: Vec<usize> = (0..self.readers.len()).filter(|&at| !self.readers[at].done).collect();
                 if let Some(&at) = open.get(at % open.len().max(1)) {
@@ -131,7 +149,7 @@
                     self.store.reader_left(self.now, self.runs[self.readers[at].run].id);
                 }
             }
-            Step::Pass(time) => {
+            Step::AdvanceTime(time) => {
                 self.now += time;
                 self.store.advance(self.now);
             }
@@ -139,8 +157,8 @@
         let effects: Vec<Effect> = self.store.effects().collect();
         for effect in effects {
             if let Effect::Cancel(id) = effect {
-                let run = self.runs.iter_mut().rfind(|run| run.id == id).expect("a run that was begun");
-                assert!(run.ended.is_none(), "let go of after its end");
+                let run = self.runs.iter_mut().rfind(|run| run.id == id).expect("the id of an admitted run");
+                assert!(run.ended.is_none(), "canceled after its end");
                 run.canceled = true;
                 let at = self.runs.iter().rposition(|run| run.id == id);
                 assert!(!self.readers.iter().any(|reader| !reader.done && Some(reader.run) == at));
@@ -151,7 +169,7 @@
         assert!(stats.entries <= self.policy.max_entries);
     }
 
-    /// One of the runs that are under way.
+    /// The index of the run in flight that `at` selects; `None` if there is none.
     fn running(&self, at: usize) -> Option<usize> {
         let running: Vec<usize> = (0..self.runs.len()).filter(|&at| self.runs[at].ended.is_none()).collect();
         running.get(at % running.len().max(1)).copied()
@@ -160,120 +178,128 @@
     fn admit(&mut self, request: IncomingRequest) {
         let admission = self.store.admit(self.now, &request, self.now.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let keyed = matches!(request.identity, Some(RequestIdentity::Key(_)));
-        let window = self.policy.retention_us;
+        let retention_us = self.policy.retention_us;
         let remembered: Vec<&Run> = (self.runs.iter())
             .filter(|run| run.request.identity == request.identity && run.request.tenant == request.tenant)
-            .filter(|run| run.ended.is_none_or(|(at, _)| at + window > self.now))
+            .filter(|run| run.ended.is_none_or(|(at, _)| at + retention_us > self.now))
             .collect();
-        let (known, harmful) =
+        let (is_recognisable, some_may_have_executed) =
             (keyed || request.is_retry, remembered.iter().any(|run| run.may_have_executed()));
         match admission {
             Admission::Run(id) => {
-                assert!(!(request.at_most_once && known && harmful), "runs twice");
+                assert!(
+                    !(request.at_most_once && is_recognisable && some_may_have_executed),
+                    "an at-most-once request runs twice"
+                );
                 if request.is_retry && request.at_most_once && remembered.is_empty() {
                     assert!(
                         self.now >= self.policy.startup_guard_us,
-                        "the first may have come before the start"
+                        "runs although its first attempt may have come before the start"
                     );
                 }
                 self.count("run");
                 let run =
-                    Run { id, request, recorded: Vec::new(), began: false, ended: None, canceled: false };
+                    Run { id, request, recorded: Vec::new(), started: false, ended: None, canceled: false };
                 self.runs.push(run);
                 self.readers.push(Reader { run: self.runs.len() - 1, at: 0, done: false });
             }
             Admission::Join(id) => {
-                let run = self.runs.iter().rposition(|run| run.id == id).expect("a run that was begun");
+                let run = self.runs.iter().rposition(|run| run.id == id).expect("the id of an admitted run");
                 assert_eq!(
                     (self.runs[run].request.identity, self.runs[run].request.body),
                     (request.identity, request.body)
                 );
-                assert!(known, "a fresh request is given another's answer");
+                assert!(is_recognisable, "a fresh request gets the answer of another one");
                 self.readers.push(Reader { run, at: 0, done: false });
                 let open = self.readers.iter().filter(|reader| !reader.done && reader.run == run).count();
                 assert!(open <= self.policy.max_readers as usize);
                 self.count("join");
             }
             Admission::RunUnrecorded => {
-                assert!(!request.at_most_once, "accepted, and forgotten within its window");
+                assert!(!request.at_most_once, "an at-most-once request runs without an entry");
                 self.count("unrecorded");
             }
             Admission::KeyReused => {
                 assert!(keyed && remembered.iter().any(|run| run.request.body != request.body));
-                self.count("mismatch");
+                self.count("key reused");
             }
-            Admission::Reject(why) => {
-                assert!(request.at_most_once && known);
-                match why {
+            Admission::Reject(reason) => {
+                assert!(request.at_most_once && is_recognisable);
+                match reason {
                     RejectReason::RecentStart => assert!(self.now < self.policy.startup_guard_us),
                     RejectReason::AlreadyAnswered => {
                         assert!(remembered
                             .iter()
                             .any(|run| matches!(run.ended, Some((_, Outcome::Completed)))));
                     }
-                    RejectReason::MayHaveExecuted => assert!(harmful),
+                    RejectReason::MayHaveExecuted => assert!(some_may_have_executed),
                 }
-                self.count("never");
+                self.count("reject");
             }
             Admission::Defer { retry_after_us, .. } => {
                 assert!(retry_after_us > 0);
-                self.count("later");
+                self.count("defer");
             }
         }
     }
 
-    fn read(&mut self, at: usize, most: usize) {
+    fn read(&mut self, at: usize, read_limit: usize) {
         let open: Vec<usize> = (0..self.readers.len()).filter(|&at| !self.readers[at].done).collect();
         let Some(&at) = open.get(at % open.len().max(1)) else { return };
         let reader = &mut self.readers[at];
         let run = &self.runs[reader.run];
-        let (over, what) = match self.store.read(run.id, reader.at, most.max(1)) {
+        let (is_over, label) = match self.store.read(run.id, reader.at, read_limit.max(1)) {
             ReadResult::Data(piece) => {
                 let from = reader.at as usize;
-                assert_eq!(piece, &run.recorded[from..from + piece.len()], "not what was recorded");
+                assert_eq!(
+                    piece,
+                    &run.recorded[from..from + piece.len()],
+                    "differs from the recorded answer"
+                );
                 reader.at += piece.len() as u64;
-                (false, "piece")
+                (false, "data")
             }
             ReadResult::Pending => {
-                assert!(run.ended.is_none(), "waits for what is over");
-                assert_eq!(reader.at, run.recorded.len() as u64, "waits for what is there");
-                (false, "wait")
+                assert!(run.ended.is_none(), "pending after the end of the run");
+                assert_eq!(reader.at, run.recorded.len() as u64, "pending although there is data");
+                (false, "pending")
             }
-            ReadResult::Ended(ending) => {
-                assert_eq!(run.ended.map(|(_, ending)| ending), Some(ending));
-                if matches!(ending, Outcome::Completed | Outcome::Interrupted(_)) {
-                    assert_eq!(reader.at, run.recorded.len() as u64, "ends before its end");
+            ReadResult::Ended(outcome) => {
+                assert_eq!(run.ended.map(|(_, outcome)| outcome), Some(outcome));
+                if matches!(outcome, Outcome::Completed | Outcome::Interrupted(_)) {
+                    assert_eq!(reader.at, run.recorded.len() as u64, "ended before all data was read");
                 }
-                (true, "over")
+                (true, "ended")
             }
             ReadResult::Overrun => {
                 assert!(run.recorded.len() as u64 > reader.at);
-                (true, "lost")
+                (true, "overrun")
             }
             ReadResult::Gone => {
-                assert_eq!(reader.at, 0, "an answer can't begin anew in its middle");
+                assert_eq!(reader.at, 0, "the run is gone in the middle of its answer");
                 assert!(run.ended.is_some());
-                (true, "again")
+                (true, "gone")
             }
         };
-        if over {
+        if is_over {
             reader.done = true;
             self.store.reader_left(self.now, run.id);
         }
-        self.count(what);
+        self.count(label);
     }
 
-    /// Whatever is under way ends, and every reader comes to an end.
+    /// Ends all runs in flight, lets every reader read to the end, and checks that the store is empty after the
+    /// retention time.
     fn finish(&mut self) {
         for at in 0..self.runs.len() {
             if self.runs[at].ended.is_none() {
-                let ending = if self.runs[at].canceled {
+                let outcome = if self.runs[at].canceled {
                     Outcome::Canceled { may_have_executed: true }
                 } else {
                     Outcome::Completed
                 };
-                self.runs[at].ended = Some((self.now, ending));
-                self.store.finish(self.now, self.runs[at].id, ending);
+                self.runs[at].ended = Some((self.now, outcome));
+                self.store.finish(self.now, self.runs[at].id, outcome);
             }
         }
         for _ in 0..4_000 {
@@ -282,27 +308,28 @@
             }
             self.read(0, 1 << 20);
         }
-        assert!(self.readers.iter().all(|reader| reader.done), "a reader waits for ever");
+        assert!(self.readers.iter().all(|reader| reader.done), "a reader never gets to the end");
         self.now += self.policy.retention_us + 200 * MS;
         self.store.advance(self.now);
         let stats = self.store.stats();
-        assert_eq!((stats.entries, stats.bytes), (0, 0), "something is never forgotten");
+        assert_eq!((stats.entries, stats.bytes), (0, 0), "an entry is never forgotten");
         assert_eq!(self.store.next_deadline(), None);
     }
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let any_at = 0usize..64;
+    let any_index = 0usize..64;
     let step = prop_oneof![
         6 => (0u32..3, 0u64..8, any::<bool>(), prop_oneof![9 => Just(0u64), 1 => Just(1u64)], any::<bool>())
-            .prop_map(|(tenant, name, keyed, body, repeat)| Step::Offer { tenant, name, keyed, body, repeat }),
-        4 => any_at.clone().prop_map(Step::Began),
-        6 => (any_at.clone(), prop_oneof![3 => 1usize..3_000, 1 => 10_000usize..40_000])
+            .prop_map(|(tenant, request_number, keyed, body, repeat)|
+                Step::Offer { tenant, request_number, keyed, body, repeat }),
+        4 => any_index.clone().prop_map(Step::StreamStarted),
+        6 => (any_index.clone(), prop_oneof![3 => 1usize..3_000, 1 => 10_000usize..40_000])
             .prop_map(|(at, bytes)| Step::Record(at, bytes)),
-        3 => (any_at.clone(), any::<u8>()).prop_map(|(at, how)| Step::Ended(at, how)),
-        8 => (any_at.clone(), 1usize..20_000).prop_map(|(at, most)| Step::Read(at, most)),
-        3 => any_at.prop_map(Step::Left),
-        3 => prop_oneof![4 => 1u64..400 * MS, 1 => 1_000 * MS..3_000 * MS].prop_map(Step::Pass),
+        3 => (any_index.clone(), any::<u8>()).prop_map(|(at, selector)| Step::Ended(at, selector)),
+        8 => (any_index.clone(), 1usize..20_000).prop_map(|(at, read_limit)| Step::Read(at, read_limit)),
+        3 => any_index.prop_map(Step::Left),
+        3 => prop_oneof![4 => 1u64..400 * MS, 1 => 1_000 * MS..3_000 * MS].prop_map(Step::AdvanceTime),
     ];
     prop::collection::vec(step, 1..160)
 }
@@ -339,19 +366,20 @@
     #![proptest_config(config(1_500))]
 
     #[test]
-    fn at_most_once_requests_never_run_twice_and_readers_get_what_was_recorded(
+    fn at_most_once_requests_never_run_twice_and_readers_get_the_recorded_answer(
         steps in steps(),
         linger in prop_oneof![Just(0), Just(300 * MS)],
     ) {
-        let mut world = World::new(policy(linger));
+        let mut model = Model::new(policy(linger));
         for step in &steps {
-            world.step(step);
+            model.step(step);
         }
-        world.finish();
+        model.finish();
     }
 }
 
-/// The steps above must come to every verdict and every kind of read, or what is asserted of one says nothing.
+/// The random steps must produce every admission and every read result, or the assertions about one of them are never
+/// checked.
 #[test]
 fn the_model_reaches_every_admission_and_every_read_result() {
     use proptest::strategy::ValueTree as _;
@@ -359,30 +387,41 @@
     let mut all: BTreeMap<&'static str, usize> = BTreeMap::new();
     for _ in 0..800 {
         let steps = steps().new_tree(&mut runner).expect("steps").current();
-        let mut world = World::new(policy(0));
-        steps.iter().for_each(|step| world.step(step));
-        world.finish();
-        for (what, count) in world.counts {
-            *all.entry(what).or_default() += count;
+        let mut model = Model::new(policy(0));
+        steps.iter().for_each(|step| model.step(step));
+        model.finish();
+        for (label, count) in model.counts {
+            *all.entry(label).or_default() += count;
         }
     }
-    let wanted =
-        ["run", "join", "unrecorded", "mismatch", "never", "later", "piece", "wait", "over", "lost", "again"];
-    for what in wanted {
-        assert!(all.get(what).is_some_and(|&count| count >= 5), "{what}: {all:?}");
+    let expected_labels = [
+        "run",
+        "join",
+        "unrecorded",
+        "key reused",
+        "reject",
+        "defer",
+        "data",
+        "pending",
+        "ended",
+        "overrun",
+        "gone",
+    ];
+    for label in expected_labels {
+        assert!(all.get(label).is_some_and(|&count| count >= 5), "{label}: {all:?}");
     }
 }
 
-/// Two bookings of the same words, the first of which may have run: a repeat, of whichever, is not admitted because the
-/// other one never ran.
+/// Two at-most-once requests have the same body; the first may have run and the second never ran. Guards against a
+/// retry of the first being matched to the second and admitted: the request could run twice.
 #[test]
-fn a_repeat_of_two_like_requests_is_taken_for_that_of_the_one_that_may_have_run() {
+fn a_retry_with_the_body_of_two_requests_is_matched_to_the_one_that_may_have_run() {
     let mut store = IdempotencyStore::new(Policy { startup_guard_us: 0, ..Policy::default() }, 0);
     let body = Fingerprint([1, 2]);
     let identity = Some(RequestIdentity::Body(body));
     let first = IncomingRequest { tenant: 1, at_most_once: true, identity, body, is_retry: false };
     for outcome in [Outcome::Failed { may_have_executed: true }, Outcome::Refused { retry_after_us: 5 }] {
-        let Admission::Run(id) = store.admit(MS, &first, 0) else { panic!("a fresh one runs") };
+        let Admission::Run(id) = store.admit(MS, &first, 0) else { panic!("a fresh request did not run") };
         store.finish(2 * MS, id, outcome);
         store.reader_left(2 * MS, id);
     }
--- a/crates/idempotency/tests/wheel.rs
+++ b/crates/idempotency/tests/wheel.rs
@@ -1,4 +1,4 @@
-//! The wheel against a sorted set.
+//! The timing wheel, compared with a map from timers to the times at which they are due.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,10 +13,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// Nothing fires early, nothing is more than a tick late, and what was moved or cancelled fires as it was
-    /// last set.
+    /// No timer fires early, none is still pending two ticks after it is due, and a timer that was moved or canceled
+    /// follows its last setting.
     #[test]
-    fn the_wheel_fires_what_a_sorted_set_does(
+    fn the_wheel_fires_the_timers_that_are_due(
         start in prop_oneof![Just(0u64), any::<u32>().prop_map(u64::from), Just(1u64 << 50)],
         steps in prop::collection::vec(
             (0u32..40, prop_oneof![
@@ -25,36 +25,36 @@
             1..200,
         ),
     ) {
-        let (mut wheel, mut plain) = (TimingWheel::new(start), BTreeMap::new());
+        let (mut wheel, mut expected) = (TimingWheel::new(start), BTreeMap::new());
         let mut now = start;
-        for (member, time, what) in steps {
-            match what {
+        for (timer, delay, operation) in steps {
+            match operation {
                 0..=3 => {
-                    wheel.set(member, now.saturating_add(time));
-                    plain.insert(member, now.saturating_add(time));
+                    wheel.set(timer, now.saturating_add(delay));
+                    expected.insert(timer, now.saturating_add(delay));
                 }
                 4 => {
-                    wheel.cancel(member);
-                    plain.remove(&member);
+                    wheel.cancel(timer);
+                    expected.remove(&timer);
                 }
                 _ => {
-                    now += time % (1 << 40);
+                    now += delay % (1 << 40);
                     let mut fired = Vec::new();
                     wheel.advance(now, &mut fired);
                     let fired: BTreeSet<u32> = fired.into_iter().collect();
-                    for member in &fired {
-                        let due = plain.remove(member);
-                        prop_assert!(due.is_some_and(|due| due <= now), "early: {due:?} at {now}");
+                    for timer in &fired {
+                        let due = expected.remove(timer);
+                        prop_assert!(due.is_some_and(|due| due <= now), "due {due:?}, fired at {now}");
                     }
-                    let late = plain.values().find(|&&due| due + 2 * TICK_US <= now);
-                    prop_assert_eq!(late, None, "at {}", now);
+                    let overdue = expected.values().find(|&&due| due + 2 * TICK_US <= now);
+                    prop_assert_eq!(overdue, None, "timer has not fired at {}", now);
                 }
             }
-            prop_assert_eq!(wheel.len(), plain.len());
-            let first = plain.values().min().copied();
-            prop_assert_eq!(wheel.next_due().is_some(), first.is_some());
-            if let (Some(told), Some(first)) = (wheel.next_due(), first) {
-                prop_assert!(told <= first.max(now) + 2 * TICK_US, "woken too late");
+            prop_assert_eq!(wheel.len(), expected.len());
+            let earliest = expected.values().min().copied();
+            prop_assert_eq!(wheel.next_due().is_some(), earliest.is_some());
+            if let (Some(reported), Some(earliest)) = (wheel.next_due(), earliest) {
+                prop_assert!(reported <= earliest.max(now) + 2 * TICK_US, "next_due() is too late");
             }
         }
     }
