--- a/crates/replica/src/events.rs
+++ b/crates/replica/src/events.rs
@@ -1,4 +1,4 @@
-//! The interface of the state machine: events that go in, effects that come out, and counters.
+//! The interface of the state machine: its input events, its output effects, and its counters.
 
 use std::collections::BTreeSet;
 
@@ -9,101 +9,112 @@
 use crate::record::{RecordId, RequestStatus, Stage};
 use crate::Micros;
 
-/// An offer of this instance's own, by a number that its front gave.
+/// Identifies an offer of this instance, by a number that the caller chose and uses only once while the instance
+/// runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OfferId(pub u64);
 
 /// An input of the state machine.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time has passed; due every few hundredths of a second.
+    /// Drives timeouts, retries and repair. The owner sends it every few hundredths of a second.
     Tick,
-    /// A message has arrived.
+    /// A message from another instance has arrived.
     MessageReceived {
-        /// The sender.
+        /// The instance that sent it.
         from: MemberId,
-        /// The message.
+        /// The message, as received.
         message: Message,
     },
-    /// A front wants to run a request that must not run twice.
+    /// A front asks for permission to send an at-most-once request to a server. Decided by [`Effect::Granted`] or
+    /// [`Effect::Denied`].
     Offer {
-        /// The front's number for it.
+        /// Identifies the offer in its later events and effects.
         offer: OfferId,
-        /// The request.
+        /// The id of the request's record.
         id: RecordId,
-        /// Without a quorum by then it is denied.
+        /// The offer is denied if it has no quorum by this time, or after [`Settings::settle_time`] if that is
+        /// earlier.
+        ///
+        /// [`Settings::settle_time`]: crate::Settings::settle_time
         deadline: Micros,
     },
-    /// The result of an offer that was granted, or is no longer wanted.
+    /// A granted offer's attempt has ended, or a front gives up an offer that is not decided yet; that offer is then
+    /// denied.
     Finished {
-        /// The offer.
+        /// The offer that has ended.
         offer: OfferId,
-        /// [`Stage::NeverExecuted`], [`Stage::MayHaveExecuted`] or [`Stage::Executed`].
+        /// The attempt's final stage: [`Stage::NeverExecuted`], [`Stage::MayHaveExecuted`] or [`Stage::Executed`].
+        /// Ignored for an offer that was not decided: its attempt never executed.
         stage: Stage,
     },
-    /// Which of the other instances are up.
+    /// The other instances that are up now. Hints are sent only to these, and so are the notes of each repair round.
     MembersUp(BTreeSet<MemberId>),
-    /// Something was learnt about a server, to be noted at all instances.
+    /// This instance has learned the status of a server, which is to be noted at all instances.
     ServerStatusLearned {
-        /// The server, by a stable hash of its id.
+        /// The server: a hash of its id in the server list, the same at all instances.
         server: u64,
-        /// What was learnt.
+        /// The status that was learned.
         status: ServerStatus,
-        /// For how long it holds.
+        /// How long the note is kept from now on.
         valid_for: Micros,
     },
 }
 
-/// Why a request must not be sent on.
+/// Why an offer was denied: its request must not be sent to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denial {
-    /// Another attempt is known: it is open, may have executed, or executed.
+    /// A holder refused the offer because of other attempts of the request. The status is that of the holder's copy,
+    /// and at least [`RequestStatus::Open`].
     Conflict(RequestStatus),
-    /// Too few holders answered in time. The request was never sent, and a later attempt may execute.
+    /// Too few holders accepted before the deadline, or the front gave the offer up. The request was never sent, and
+    /// a later attempt may execute.
     NoQuorum,
-    /// This instance has not caught up with the request's range. The request was never sent.
+    /// This instance is a holder of the request's range and has not caught up with it. The request was never sent.
     NotCaughtUp,
-    /// This instance, or so many holders that no quorum is left, have no room for more records.
+    /// The stores of so many holders are full that the others can't make up a quorum. The request was never sent.
     StoreFull,
 }
 
-/// An output of the state machine, to be carried out by its owner.
+/// An action that the owner of the state machine has to carry out.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Send a message; it may be lost.
+    /// Send a message to another instance. The message may be lost.
     Send {
-        /// The receiver.
+        /// The instance to send it to.
         to: MemberId,
-        /// The message.
+        /// The message to send.
         message: Message,
     },
-    /// The request may be sent on: a quorum holds its record.
+    /// The request of this offer may be sent to a server: a quorum of holders has stored the attempt.
     Granted(OfferId),
-    /// The request must not be sent on.
+    /// The request of this offer must not be sent to a server.
     Denied(OfferId, Denial),
-    /// This instance has caught up with a range.
+    /// This instance has caught up with this range, and accepts offers for it from now on.
     CaughtUp(usize),
-    /// A note of another instance was taken over.
+    /// A note from another instance was stored, as it is later than the note known before.
     NoteReceived(Note),
 }
 
-/// Counters since the start.
+/// Event counts since this instance started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Offers granted.
     pub granted: u64,
-    /// Offers denied because another attempt was known.
+    /// Offers denied because of other attempts: [`Denial::Conflict`].
     pub conflicts: u64,
-    /// Offers denied without a quorum.
+    /// Offers denied as [`Denial::NoQuorum`] or [`Denial::NotCaughtUp`], except those that their front gave up.
     pub no_quorum: u64,
-    /// Offers denied for want of room.
+    /// Offers denied because stores of holders were full: [`Denial::StoreFull`].
     pub store_full: u64,
-    /// Hints that were dropped for want of room.
+    /// Hints dropped because [`Settings::max_hints`] was reached.
+    ///
+    /// [`Settings::max_hints`]: crate::Settings::max_hints
     pub hints_dropped: u64,
 }
 
 impl Counters {
-    /// Counts an offer that was denied on the holders' answers or for want of them.
+    /// Counts a denied offer under its reason.
     pub(crate) fn count_denial(&mut self, denial: Denial) {
         match denial {
             Denial::Conflict(_) => self.conflicts += 1,
--- a/crates/replica/src/message.rs
+++ b/crates/replica/src/message.rs
@@ -1,4 +1,5 @@
-//! Messages between instances. The order of variants and fields is the order of encoding: new ones go last.
+//! Messages between instances. They are encoded by position, without names: variants and fields keep their order, and
+//! new variants go last.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,92 +7,95 @@
 use crate::record::{AttemptId, Record, RecordId};
 use crate::{Copies, Micros};
 
-/// Space for records in one message, so that it fits into a datagram.
+/// Maximum size of the records in one message, so that the message fits into a datagram.
 const MAX_RECORDS_BYTES: usize = 1_200;
-/// Upper bounds of the encoded size of a record and of each of its attempts.
+/// Upper bound of the encoded size of a record without its attempts: id, number of attempts, expiry.
 const MAX_RECORD_BYTES: usize = 16 + 1 + 10;
+/// Upper bound of the encoded size of one attempt: the three numbers of its id, its stage, and the outcome's two
+/// fields.
 const MAX_ATTEMPT_BYTES: usize = 3 * 10 + 1 + 1 + 10;
 
-/// A message between instances.
+/// A message from one instance to another. Messages may be lost, repeated and reordered.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Hold this attempt, unless another one is known that may execute.
+    /// Asks a holder to store this attempt, unless it knows of another attempt that may execute or have executed.
     Offer {
-        /// The request.
+        /// The id of the request's record.
         id: RecordId,
-        /// The attempt.
+        /// The offered attempt.
         attempt: AttemptId,
-        /// When its record expires.
+        /// When the record expires (Unix time).
         expires: Micros,
     },
-    /// The offer is accepted: this holder has the record.
+    /// The holder accepts the offer: it has stored the attempt.
     OfferAccepted {
-        /// The request.
+        /// The id of the request's record.
         id: RecordId,
-        /// The attempt.
+        /// The offered attempt.
         attempt: AttemptId,
     },
-    /// The offer is refused.
+    /// The holder refuses the offer.
     OfferRefused {
-        /// The request.
+        /// The id of the request's record.
         id: RecordId,
-        /// The attempt that was offered.
+        /// The offered attempt.
         attempt: AttemptId,
-        /// What this holder knows of the request; absent where it has no room for more records.
+        /// The holder's copy of the record; `None` if the offer needs a new record and the holder's store is full.
         known: Option<Record>,
     },
-    /// This holder has not caught up with the request's range: it can neither accept nor refuse.
+    /// The receiver of the offer can neither accept nor refuse it: it has not caught up with the request's range, is
+    /// not a holder of that range, or the offer has expired.
     NotCaughtUp {
-        /// The request.
+        /// The id of the request's record.
         id: RecordId,
-        /// The attempt.
+        /// The offered attempt.
         attempt: AttemptId,
     },
-    /// Merge these copies.
+    /// Asks a holder to merge these copies into its own.
     Write {
-        /// Returned in the answer; 0 where none is wanted.
+        /// Identifies the write in its acknowledgement; 0 asks for no acknowledgement.
         number: u64,
-        /// The copies.
+        /// The copies to merge.
         records: Copies,
     },
-    /// The copies are merged.
+    /// All copies of a write have been merged.
     WriteAcknowledged {
-        /// Of the write.
+        /// The `number` of the write.
         number: u64,
     },
-    /// Digests of the sender's copies of a range: send the records of the buckets that differ.
+    /// Carries digests of the sender's copies of a range, and asks for the records of the buckets that differ.
     CompareDigests {
-        /// The range.
+        /// The range, below [`RANGES`](crate::RANGES).
         range: u8,
-        /// Of each bucket.
+        /// The digest of each bucket, in order.
         digests: Vec<u64>,
     },
-    /// The result of a comparison.
+    /// The result of comparing the digests; records of differing buckets follow as [`Message::Write`]s.
     DigestsCompared {
-        /// The range.
+        /// The range, below [`RANGES`](crate::RANGES).
         range: u8,
-        /// All digests were equal.
+        /// Whether all digests were equal.
         equal: bool,
-        /// The sender of this message has caught up with that range.
+        /// Whether the sender of this message has caught up with the range.
         caught_up: bool,
-        /// Buckets that differ, as bits: send their records back.
+        /// The buckets whose digests differ, one bit each. The receiver sends its records of these buckets back.
         differing: u64,
     },
-    /// Notes about servers.
+    /// Notes about servers, to be merged.
     Notes(Vec<Note>),
 }
 
-/// Records in parts that each fit into a datagram.
+/// Splits records into parts that each fit into one message.
 pub(crate) fn split_into_messages(records: Copies) -> Vec<Copies> {
     let mut parts: Vec<Copies> = Vec::new();
-    let mut room_bytes = 0;
+    let mut free_bytes = 0;
     for (id, record) in records {
-        let bytes = MAX_RECORD_BYTES + record.attempts() * MAX_ATTEMPT_BYTES;
-        if bytes > room_bytes {
+        let max_encoded_bytes = MAX_RECORD_BYTES + record.attempts() * MAX_ATTEMPT_BYTES;
+        if max_encoded_bytes > free_bytes {
             parts.push(Vec::new());
-            room_bytes = MAX_RECORDS_BYTES;
+            free_bytes = MAX_RECORDS_BYTES;
         }
-        room_bytes = room_bytes.saturating_sub(bytes);
+        free_bytes = free_bytes.saturating_sub(max_encoded_bytes);
         if let Some(part) = parts.last_mut() {
             part.push((id, record));
         }
--- a/crates/replica/src/notes.rs
+++ b/crates/replica/src/notes.rs
@@ -1,5 +1,6 @@
-//! Notes about servers: that one drains, has gone, or is in slow start since when. The last writer wins, by a hybrid
-//! logical clock: close to real time, and yet what was written by one that had read another note comes after that one.
+//! Notes about servers: that a server is draining, is gone, or has been in slow start since some time. The last
+//! writer wins, by a hybrid logical clock: its timestamps are close to real time, but a note that an instance writes
+//! after it has read another note is always the later of the two, even if the instance's clock is behind.
 
 use std::collections::BTreeMap;
 
@@ -8,58 +9,62 @@
 
 use crate::Micros;
 
-/// A timestamp further ahead of this instance's clock (ms) is not taken: it would win over all others for that long.
+/// A note whose timestamp is further ahead of this instance's clock than this (ms) is rejected: it would win over all
+/// other notes about its server until the clocks have caught up with it.
 pub const MAX_AHEAD_MS: u64 = 10_000;
 
-/// When something was written, and by whom: no two are the same. Compared field by field, in this order.
+/// Hybrid logical timestamp of a note. Timestamps are compared field by field, in this order; `writer` makes those of
+/// different instances distinct.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Timestamp {
-    /// Real time (Unix, ms), or that of what was read before, where that is later.
+    /// The writer's Unix time (ms), or the latest `wall_ms` that the writer knew of, whichever is later.
     pub wall_ms: u64,
-    /// Counts what falls into the same millisecond.
+    /// Orders timestamps with the same `wall_ms`: one more than the counter of the latest one that the writer knew
+    /// of, or 0.
     pub counter: u32,
-    /// Who wrote.
+    /// The instance that wrote the note.
     pub writer: MemberId,
 }
 
-/// What is noted of a server. The order of variants is that of encoding.
+/// The noted status of a server. Messages encode a variant as its position: new variants go last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ServerStatus {
-    /// Nothing any more.
+    /// An earlier note no longer applies; also the status of a server without a note.
     Cleared,
-    /// It drains: nothing new goes there.
+    /// The server is draining: no new requests are sent to it.
     Draining,
-    /// It has gone.
+    /// The server is gone.
     Gone,
-    /// It is in slow start since then (Unix time, ms).
+    /// The server has been in slow start since this time (Unix time, ms).
     SlowStartSince(u64),
 }
 
-/// A note about a server.
+/// A note about one server, as instances store and exchange it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Note {
-    /// The server, by a stable hash of its id in the list.
+    /// The server: a hash of its id in the server list, the same at all instances.
     pub server: u64,
-    /// What is noted.
+    /// The server's status.
     pub status: ServerStatus,
-    /// When, and by whom.
+    /// Decides between two notes about the same server: the later one is kept.
     pub timestamp: Timestamp,
-    /// When all instances forget it (Unix time).
+    /// When every instance drops the note (Unix time, us).
     pub expires: Micros,
 }
 
-/// The notes that an instance holds.
+/// The notes that an instance holds, at most one for each server.
 #[derive(Clone, Debug, Default)]
 pub struct NoteStore {
     notes: BTreeMap<u64, Note>,
+    /// The latest timestamp written or read.
     latest: Timestamp,
 }
 
 impl NoteStore {
-    /// Notes that are held at most; further servers are not noted.
+    /// Maximum number of notes held. When it is reached, notes about further servers are dropped.
     pub const MAX_NOTES: usize = 4_096;
 
-    /// Writes a note, with a timestamp later than all that were read.
+    /// Writes a note whose timestamp is later than all that were read here, and returns it to be sent to the others.
     pub fn write(
         &mut self,
         server: u64,
@@ -76,7 +81,8 @@
         note
     }
 
-    /// Takes a note where it is the later one; whether it was.
+    /// Stores a note if it is later than the stored one about the same server; returns whether it was stored. A note
+    /// that has expired, is more than [`MAX_AHEAD_MS`] ahead, or finds the store full is rejected.
     pub fn merge(&mut self, note: Note, now: Micros) -> bool {
         let is_ahead = note.timestamp.wall_ms > now / 1_000 + MAX_AHEAD_MS;
         let is_full = self.notes.len() >= Self::MAX_NOTES && !self.notes.contains_key(&note.server);
@@ -94,19 +100,19 @@
         is_later
     }
 
-    /// What is noted of a server.
+    /// The noted status of a server; [`ServerStatus::Cleared`] if there is no note about it.
     #[must_use]
     pub fn status(&self, server: u64) -> ServerStatus {
         self.notes.get(&server).map_or(ServerStatus::Cleared, |note| note.status)
     }
 
-    /// All notes, by server.
+    /// All notes, in the order of [`Note::server`].
     pub fn iter(&self) -> impl Iterator<Item = &Note> {
         self.notes.values()
     }
 
-    /// Forgets notes that have expired. A cleared one is kept to its time like any other: until then an older note
-    /// could come from an instance that has not heard of it.
+    /// Drops notes that have expired. A [`ServerStatus::Cleared`] note is kept until it expires like any other:
+    /// before that, an instance that has not received it could send an older note, which it overrides.
     pub fn expire(&mut self, now: Micros) {
         self.notes.retain(|_, note| note.expires > now);
     }
--- a/crates/replica/src/record.rs
+++ b/crates/replica/src/record.rs
@@ -1,4 +1,4 @@
-//! What is known of a request that must not run twice, and how two copies are merged.
+//! The record of an at-most-once request: its known attempts and their stages, and how two copies of it are merged.
 
 use std::collections::BTreeMap;
 
@@ -8,12 +8,14 @@
 
 use crate::Micros;
 
-/// A request, by a hash of its tenant and the key that its client gave: the same at all instances.
+/// Identifies the record of a request by a hash of its tenant and its client's idempotency key. The id is the same at
+/// all instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RecordId(pub [u8; 16]);
 
 impl RecordId {
-    /// The id of a tenant's request with that key; no other tenant's key gives the same.
+    /// The id of a tenant's request with this idempotency key. The tenant's length is hashed too, so that tenant and
+    /// key can't be split differently into the same bytes.
     #[must_use]
     pub fn of(tenant: &str, key: &str) -> Self {
         let mut hash = Sha256::new();
@@ -26,75 +28,79 @@
     }
 }
 
-/// One attempt to execute a request. An id is never used twice.
+/// Identifies one attempt to execute a request. An id is never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptId {
-    /// The instance that makes it.
+    /// The instance that makes the attempt.
     pub owner: MemberId,
-    /// When that instance started: no two of its incarnations have the same.
+    /// The incarnation of that instance, see [`Settings::incarnation`](crate::Settings::incarnation).
     pub incarnation: u64,
-    /// Counted from its start.
+    /// Counts up from the start of that instance.
     pub number: u64,
 }
 
-/// How far an attempt is. It only moves forward, in this order; of two final stages that differ the later one is kept,
-/// as what happened at a server is not undone by one that did not see it. The order of variants is that of encoding.
+/// The stage of an attempt. Stages only move forward, in this order. If two copies have different final stages, the
+/// later one is kept: an instance that did not see an execution can't undo it. Messages encode a variant as its
+/// position: new variants go last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Stage {
-    /// Its instance may send it once a quorum holds this.
+    /// The attempt's instance has offered it to the holders, and may send it to a server once a quorum has stored it.
     Offered,
-    /// A quorum did: its first byte may have gone to a server.
+    /// A quorum has stored the attempt: its first byte may have been sent to a server.
     Executing,
-    /// Its instance knows that it never executed.
+    /// Final: the attempt's instance knows that it never executed.
     NeverExecuted,
-    /// It is over, and may have executed.
+    /// Final: the attempt is over, and may have executed.
     MayHaveExecuted,
-    /// It executed.
+    /// Final: the attempt executed.
     Executed(Outcome),
 }
 
 /// The result of an attempt that executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Outcome {
-    /// The answer came to its end.
+    /// Whether the answer came to its end.
     pub complete: bool,
-    /// A digest of the answer's content; of two, the higher one is kept, at all instances alike.
+    /// A digest of the answer's content. If two copies differ, merging keeps the higher one, so that all instances
+    /// agree.
     pub digest: u64,
 }
 
-/// What the copies of a request's record say together.
+/// The status of a request: the furthest status that any of its known attempts gives it, in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum RequestStatus {
-    /// No attempt is known, or all are known never to have executed.
+    /// No attempt is known, or all known attempts never executed.
     Free,
-    /// An attempt may be about to execute, or executing.
+    /// An attempt has been offered or is executing, and none is known to have ended in a later status.
     Open,
-    /// An attempt may have executed.
+    /// An attempt is over and may have executed.
     MayHaveExecuted,
     /// An attempt executed.
     Executed(Outcome),
 }
 
-/// A copy of a request's record: each attempt that it knows of with its furthest stage. Merging takes the furthest of
-/// each: in any order, any number of times, the result is the same.
+/// A copy of a request's record: each known attempt with the furthest stage it is known to have reached. Merging
+/// keeps the furthest stage of each attempt; it is commutative, associative and idempotent, so copies may be merged
+/// in any order and repeatedly.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     attempts: BTreeMap<AttemptId, Stage>,
-    /// When all instances forget it (Unix time): an expired copy is not taken from any of them.
+    /// When every instance drops the record (Unix time). A copy that has expired is not accepted from another
+    /// instance.
     pub expires: Micros,
 }
 
 impl Record {
-    /// Attempts that a copy holds at most: a request that never executed so often is not offered again.
+    /// Maximum number of attempts of a request: after this many that never executed, no further attempt is accepted.
     pub const MAX_ATTEMPTS: usize = 8;
 
-    /// A copy that knows of one attempt.
+    /// A copy that contains one attempt.
     #[must_use]
     pub fn new(attempt: AttemptId, stage: Stage, expires: Micros) -> Self {
         Self { attempts: BTreeMap::from([(attempt, stage)]), expires }
     }
 
-    /// Takes over what the other copy knows; whether that changed anything.
+    /// Merges another copy into this one; returns whether that changed this one.
     pub fn merge(&mut self, other: &Self) -> bool {
         let mut changed = other.expires > self.expires;
         for (&attempt, &stage) in &other.attempts {
@@ -107,7 +113,7 @@
         changed
     }
 
-    /// What all attempts say together.
+    /// The status of the request, as far as this copy knows.
     #[must_use]
     pub fn status(&self) -> RequestStatus {
         let status = |stage: &Stage| match *stage {
@@ -119,23 +125,25 @@
         self.attempts.values().map(status).max().unwrap_or(RequestStatus::Free)
     }
 
-    /// How far an attempt is, as far as this copy knows.
+    /// The furthest known stage of an attempt; `None` if this copy does not contain the attempt.
     #[must_use]
     pub fn stage(&self, attempt: AttemptId) -> Option<Stage> {
         self.attempts.get(&attempt).copied()
     }
 
-    /// How many attempts it knows of.
+    /// The number of attempts that this copy contains.
     #[must_use]
     pub fn attempts(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Whether an attempt may be offered beside what is known.
+    /// Whether a holder of this copy may accept an offer of the attempt: no other attempt may execute or have
+    /// executed.
     #[must_use]
     pub fn admits(&self, attempt: AttemptId) -> bool {
         match self.stage(attempt) {
-            // Offered again, as an answer was lost; one that was withdrawn stays so.
+            // The offer is repeated because an answer was lost. An attempt that was withdrawn meanwhile stays
+            // withdrawn.
             Some(stage) => {
                 matches!(stage, Stage::Offered | Stage::Executing) && self.others_never_executed(attempt)
             }
