--- a/crates/replica/src/coordinator.rs
+++ b/crates/replica/src/coordinator.rs
@@ -1,4 +1,5 @@
-//! The coordinator: offers of this instance, from the question to the holders until a quorum accepts or denies them.
+//! The coordinator: the offers of this instance, from asking the holders until the offer is granted or denied, and
+//! the granted offers until their attempts end.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,22 +10,23 @@
 use crate::settings::Settings;
 use crate::Micros;
 
-/// An offer that waits for a quorum.
+/// An offer of this instance that is not decided yet.
 #[derive(Debug)]
 pub(crate) struct Offer {
     pub(crate) id: RecordId,
     pub(crate) attempt: AttemptId,
-    /// When its record expires.
+    /// When the record of the offered attempt expires.
     pub(crate) expires: Micros,
-    /// Without a quorum by then it is denied.
+    /// The offer is denied if it has no quorum by this time.
     pub(crate) deadline: Micros,
-    /// When holders that have not answered are asked again.
+    /// When the holders that have not accepted are asked again.
     pub(crate) retry_at: Micros,
     accepted_by: BTreeSet<MemberId>,
-    full_at: BTreeSet<MemberId>,
+    store_full_at: BTreeSet<MemberId>,
 }
 
 impl Offer {
+    /// The offer of an attempt, made now. Its deadline is at most [`Settings::settle_time`] away.
     pub(crate) fn new(
         id: RecordId,
         attempt: AttemptId,
@@ -39,12 +41,13 @@
             deadline: deadline.min(now + settings.settle_time),
             retry_at: now + settings.retry_after,
             accepted_by: BTreeSet::new(),
-            full_at: BTreeSet::new(),
+            store_full_at: BTreeSet::new(),
         }
     }
 
-    /// Those of the holders that have not accepted it.
-    pub(crate) fn unanswered(&self, holders: &[MemberId]) -> Vec<MemberId> {
+    /// Those of the holders that have not accepted the offer, be it that they have not answered, have not caught up or
+    /// have a full store.
+    pub(crate) fn not_accepted_by(&self, holders: &[MemberId]) -> Vec<MemberId> {
         holders.iter().copied().filter(|holder| !self.accepted_by.contains(holder)).collect()
     }
 }
@@ -52,49 +55,52 @@
 /// A holder's answer to an offer.
 #[derive(Debug)]
 pub(crate) enum Answer {
-    /// It holds the record.
+    /// The holder has stored the attempt.
     Accepted,
-    /// It knows of another attempt.
+    /// The holder's copy, which it sent along, contains attempts that rule out another one.
     Refused(Record),
-    /// It has no room for more records.
+    /// The holder's store is full.
     StoreFull,
 }
 
-/// What an answer leads to.
+/// The decision about an offer after a holder's answer.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Decision {
-    /// More answers are needed.
+    /// The offer stays undecided: more answers are needed.
     Wait,
-    /// A quorum holds the record.
+    /// A quorum of holders has stored the attempt.
     Grant,
-    /// The request must not be sent on.
+    /// The request must not be sent to a server.
     Deny(Denial),
 }
 
-/// Offers of this instance.
+/// The offers of this instance that are undecided, or granted and not finished.
 #[derive(Debug, Default)]
 pub(crate) struct Coordinator {
     waiting: BTreeMap<OfferId, Offer>,
-    /// Granted, and not known to have finished.
+    /// Offers that were granted and whose attempts have not ended.
     granted: BTreeMap<OfferId, (RecordId, AttemptId)>,
 }
 
 impl Coordinator {
+    /// Adds an offer whose holders are about to be asked.
     pub(crate) fn begin(&mut self, offer_id: OfferId, offer: Offer) {
         self.waiting.insert(offer_id, offer);
     }
 
+    /// An offer, if it is undecided.
     pub(crate) fn waiting(&self, offer_id: OfferId) -> Option<&Offer> {
         self.waiting.get(&offer_id)
     }
 
-    /// The waiting offer of an attempt.
+    /// The undecided offer of an attempt.
     pub(crate) fn find(&self, attempt: AttemptId) -> Option<(OfferId, &Offer)> {
         let (&offer_id, offer) = self.waiting.iter().find(|(_, offer)| offer.attempt == attempt)?;
         Some((offer_id, offer))
     }
 
-    /// Counts a holder's answer, and decides.
+    /// Records a holder's answer, and decides about the offer. Answers to an offer that is already decided are
+    /// ignored.
     pub(crate) fn decide(
         &mut self,
         offer_id: OfferId,
@@ -105,7 +111,8 @@
     ) -> Decision {
         let Some(offer) = self.waiting.get_mut(&offer_id) else { return Decision::Wait };
         if now >= offer.deadline {
-            // This instance was paused: holders of the record may have restarted since.
+            // The process was paused past the deadline: holders that accepted may have restarted since, without their
+            // records.
             return Decision::Deny(Denial::NoQuorum);
         }
         match answer {
@@ -119,8 +126,8 @@
                 return Decision::Deny(Denial::Conflict(known.status().max(RequestStatus::Open)));
             }
             Answer::StoreFull => {
-                offer.full_at.insert(from);
-                if offer.full_at.len() > settings.copies - settings.quorum {
+                offer.store_full_at.insert(from);
+                if offer.store_full_at.len() > settings.copies - settings.quorum {
                     return Decision::Deny(Denial::StoreFull);
                 }
             }
@@ -128,30 +135,30 @@
         Decision::Wait
     }
 
-    /// Moves an offer from those that wait to those that are granted.
+    /// Moves an undecided offer to the granted ones.
     pub(crate) fn grant(&mut self, offer_id: OfferId) -> Option<Offer> {
         let offer = self.waiting.remove(&offer_id)?;
         self.granted.insert(offer_id, (offer.id, offer.attempt));
         Some(offer)
     }
 
-    /// Drops an offer that waits.
+    /// Drops an undecided offer.
     pub(crate) fn withdraw(&mut self, offer_id: OfferId) -> Option<Offer> {
         self.waiting.remove(&offer_id)
     }
 
-    /// Ends an offer that was granted.
+    /// Drops a granted offer, as its attempt has ended.
     pub(crate) fn finish(&mut self, offer_id: OfferId) -> Option<(RecordId, AttemptId)> {
         self.granted.remove(&offer_id)
     }
 
-    /// Offers whose deadline is over.
+    /// Undecided offers whose deadline has passed.
     pub(crate) fn overdue(&self, now: Micros) -> Vec<OfferId> {
         self.ids_where(|offer| now >= offer.deadline)
     }
 
-    /// Offers whose holders have to be asked again; the next time is scheduled.
-    pub(crate) fn take_retries(&mut self, now: Micros, retry_after: Micros) -> Vec<OfferId> {
+    /// Undecided offers that are due for another round of asking; schedules their next one `retry_after` from now.
+    pub(crate) fn take_due_retries(&mut self, now: Micros, retry_after: Micros) -> Vec<OfferId> {
         let due = self.ids_where(|offer| now >= offer.retry_at);
         for offer_id in &due {
             if let Some(offer) = self.waiting.get_mut(offer_id) {
@@ -161,7 +168,7 @@
         due
     }
 
-    fn ids_where(&self, wanted: impl Fn(&Offer) -> bool) -> Vec<OfferId> {
-        self.waiting.iter().filter(|(_, offer)| wanted(offer)).map(|(&offer_id, _)| offer_id).collect()
+    fn ids_where(&self, predicate: impl Fn(&Offer) -> bool) -> Vec<OfferId> {
+        self.waiting.iter().filter(|(_, offer)| predicate(offer)).map(|(&offer_id, _)| offer_id).collect()
     }
 }
--- a/crates/replica/src/replica.rs
+++ b/crates/replica/src/replica.rs
@@ -1,5 +1,7 @@
-//! The state machine of one instance. This module owns its parts and the order of steps: [`Coordinator`] decides the
-//! offers of this instance, [`HintedHandoff`] keeps writes for holders that are away, [`Repair`] compares copies.
+//! The state machine of one instance. This module connects its parts and fixes the order of their steps:
+//! [`Coordinator`] decides about offers of this instance, [`HintedHandoff`] keeps records for holders that have not
+//! acknowledged them, and
+//! [`Repair`] compares copies with other holders.
 
 use std::collections::BTreeSet;
 
@@ -17,20 +19,22 @@
 use crate::storage::{RecordStore, BUCKETS};
 use crate::{Copies, Micros};
 
-const NOTES_IN_MESSAGE: usize = 16;
-/// The number of a write that wants no acknowledgement.
+/// Maximum number of notes in one message.
+const MAX_NOTES_PER_MESSAGE: usize = 16;
+/// The number of a write that asks for no acknowledgement.
 const NO_ACKNOWLEDGEMENT: u64 = 0;
 
-/// The replica of one instance, see the [crate].
+/// The state machine of one instance; the [crate] documentation describes the protocol.
 #[derive(Debug)]
 pub struct Replica {
     settings: Settings,
     placement: Placement,
+    /// The latest time given to [`Self::handle`].
     now: Micros,
     store: RecordStore,
     notes: NoteStore,
     members_up: BTreeSet<MemberId>,
-    /// The last number given to an attempt or a write.
+    /// The last number given to an attempt or a write, which share one sequence.
     last_number: u64,
     coordinator: Coordinator,
     handoff: HintedHandoff,
@@ -39,10 +43,10 @@
 }
 
 impl Replica {
-    /// An instance that has just started and holds nothing.
+    /// The state machine of an instance that has just started: it holds no records or notes.
     ///
     /// # Errors
-    /// Settings that are invalid.
+    /// The first setting that is invalid.
     pub fn new(settings: Settings, now: Micros) -> Result<Self, InvalidSettings> {
         settings.check()?;
         let placement = Placement::new(&settings.members, settings.copies);
@@ -61,37 +65,38 @@
         })
     }
 
-    /// The records held here.
+    /// The copies of records that this instance holds.
     #[must_use]
     pub fn store(&self) -> &RecordStore {
         &self.store
     }
 
-    /// The notes held here.
+    /// The notes about servers that this instance holds.
     #[must_use]
     pub fn notes(&self) -> &NoteStore {
         &self.notes
     }
 
-    /// How many ranges are held here and not caught up with.
+    /// The number of ranges that this instance is a holder of and has not caught up with.
     #[must_use]
     pub fn ranges_behind(&self) -> usize {
         self.repair.count_behind()
     }
 
-    /// How many records are kept for holders that have not acknowledged them.
+    /// The number of hints: records kept for other holders that have not acknowledged them.
     #[must_use]
     pub fn hints(&self) -> usize {
         self.handoff.count()
     }
 
-    /// Counters since the start.
+    /// Event counts since this instance started.
     #[must_use]
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// Takes an event at a time, and adds what is to be done to `effects`.
+    /// Handles one event at time `now` (Unix time), and appends the resulting effects to `effects`. A time earlier
+    /// than that of a previous call is replaced by the latter.
     pub fn handle(&mut self, now: Micros, event: Event, effects: &mut Vec<Effect>) {
         self.now = self.now.max(now);
         match event {
@@ -111,13 +116,14 @@
         self.last_number
     }
 
-    /// Whether this instance holds the records of a request.
+    /// Whether this instance is a holder of the request's record.
     fn is_holder(&self, id: RecordId) -> bool {
         self.placement.is_holder(self.settings.own_id, Placement::range_of(id))
     }
 
     // ---- Offers of this instance ----
 
+    /// Starts an offer: asks the holders, unless this instance has not caught up with the request's range.
     fn offer(&mut self, offer_id: OfferId, id: RecordId, deadline: Micros, effects: &mut Vec<Effect>) {
         if self.repair.is_behind(Placement::range_of(id)) {
             self.counters.count_denial(Denial::NotCaughtUp);
@@ -134,12 +140,13 @@
         self.ask_holders(offer_id, effects);
     }
 
-    /// Asks all holders that have not accepted; this instance is asked like any other.
+    /// Asks all holders that have not accepted the offer. If this instance is one of them, it answers itself
+    /// directly.
     fn ask_holders(&mut self, offer_id: OfferId, effects: &mut Vec<Effect>) {
         let Some(offer) = self.coordinator.waiting(offer_id) else { return };
         let (id, attempt, expires) = (offer.id, offer.attempt, offer.expires);
         let holders = self.placement.holders(Placement::range_of(id));
-        for holder in offer.unanswered(holders) {
+        for holder in offer.not_accepted_by(holders) {
             if holder == self.settings.own_id {
                 let answer = self.answer_offer(id, attempt, expires);
                 self.receive_answer(holder, answer, effects);
@@ -150,7 +157,7 @@
         }
     }
 
-    /// What this instance, as a holder, answers to an offer.
+    /// The answer of this instance, as a holder, to an offer. An accepted attempt is stored.
     fn answer_offer(&mut self, id: RecordId, attempt: AttemptId, expires: Micros) -> Message {
         let is_behind = self.repair.is_behind(Placement::range_of(id));
         if !self.is_holder(id) || is_behind || expires <= self.now {
@@ -169,13 +176,13 @@
         Message::OfferAccepted { id, attempt }
     }
 
-    /// Takes a holder's answer to an offer of this instance.
+    /// Handles a holder's answer to an offer of this instance.
     fn receive_answer(&mut self, from: MemberId, answer: Message, effects: &mut Vec<Effect>) {
         let (attempt, answer) = match answer {
             Message::OfferAccepted { attempt, .. } => (attempt, Answer::Accepted),
             Message::OfferRefused { attempt, known: Some(known), .. } => (attempt, Answer::Refused(known)),
             Message::OfferRefused { attempt, known: None, .. } => (attempt, Answer::StoreFull),
-            _ => return, // a holder that has not caught up is asked again
+            _ => return, // `NotCaughtUp` is no answer: the holder is asked again
         };
         let Some((offer_id, offer)) = self.coordinator.find(attempt) else { return };
         let id = offer.id;
@@ -184,7 +191,7 @@
             Decision::Grant => self.grant(offer_id, effects),
             Decision::Deny(denial) => {
                 if let (Denial::Conflict(_), Answer::Refused(known)) = (denial, &answer) {
-                    // What the other holder knows has to be known here too, where this instance holds the record.
+                    // If this instance is a holder of the record too, it stores the attempts that caused the refusal.
                     if self.is_holder(id) {
                         self.store.merge(id, known, self.now);
                     }
@@ -195,6 +202,7 @@
         }
     }
 
+    /// Grants an offer, and tells the holders that its attempt is executing.
     fn grant(&mut self, offer_id: OfferId, effects: &mut Vec<Effect>) {
         let Some(offer) = self.coordinator.grant(offer_id) else { return };
         self.counters.granted += 1;
@@ -203,7 +211,8 @@
         effects.push(Effect::Granted(offer_id));
     }
 
-    /// Withdraws the attempt at all holders: it was never sent, and no late message may bring it up again.
+    /// Denies an offer, and writes to all holders that its attempt never executed. A message of the offer that
+    /// arrives late can't make the attempt open again.
     fn deny(&mut self, offer_id: OfferId, denial: Denial, effects: &mut Vec<Effect>) {
         let Some(offer) = self.coordinator.withdraw(offer_id) else { return };
         let record = Record::new(offer.attempt, Stage::NeverExecuted, offer.expires);
@@ -211,9 +220,10 @@
         effects.push(Effect::Denied(offer_id, denial));
     }
 
+    /// Handles the end of an attempt: writes its final stage to all holders, or withdraws an offer that is undecided.
     fn finish(&mut self, offer_id: OfferId, stage: Stage, effects: &mut Vec<Effect>) {
         if self.coordinator.waiting(offer_id).is_some() {
-            // Its client has left before it was granted.
+            // The front gave up the offer before it was decided, as when its client disconnected.
             return self.deny(offer_id, Denial::NoQuorum, effects);
         }
         let Some((id, attempt)) = self.coordinator.finish(offer_id) else { return };
@@ -223,7 +233,7 @@
 
     // ---- Writes to holders ----
 
-    /// Has all holders merge a copy. It is kept for those that do not acknowledge it, until they do.
+    /// Writes a copy to all holders. It is kept as a hint for each other holder until that one acknowledges it.
     fn write_to_holders(&mut self, id: RecordId, record: &Record, effects: &mut Vec<Effect>) {
         let holders = self.placement.holders(Placement::range_of(id)).to_vec();
         for holder in holders {
@@ -231,14 +241,15 @@
                 self.store.merge(id, record, self.now);
                 continue;
             }
-            if !self.handoff.keep(holder, id, record, self.settings.max_hints) {
-                // Repair brings it to the holder later.
+            if !self.handoff.add(holder, id, record, self.settings.max_hints) {
+                // There are too many hints; repair brings the record to the holder later.
                 self.counters.hints_dropped += 1;
             }
             self.send_write(holder, vec![(id, record.clone())], effects);
         }
     }
 
+    /// Sends a write that asks for an acknowledgement.
     fn send_write(&mut self, to: MemberId, records: Copies, effects: &mut Vec<Effect>) {
         let number = self.next_number();
         let message = Message::Write { number, records: records.clone() };
@@ -246,14 +257,16 @@
         self.handoff.sent(number, to, records, self.now + self.settings.retry_after);
     }
 
+    /// Sends hints to the holders that are up and have no write in flight.
     fn send_due_hints(&mut self, effects: &mut Vec<Effect>) {
         for holder in self.handoff.due_holders(&self.members_up, self.now) {
-            for records in split_into_messages(self.handoff.next_for(holder)) {
+            for records in split_into_messages(self.handoff.next_hints(holder)) {
                 self.send_write(holder, records, effects);
             }
         }
     }
 
+    /// Merges the copies of ranges held here, and acknowledges the write if it asks for that.
     fn receive_write(&mut self, from: MemberId, number: u64, records: Copies, effects: &mut Vec<Effect>) {
         for (id, record) in records {
             if self.is_holder(id) {
@@ -267,11 +280,13 @@
 
     // ---- Repair ----
 
-    fn compare(&mut self, effects: &mut Vec<Effect>) {
+    /// Sends the comparisons of this tick: those needed to catch up and, if a round is due, that of the round. A
+    /// round also drops expired hints and sends the notes about servers to one instance.
+    fn send_due_comparisons(&mut self, effects: &mut Vec<Effect>) {
         for comparison in self.repair.catch_up_comparisons(&self.placement, self.now) {
             self.send_digests(comparison, effects);
         }
-        if !self.repair.take_round(self.now, self.settings.compare_interval) {
+        if !self.repair.take_due_round(self.now, self.settings.compare_interval) {
             return;
         }
         self.handoff.expire(self.now);
@@ -285,27 +300,31 @@
         self.send_notes_to_next(effects);
     }
 
+    /// Sends the digests of a range to another holder of it.
     fn send_digests(&self, Comparison { range, with }: Comparison, effects: &mut Vec<Effect>) {
         let message = Message::CompareDigests { range: range as u8, digests: self.store.digests(range) };
         effects.push(Effect::Send { to: with, message });
     }
 
+    /// Compares another holder's digests of a range with those here; answers with the result, and with records of the
+    /// buckets that differ.
     fn receive_digests(&mut self, from: MemberId, range: u8, digests: &[u64], effects: &mut Vec<Effect>) {
-        let at = usize::from(range);
-        if digests.len() != BUCKETS || !self.placement.is_holder(from, at) {
+        let range_index = usize::from(range);
+        if digests.len() != BUCKETS || !self.placement.is_holder(from, range_index) {
             return;
         }
-        let differing = BucketSet::differing(&self.store.digests(at), digests);
+        let differing = BucketSet::differing(&self.store.digests(range_index), digests);
         let message = Message::DigestsCompared {
             range,
             equal: differing.is_empty(),
-            caught_up: !self.repair.is_behind(at),
+            caught_up: !self.repair.is_behind(range_index),
             differing: differing.0,
         };
         effects.push(Effect::Send { to: from, message });
-        self.send_buckets(from, at, differing, effects);
+        self.send_buckets(from, range_index, differing, effects);
     }
 
+    /// Sends the next records of some buckets of a range to a holder, without asking for acknowledgements.
     fn send_buckets(&mut self, to: MemberId, range: usize, buckets: BucketSet, effects: &mut Vec<Effect>) {
         let records = self.repair.next_records(to, range, buckets, &self.store);
         for records in split_into_messages(records) {
@@ -314,6 +333,7 @@
         }
     }
 
+    /// Handles the result of a comparison that found all digests of a range equal.
     fn receive_equal(&mut self, from: MemberId, range: u8, caught_up: bool, effects: &mut Vec<Effect>) {
         let range = usize::from(range);
         if self.repair.found_equal(from, range, caught_up, &self.settings) {
@@ -323,6 +343,7 @@
 
     // ---- Notes about servers ----
 
+    /// Notes the status of a server, and sends the note to all other instances, whether they are up or not.
     fn write_note(
         &mut self,
         server: u64,
@@ -337,16 +358,17 @@
         }
     }
 
-    /// Sends all notes to one of the instances that are up, each in turn.
+    /// Sends all notes to one of the instances that are up, a different one in each round.
     fn send_notes_to_next(&self, effects: &mut Vec<Effect>) {
-        let turn = self.repair.rounds() % self.members_up.len().max(1);
-        let Some(&to) = self.members_up.iter().nth(turn) else { return };
+        let index = self.repair.rounds() % self.members_up.len().max(1);
+        let Some(&to) = self.members_up.iter().nth(index) else { return };
         let notes: Vec<Note> = self.notes.iter().copied().collect();
-        for part in notes.chunks(NOTES_IN_MESSAGE) {
-            effects.push(Effect::Send { to, message: Message::Notes(part.to_vec()) });
+        for chunk in notes.chunks(MAX_NOTES_PER_MESSAGE) {
+            effects.push(Effect::Send { to, message: Message::Notes(chunk.to_vec()) });
         }
     }
 
+    /// Merges notes of another instance, and reports those that were stored.
     fn receive_notes(&mut self, notes: Vec<Note>, effects: &mut Vec<Effect>) {
         for note in notes {
             if self.notes.merge(note, self.now) {
@@ -357,6 +379,7 @@
 
     // ---- Messages and time ----
 
+    /// Handles a message. One that does not come from another instance of the settings' list is ignored.
     fn receive(&mut self, from: MemberId, message: Message, effects: &mut Vec<Effect>) {
         if !self.settings.members.contains(&from) || from == self.settings.own_id {
             return;
@@ -384,6 +407,7 @@
         }
     }
 
+    /// Drops what has expired, denies offers past their deadline, and sends what is due.
     fn tick(&mut self, effects: &mut Vec<Effect>) {
         self.store.expire(self.now);
         self.notes.expire(self.now);
@@ -391,10 +415,10 @@
             self.counters.count_denial(Denial::NoQuorum);
             self.deny(offer_id, Denial::NoQuorum, effects);
         }
-        for offer_id in self.coordinator.take_retries(self.now, self.settings.retry_after) {
+        for offer_id in self.coordinator.take_due_retries(self.now, self.settings.retry_after) {
             self.ask_holders(offer_id, effects);
         }
         self.send_due_hints(effects);
-        self.compare(effects);
+        self.send_due_comparisons(effects);
     }
 }
