--- a/crates/replica/benches/catch_up.rs
+++ b/crates/replica/benches/catch_up.rs
@@ -1,8 +1,10 @@
-//! How long one that comes back needs to catch up, against how much it missed, and how large a record is.
+//! Measures how long a restarted instance needs to catch up, depending on the number of records it missed, and the
+//! size of a record.
 //!
-//! `cargo bench -p dewladder-replica --bench catch_up [-- records...]`; by default 10,000 and 1,000,000. Virtual time: a
-//! tick each 25 ms, 1 ms under way, nothing lost; three instances that hold everything, of which one starts anew. The
-//! plain baseline is one that asks for everything: all records in datagrams as full, one after the other.
+//! `cargo bench -p dewladder-replica --bench catch_up [-- records...]`; by default 10,000 and 1,000,000 records. The
+//! run uses virtual time, with a tick every 25 ms, a delay of 1 ms for each message and no loss. Of three instances
+//! that hold all ranges, one restarts without records. The baseline is an instance that asks for everything: the size
+//! of all records in equally full datagrams, sent one after the other.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
@@ -12,17 +14,19 @@
     AttemptId, Effect, Event, Message, Micros, Outcome, Record, RecordId, Replica, Settings, Stage,
 };
 
+/// The interval between two ticks of an instance.
 const TICK: Micros = 25_000;
-const WAY: Micros = 1_000;
+/// The time from sending a message to its arrival.
+const MESSAGE_DELAY: Micros = 1_000;
 const START: Micros = 1_000_000_000;
 
-fn member(at: usize) -> MemberId {
-    MemberId(at as u64 + 1)
+fn member(index: usize) -> MemberId {
+    MemberId(index as u64 + 1)
 }
 
-fn settings(at: usize, records: usize) -> Settings {
+fn settings(index: usize, records: usize) -> Settings {
     Settings {
-        own_id: member(at),
+        own_id: member(index),
         incarnation: START,
         members: (0..3).map(member).collect(),
         copies: 3,
@@ -36,94 +40,103 @@
     }
 }
 
+/// Three instances in virtual time.
 struct Run {
     replicas: Vec<Replica>,
-    due: BTreeMap<(Micros, u64), (usize, Event)>,
-    numbers: u64,
+    /// Events by their time and a sequence number, with the instance that each is for.
+    queue: BTreeMap<(Micros, u64), (usize, Event)>,
+    /// The last sequence number in `queue`.
+    sequence: u64,
+    /// Size of the datagrams sent, with 44 bytes of header and HMAC for each.
     bytes: u64,
     datagrams: u64,
 }
 
 impl Run {
-    fn step(&mut self, at: usize, now: Micros, event: Event) {
+    /// Hands an event to an instance, and queues the messages that it sends.
+    fn step(&mut self, index: usize, now: Micros, event: Event) {
         let mut effects = Vec::new();
-        self.replicas[at].handle(now, event, &mut effects);
+        self.replicas[index].handle(now, event, &mut effects);
         for effect in effects {
             let Effect::Send { to, message } = effect else { continue };
-            let size = postcard::to_allocvec(&(member(at), &message)).map_or(0, |bytes| bytes.len()) as u64;
+            let size =
+                postcard::to_allocvec(&(member(index), &message)).map_or(0, |bytes| bytes.len()) as u64;
             (self.bytes, self.datagrams) = (self.bytes + size + 44, self.datagrams + 1);
-            self.numbers += 1;
+            self.sequence += 1;
             let to = to.0 as usize - 1;
-            self.due.insert(
-                (now + WAY, self.numbers),
-                (to, Event::MessageReceived { from: member(at), message }),
+            self.queue.insert(
+                (now + MESSAGE_DELAY, self.sequence),
+                (to, Event::MessageReceived { from: member(index), message }),
             );
         }
     }
 
-    /// Until the last one is caught up; how long that took.
+    /// Runs until the restarted instance has caught up; returns how long that took.
     fn catch_up(&mut self) -> Micros {
         let mut now = START;
         while self.replicas[2].ranges_behind() > 0 {
-            for at in 0..3 {
-                self.step(at, now, Event::Tick);
+            for index in 0..3 {
+                self.step(index, now, Event::Tick);
             }
             now += TICK;
-            while let Some(entry) = self.due.first_entry().filter(|entry| entry.key().0 <= now) {
-                let ((when, _), (at, event)) = entry.remove_entry();
-                self.step(at, when, event);
+            while let Some(entry) = self.queue.first_entry().filter(|entry| entry.key().0 <= now) {
+                let ((when, _), (index, event)) = entry.remove_entry();
+                self.step(index, when, event);
             }
         }
         now - START
     }
 }
 
+/// Distinct records of executed requests.
 fn records(count: usize) -> impl Iterator<Item = (RecordId, Record)> {
     (0..count as u64).map(|number| {
         let attempt = AttemptId { owner: member(number as usize % 3), incarnation: START, number };
-        let ran = Stage::Executed(Outcome { complete: true, digest: 0 });
-        (RecordId::of("tenant", &number.to_string()), Record::new(attempt, ran, START + 100_000_000_000))
+        let executed = Stage::Executed(Outcome { complete: true, digest: 0 });
+        (RecordId::of("tenant", &number.to_string()), Record::new(attempt, executed, START + 100_000_000_000))
     })
 }
 
 fn main() {
-    let asked: Vec<usize> = std::env::args().skip(1).filter_map(|word| word.parse().ok()).collect();
+    let requested: Vec<usize> =
+        std::env::args().skip(1).filter_map(|argument| argument.parse().ok()).collect();
     println!(
         "{:>9} {:>12} {:>11} {:>10} {:>13} {:>13} {:>9}",
-        "missed", "caught up s", "MB sent", "datagrams", "B a record", "baseline MB", "ran s"
+        "missed", "caught up s", "MB sent", "datagrams", "B/record", "baseline MB", "wall s"
     );
-    for count in if asked.is_empty() { vec![10_000, 1_000_000] } else { asked } {
-        let began = Instant::now();
-        let replicas = (0..3).map(|at| Replica::new(settings(at, count), START).expect("settings")).collect();
-        let mut run = Run { replicas, due: BTreeMap::new(), numbers: 0, bytes: 0, datagrams: 0 };
-        let (mut plain, mut size) = (0, 0);
+    for count in if requested.is_empty() { vec![10_000, 1_000_000] } else { requested } {
+        let started = Instant::now();
+        let replicas =
+            (0..3).map(|index| Replica::new(settings(index, count), START).expect("valid")).collect();
+        let mut run = Run { replicas, queue: BTreeMap::new(), sequence: 0, bytes: 0, datagrams: 0 };
+        let (mut baseline_bytes, mut size) = (0, 0);
         let all: Vec<(RecordId, Record)> = records(count).collect();
-        for some in all.chunks(16) {
-            size += some
+        for chunk in all.chunks(16) {
+            size += chunk
                 .iter()
                 .map(|one| postcard::to_allocvec(one).map_or(0, |bytes| bytes.len()))
                 .sum::<usize>();
-            let message = Message::Write { number: 0, records: some.to_vec() };
-            plain += postcard::to_allocvec(&message).map_or(0, |bytes| bytes.len()) + 44;
-            for at in 0..2 {
+            let message = Message::Write { number: 0, records: chunk.to_vec() };
+            baseline_bytes += postcard::to_allocvec(&message).map_or(0, |bytes| bytes.len()) + 44;
+            for index in 0..2 {
                 let event = Event::MessageReceived { from: member(2), message: message.clone() };
-                run.replicas[at].handle(START, event, &mut Vec::new());
+                run.replicas[index].handle(START, event, &mut Vec::new());
             }
         }
         let up: BTreeSet<MemberId> = (0..3).map(member).collect();
-        for at in 0..3 {
-            run.step(at, START, Event::MembersUp(up.clone()));
+        for index in 0..3 {
+            run.step(index, START, Event::MembersUp(up.clone()));
         }
-        let took = run.catch_up();
-        assert_eq!(run.replicas[2].store().len(), count, "all of it");
+        let catch_up_time = run.catch_up();
+        assert_eq!(run.replicas[2].store().len(), count, "a record is missing");
         println!(
             "{count:>9} {:>12.2} {:>11.2} {:>10} {:>13.1} {:>13.2} {:>9.1}",
-            took as f64 / 1e6,
+            catch_up_time as f64 / 1e6,
             run.bytes as f64 / 1e6,
             run.datagrams,
             size as f64 / count as f64,
-            plain as f64 / 1e6,
-            began.elapsed().as_secs_f64()
+            baseline_bytes as f64 / 1e6,
+            started.elapsed().as_secs_f64()
         );
     }
 }
--- a/crates/replica/tests/datagrams.rs
+++ b/crates/replica/tests/datagrams.rs
@@ -1,6 +1,7 @@
-//! The bytes of every message and of what is in it, as other versions of the program send and read them: postcard, in
-//! which variants stand as their number in order of declaration, and fields in their order, without names. And what
-//! two versions must compute alike: where records lie, and the digests by which copies are compared.
+//! Guards compatibility between versions of the program that run in one cluster. The encoding of every message must
+//! not change: postcard encodes variants by their position and fields in their order, without names. Nor may the
+//! values that two versions must compute alike: record ids, the holders of ranges, and the digests by which copies
+//! are compared.
 
 use std::fmt::Write as _;
 
@@ -14,7 +15,7 @@
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().fold(String::new(), |mut text, byte| {
-        write!(text, "{byte:02x}").expect("text takes all");
+        write!(text, "{byte:02x}").expect("writing to a string can't fail");
         text
     })
 }
@@ -30,7 +31,7 @@
     AttemptId { owner: MemberId(0x1122_3344_5566_7788), incarnation: 1_700_000_000_000_000, number }
 }
 
-/// A copy in which each stage stands once.
+/// A copy of a record with an attempt in each stage, and two in the stage with an outcome.
 fn record() -> Record {
     let stages = [
         Stage::Offered,
@@ -40,11 +41,11 @@
         Stage::Executed(Outcome { complete: true, digest: 0 }),
         Stage::Executed(Outcome { complete: false, digest: u64::MAX }),
     ];
-    let mut all = Record::new(attempt(0), stages[0], 9_000_000);
+    let mut merged = Record::new(attempt(0), stages[0], 9_000_000);
     for (number, stage) in stages.into_iter().enumerate() {
-        all.merge(&Record::new(attempt(number as u64), stage, 9_000_000 + number as u64));
+        merged.merge(&Record::new(attempt(number as u64), stage, 9_000_000 + number as u64));
     }
-    all
+    merged
 }
 
 fn note(status: ServerStatus) -> Note {
@@ -52,7 +53,7 @@
     Note { server: 0xfeed, status, timestamp, expires: 77_000 }
 }
 
-/// Each kind of message, by the name that the golden file has for it.
+/// Each kind of message, with the name of its line in the golden file.
 fn messages() -> Vec<(&'static str, Message)> {
     let (id, attempt) = (RecordId::of("tenant", "key"), attempt(300));
     let status = [
@@ -82,25 +83,26 @@
     ]
 }
 
+/// The bytes of a message in the golden file, in hexadecimal.
 fn golden(name: &str) -> &'static str {
     let line = GOLDEN.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
     line.unwrap_or_else(|| panic!("no golden line for {name}"))
 }
 
-/// With its sender, as it goes into a datagram.
+/// The encoding of a message together with its sender, as a datagram carries it.
 fn encoded(message: &Message) -> Vec<u8> {
-    postcard::to_allocvec(&(MemberId(7), message)).expect("it can be written")
+    postcard::to_allocvec(&(MemberId(7), message)).expect("a message can be encoded")
 }
 
 #[test]
-fn each_message_is_written_as_the_golden_bytes() {
+fn each_message_is_encoded_as_its_golden_bytes() {
     let text: String =
         messages().iter().map(|(name, one)| format!("{name} {}\n", hex(&encoded(one)))).collect();
     assert_eq!(text, GOLDEN);
 }
 
 #[test]
-fn each_golden_message_is_read_as_it_was() {
+fn each_golden_line_decodes_to_its_message() {
     for (name, message) in messages() {
         let read: (MemberId, Message) = postcard::from_bytes(&bytes(golden(name))).expect(name);
         assert_eq!(read, (MemberId(7), message), "{name}");
@@ -114,13 +116,13 @@
 }
 
 #[test]
-fn ranges_lie_at_the_same_holders_at_every_instance() {
+fn each_range_has_the_same_holders_at_every_instance() {
     let members: Vec<MemberId> = (0..5).map(|at| MemberId::of(&format!("n{at}"))).collect();
-    let ranges = Placement::new(&members, 3);
+    let placement = Placement::new(&members, 3);
     let holders: Vec<String> = (0..RANGES)
         .map(|range| {
             let at = |id: &MemberId| members.iter().position(|one| one == id).expect("a member").to_string();
-            ranges.holders(range).iter().map(at).collect::<String>()
+            placement.holders(range).iter().map(at).collect::<String>()
         })
         .collect();
     assert_eq!(
--- a/crates/replica/tests/decisions.rs
+++ b/crates/replica/tests/decisions.rs
@@ -1,6 +1,6 @@
-//! All that five instances decide about drawn offers under loss, a cut and restarts with nothing kept, from fixed
-//! seeds: the same messages in the same order, byte for byte, and the same answers. A change of the code that is to
-//! keep its behaviour keeps this.
+//! Guards against unintended changes of behaviour: five instances decide about random offers, with message loss, a
+//! network partition and restarts that lose all records, from fixed seeds. The golden file has counts and a digest of
+//! all messages, in order and byte for byte, and of all answers. A refactoring must not change it.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -18,13 +18,13 @@
 const START: Micros = 1_000 * SECOND;
 const INSTANCES: usize = 5;
 
-fn member(at: usize) -> MemberId {
-    MemberId::of(&format!("n{at}"))
+fn member(index: usize) -> MemberId {
+    MemberId::of(&format!("n{index}"))
 }
 
-fn new_replica(at: usize, now: Micros) -> Replica {
+fn new_replica(index: usize, now: Micros) -> Replica {
     let settings = Settings {
-        own_id: member(at),
+        own_id: member(index),
         incarnation: now,
         members: (0..INSTANCES).map(member).collect(),
         copies: 3,
@@ -36,47 +36,52 @@
         retry_after: 50 * MS,
         compare_interval: 100 * MS,
     };
-    Replica::new(settings, now).expect("settings that can be")
+    Replica::new(settings, now).expect("valid settings")
 }
 
-/// Drawn instances, and what they did.
-struct Play {
+/// Five instances with random events, and a digest of their effects.
+struct Scenario {
     rng: Pcg64Mcg,
     now: Micros,
     replicas: Vec<Replica>,
     hash: Sha256,
+    /// Number of messages sent.
     messages: u64,
-    tickets: u64,
-    open: Vec<(usize, OfferId)>,
+    /// Number of offers made, and the id of the last one.
+    offers: u64,
+    /// Offers that were granted and are not finished, with the instance that made each.
+    open_offers: Vec<(usize, OfferId)>,
+    /// Number of answers of each kind, see [`Self::record_answer`].
     answers: [u64; 7],
 }
 
-impl Play {
+impl Scenario {
     fn new(seed: u64) -> Self {
         Self {
             rng: Pcg64Mcg::seed_from_u64(seed),
             now: START,
-            replicas: (0..INSTANCES).map(|at| new_replica(at, START)).collect(),
+            replicas: (0..INSTANCES).map(|index| new_replica(index, START)).collect(),
             hash: Sha256::new(),
             messages: 0,
-            tickets: 0,
-            open: Vec::new(),
+            offers: 0,
+            open_offers: Vec::new(),
             answers: [0; 7],
         }
     }
 
-    fn below(&mut self, limit: u64) -> u64 {
+    fn random_below(&mut self, limit: u64) -> u64 {
         self.rng.next_u64() % limit
     }
 
-    /// A tenth of all messages is lost, and all between the sides of a cut.
+    /// A tenth of all messages is lost, and during a partition all messages between its sides.
     fn is_lost(&mut self, from: usize, to: usize) -> bool {
         let cut = (START + 20 * SECOND..START + 30 * SECOND).contains(&self.now) && (from < 2) != (to < 2);
-        self.below(10) == 0 || cut
+        self.random_below(10) == 0 || cut
     }
 
-    fn answered(&mut self, at: usize, offer: OfferId, denied: Option<Denial>) {
-        let kind: u8 = match denied {
+    /// Counts a grant, or a denial by its reason, and adds it to the digest.
+    fn record_answer(&mut self, index: usize, offer: OfferId, denial: Option<Denial>) {
+        let kind: u8 = match denial {
             None => 0,
             Some(Denial::Conflict(RequestStatus::Free | RequestStatus::Open)) => 1,
             Some(Denial::Conflict(RequestStatus::MayHaveExecuted)) => 2,
@@ -86,93 +91,98 @@
             Some(Denial::StoreFull) => 6,
         };
         self.answers[usize::from(kind)] += 1;
-        self.hash.update([at as u8, kind]);
+        self.hash.update([index as u8, kind]);
         self.hash.update(offer.0.to_le_bytes());
-        if denied.is_none() {
-            self.open.push((at, offer));
+        if denial.is_none() {
+            self.open_offers.push((index, offer));
         }
     }
 
-    fn step(&mut self, at: usize, event: Event) {
-        let mut events = VecDeque::from([(at, event)]);
-        while let Some((at, event)) = events.pop_front() {
+    /// Hands an event to an instance, and delivers the resulting messages at once and in order, unless they
+    /// are lost.
+    fn step(&mut self, index: usize, event: Event) {
+        let mut events = VecDeque::from([(index, event)]);
+        while let Some((index, event)) = events.pop_front() {
             let mut effects = Vec::new();
-            self.replicas[at].handle(self.now, event, &mut effects);
+            self.replicas[index].handle(self.now, event, &mut effects);
             for effect in effects {
                 match effect {
                     Effect::Send { to, message } => {
                         self.messages += 1;
                         self.hash.update(to.0.to_le_bytes());
-                        self.hash.update(postcard::to_allocvec(&message).expect("it can be written"));
-                        let to = (0..INSTANCES).find(|&one| member(one) == to).expect("a member");
-                        if !self.is_lost(at, to) {
-                            events.push_back((to, Event::MessageReceived { from: member(at), message }));
+                        self.hash.update(postcard::to_allocvec(&message).expect("encodable"));
+                        let to = (0..INSTANCES).find(|&picked| member(picked) == to).expect("a member");
+                        if !self.is_lost(index, to) {
+                            events.push_back((to, Event::MessageReceived { from: member(index), message }));
                         }
                     }
-                    Effect::Granted(offer) => self.answered(at, offer, None),
-                    Effect::Denied(offer, denied) => self.answered(at, offer, Some(denied)),
-                    Effect::CaughtUp(range) => self.hash.update([at as u8, range as u8]),
+                    Effect::Granted(offer) => self.record_answer(index, offer, None),
+                    Effect::Denied(offer, denial) => self.record_answer(index, offer, Some(denial)),
+                    Effect::CaughtUp(range) => self.hash.update([index as u8, range as u8]),
                     Effect::NoteReceived(note) => {
-                        self.hash.update(postcard::to_allocvec(&note).expect("it can be written"));
+                        self.hash.update(postcard::to_allocvec(&note).expect("encodable"));
                     }
                 }
             }
         }
     }
 
-    fn draw_events(&mut self) {
-        if self.below(2) == 0 {
-            let at = self.below(INSTANCES as u64) as usize;
-            self.tickets += 1;
-            let (offer, id) = (OfferId(self.tickets), RecordId::of("tenant", &self.below(900).to_string()));
-            self.step(at, Event::Offer { offer, id, deadline: self.now + 500 * MS });
+    /// At random, makes an offer, finishes a granted offer, and reports the status of a server.
+    fn inject_random_events(&mut self) {
+        if self.random_below(2) == 0 {
+            let index = self.random_below(INSTANCES as u64) as usize;
+            self.offers += 1;
+            let (offer, id) =
+                (OfferId(self.offers), RecordId::of("tenant", &self.random_below(900).to_string()));
+            self.step(index, Event::Offer { offer, id, deadline: self.now + 500 * MS });
         }
-        if !self.open.is_empty() && self.below(3) == 0 {
-            let one = self.below(self.open.len() as u64) as usize;
-            let (at, offer) = self.open.swap_remove(one);
+        if !self.open_offers.is_empty() && self.random_below(3) == 0 {
+            let picked = self.random_below(self.open_offers.len() as u64) as usize;
+            let (index, offer) = self.open_offers.swap_remove(picked);
             let stages = [
                 Stage::NeverExecuted,
                 Stage::MayHaveExecuted,
-                Stage::Executed(Outcome { complete: true, digest: self.below(2) }),
+                Stage::Executed(Outcome { complete: true, digest: self.random_below(2) }),
             ];
-            let stage = stages[self.below(3) as usize];
-            self.step(at, Event::Finished { offer, stage });
+            let stage = stages[self.random_below(3) as usize];
+            self.step(index, Event::Finished { offer, stage });
         }
-        if self.below(200) == 0 {
+        if self.random_below(200) == 0 {
             let status = [
                 ServerStatus::Cleared,
                 ServerStatus::Draining,
                 ServerStatus::Gone,
                 ServerStatus::SlowStartSince(self.now / MS),
             ];
-            let (status, server) = (status[self.below(4) as usize], self.below(5));
+            let (status, server) = (status[self.random_below(4) as usize], self.random_below(5));
             self.step(3, Event::ServerStatusLearned { server, status, valid_for: 20 * SECOND });
         }
     }
 
-    fn restart(&mut self, at: usize) {
-        self.replicas[at] = new_replica(at, self.now);
-        self.open.retain(|(owner, _)| *owner != at);
-        self.tell_up();
+    /// Restarts an instance without its records; its granted offers never finish.
+    fn restart(&mut self, index: usize) {
+        self.replicas[index] = new_replica(index, self.now);
+        self.open_offers.retain(|(owner, _)| *owner != index);
+        self.update_members_up();
     }
 
-    fn tell_up(&mut self) {
-        for at in 0..INSTANCES {
-            let up: BTreeSet<MemberId> = (0..INSTANCES).filter(|&other| other != at).map(member).collect();
-            self.step(at, Event::MembersUp(up));
+    fn update_members_up(&mut self) {
+        for index in 0..INSTANCES {
+            let up: BTreeSet<MemberId> = (0..INSTANCES).filter(|&other| other != index).map(member).collect();
+            self.step(index, Event::MembersUp(up));
         }
     }
 
     fn run(mut self) -> Self {
-        self.tell_up();
+        self.update_members_up();
         while self.now < START + 60 * SECOND {
-            for at in 0..INSTANCES {
-                self.step(at, Event::Tick);
+            for index in 0..INSTANCES {
+                self.step(index, Event::Tick);
             }
-            self.draw_events();
-            for (time, at) in [(10, 1), (35, 4)] {
+            self.inject_random_events();
+            for (time, index) in [(10, 1), (35, 4)] {
                 if self.now == START + time * SECOND {
-                    self.restart(at);
+                    self.restart(index);
                 }
             }
             self.now += 25 * MS;
@@ -183,20 +193,20 @@
     fn report(self) -> String {
         let digest: String = self.hash.finalize().iter().map(|byte| format!("{byte:02x}")).collect();
         let mut text = format!("{} messages, answers {:?}, {digest}\n", self.messages, self.answers);
-        for (at, replica) in self.replicas.iter().enumerate() {
+        for (index, replica) in self.replicas.iter().enumerate() {
             let counts = replica.counters();
             let counts =
                 [counts.granted, counts.conflicts, counts.no_quorum, counts.store_full, counts.hints_dropped];
             let (records, hints, behind) = (replica.store().len(), replica.hints(), replica.ranges_behind());
-            text += &format!("n{at}: {counts:?}, {records} records, {hints} hints, {behind} behind\n");
+            text += &format!("n{index}: {counts:?}, {records} records, {hints} hints, {behind} behind\n");
         }
         text
     }
 }
 
 #[test]
-fn five_instances_decide_as_they_did_when_this_was_recorded() {
+fn five_instances_decide_as_recorded_in_the_golden_file() {
     let text: String =
-        [1, 2, 3].map(|seed| format!("seed {seed}: {}", Play::new(seed).run().report())).concat();
+        [1, 2, 3].map(|seed| format!("seed {seed}: {}", Scenario::new(seed).run().report())).concat();
     assert!(text == include_str!("golden/decisions.txt"), "{text}");
 }
