--- a/crates/router/tests/full_scan.rs
+++ b/crates/router/tests/full_scan.rs
@@ -1,6 +1,6 @@
-//! The router with its index against the same decisions by a full scan: the same events, every action compared, and the
-//! index held against a recount after each event.
-#![allow(dead_code)] // of the router's records, of which the oracle uses a part
+//! Compares the router, which decides by an index of servers, with an oracle that decides by a full scan. Both receive
+//! the same events. After each event all actions must be equal, and the index must agree with a recount.
+#![allow(dead_code)] // the oracle uses only a part of the router's records
 
 #[allow(clippy::wrong_self_convention)] // public types of the crate, private here
 #[path = "../src/gossip.rs"]
@@ -38,48 +38,50 @@
         ..ProptestConfig::default()
     })]
 
-    /// Requests, failures, drains, restarts, servers in slow start, new settings and gossip, in every order.
+    /// Requests, failures, draining servers, restarts, slow start, reloads of the settings and gossip, in random
+    /// order.
     #[test]
-    fn the_index_decides_as_a_full_scan_does(
+    fn the_router_decides_as_a_full_scan_does(
         servers in 4u32..60,
         dispatchers in 1u32..30,
         mixed in any::<bool>(),
-        all_arrives in any::<bool>(),
+        every_message_arrives in any::<bool>(),
         seed in any::<u64>(),
         steps in prop::collection::vec((0u8..50, any::<u32>()), 50..400),
     ) {
-        let entries = (0..servers).map(|at| entry(at, mixed)).collect();
+        let entries = (0..servers).map(|id| entry(id, mixed)).collect();
         let mut pair = Pair::new(settings(dispatchers), entries, seed);
-        pair.all_arrives = all_arrives;
-        for (what, lot) in steps {
-            pair.step(what, lot);
+        pair.every_message_arrives = every_message_arrives;
+        for (choice, draw) in steps {
+            pair.step(choice, draw);
         }
         pair.pass(8 * SECOND);
     }
 }
 
-/// A larger fleet under load, for minutes: beliefs run out, rates fade, cold servers become warm.
+/// A larger fleet under load for minutes, in which cached prefixes expire, rates decay and servers in slow start
+/// become warm.
 #[test]
-fn over_minutes_of_load_the_index_decides_as_a_full_scan_does() {
-    let entries = (0..300).map(|at| entry(at, false)).collect();
+fn the_router_decides_as_a_full_scan_does_over_minutes_of_load() {
+    let entries = (0..300).map(|id| entry(id, false)).collect();
     let mut pair = Pair::new(settings(12), entries, 77);
-    let mut lot = 1u32;
+    let mut draw = 1u32;
     for step in 0..6_000u32 {
-        lot = lot.wrapping_mul(1_664_525).wrapping_add(1_013_904_223);
-        let what = match step % 1_000 {
-            300 => 43,
-            500 => 38,
-            700 => 42,
+        draw = draw.wrapping_mul(1_664_525).wrapping_add(1_013_904_223);
+        let choice = match step % 1_000 {
+            300 => 43, // restart a zone
+            500 => 38, // restart a server
+            700 => 42, // remove servers
             _ => [0, 13, 14, 5, 15, 32, 16, 17, 26][step as usize % 9],
         };
-        pair.step(what, lot >> 3);
+        pair.step(choice, draw >> 3);
     }
 }
 
-/// Every choice, its order and its draws, for some hundred random steps of each seed, as the program took them when
-/// this was recorded: a change of the code that is to decide alike leaves it.
+/// Hashes of every decision and the order of decisions, for 1,500 random steps of each fleet. A change of the code
+/// that is not meant to change decisions must leave the hashes as they are.
 #[test]
-fn seeded_steps_are_decided_as_recorded() {
+fn seeded_steps_lead_to_the_recorded_decisions() {
     let recorded = [
         12183550814125395276,
         5123013863039082832,
@@ -89,12 +91,12 @@
         12304621481293713257,
     ];
     let decided = [(5, 1), (12, 3), (23, 8), (40, 30), (60, 12), (90, 4)].map(|(servers, dispatchers)| {
-        let entries = (0..servers).map(|at| entry(at, servers % 2 == 0)).collect();
+        let entries = (0..servers).map(|id| entry(id, servers % 2 == 0)).collect();
         let mut pair = Pair::new(settings(dispatchers), entries, u64::from(servers));
-        let mut lot = servers;
+        let mut draw = servers;
         for _ in 0..1_500 {
-            lot = lot.wrapping_mul(1_664_525).wrapping_add(1_013_904_223);
-            pair.step((lot >> 24) as u8 % 50, lot.rotate_left(9));
+            draw = draw.wrapping_mul(1_664_525).wrapping_add(1_013_904_223);
+            pair.step((draw >> 24) as u8 % 50, draw.rotate_left(9));
         }
         pair.pass(8 * SECOND);
         pair.decisions.value()
--- a/crates/router/tests/full_scan/oracle/constants.rs
+++ b/crates/router/tests/full_scan/oracle/constants.rs
@@ -1,32 +1,35 @@
-//! The figures that the rules go by. They are repeated here and not shared with the router, so that a change
-//! there shows: it is to be made here as well. What each is for is said at the router's constant of the same
-//! name.
+//! Constants of the rules. They are copies and not shared with the router, so that a change of a constant in the
+//! router makes a test fail until the same change is made here. Each is documented at the router's constant; a
+//! comment names that constant where its name is a different one.
 
 use crate::interface::{Micros, TimerToken};
 
-// How averages and rates follow what comes in (us where a time).
+// Time constants and sample weights of averages and rates (times in us).
 pub(super) const AVERAGE_HALF_LIFE_US: f64 = 4_000_000.0;
 pub(super) const RATE_TIME_CONSTANT_US: f64 = 60_000_000.0;
 pub(super) const SAMPLE_WEIGHT: f64 = 0.25;
 pub(super) const UNLOADED_FALL_WEIGHT: f64 = 0.5;
 pub(super) const UNLOADED_RISE_WEIGHT: f64 = 0.001;
 
-// Work of an attempt, and its time-out.
+// Work of an attempt, and the attempt timeout.
 pub(super) const READ_OVERHEAD_TOKENS: f64 = 512.0;
 pub(super) const WRITE_OVERHEAD_TOKENS: f64 = 2_048.0;
 pub(super) const TIMEOUT_MULTIPLE: f64 = 4.0;
+/// Lower bound of the attempt timeout, as a share of the latency objective. The router uses the objective itself.
 pub(super) const TIMEOUT_SHARE_OF_OBJECTIVE: f64 = 1.0;
 pub(super) const REMOTE_TIMEOUT_MULTIPLE: Micros = 3;
 
-// Prefixes and the homes of shared ones.
+// Cached prefixes, and the homes of shared prefixes.
 pub(super) const MIN_FOUND_SHARE: f64 = 0.5;
 pub(super) const HOMES_PER_SHARE: f64 = 1.4;
 pub(super) const READERS_PER_HOME: usize = 8;
-pub(super) const PRIOR_POPULARITY_REQUESTS: f64 = 30.0;
+pub(super) const PRIOR_POPULARITY_REQUESTS: f64 = 30.0; // `PRIOR_REQUESTS` of `popularity.rs`
 pub(super) const FIRST_GUESS_TOKENS: f64 = 8_000.0;
 pub(super) const WINDOW_REQUESTS: f64 = 100.0;
-pub(super) const WINDOWS_US: [f64; 2] = [15_000_000.0, 60_000_000.0];
+/// `MIN_WINDOW_US` and `MAX_WINDOW_US` of `popularity.rs`.
+pub(super) const WINDOW_LIMITS_US: [f64; 2] = [15_000_000.0, 60_000_000.0];
 pub(super) const ZONE_SHARE: f64 = 0.8;
+/// `MIN_READER_WEIGHT` and `MAX_READER_WEIGHT` of `cells.rs`.
 pub(super) const READER_WEIGHTS: [f64; 2] = [0.2, 1.5];
 
 // Load of a server.
@@ -38,7 +41,7 @@
 pub(super) const MAX_REPORTED_MEMORY_SHARE: f64 = 0.93;
 pub(super) const REPORT_LIFETIME_US: Micros = 1_500_000;
 
-// Overload; the first one by stage.
+// Overload. `WAIT_SHARE_OF_OBJECTIVE` is indexed by `Stage`.
 pub(super) const WAIT_SHARE_OF_OBJECTIVE: [f64; 3] = [0.4, 0.3, 0.5];
 pub(super) const WORK_SHARE_WITH_QUEUEING: f64 = 0.3;
 pub(super) const WORK_SHARE_WITHOUT_QUEUEING: f64 = 1.2;
--- a/crates/router/tests/full_scan/oracle/eligibility.rs
+++ b/crates/router/tests/full_scan/oracle/eligibility.rs
@@ -1,4 +1,4 @@
-//! To which servers a request may be sent, and which of them look able to serve it.
+//! Which servers a request may be sent to, and which of them are healthy.
 
 use super::constants::{
     BUDGET_MARGIN, CAPACITY_GAIN, MIN_HEALTHY_SHARE, RATE_TIME_CONSTANT_US, SHARE_WITHOUT_WARM_PEERS,
@@ -8,12 +8,15 @@
 use crate::records::{PossibleRun, RequestState, Server};
 
 impl Router {
-    /// Whether the rules allow this send now: (1) the request is open; (2) nothing else is in flight and no
-    /// effect can happen twice; (3) the list has the server as ready; (4) slow start has room for it.
+    /// Whether the rules permit this send now: (1) the request is open and before its deadline; (2) it has no other
+    /// attempt in flight and cannot take effect twice; (3) the list shows the server as ready; (4) the server's slow
+    /// start budget has room for the request.
     pub(super) fn is_permitted(&self, request: &RequestState, server: &Server) -> bool {
         let window = self.settings.overload_window;
-        let open = !request.is_completed && request.in_flight.is_none() && request.info.not_after > self.now;
-        open && server.entry.health == Health::Ready
+        let is_open =
+            !request.is_completed && request.in_flight.is_none() && request.info.not_after > self.now;
+        is_open
+            && server.entry.health == Health::Ready
             && self.may_execute_at(request, server)
             && self
                 .requests_per_window(server)
@@ -25,6 +28,8 @@
         class.is_some_and(|class| request.attempts >= class.max_attempts)
     }
 
+    /// Whether another attempt at a server cannot take effect twice: always until an attempt may have run, then as the
+    /// class's [`Effect`] says.
     pub(super) fn may_execute_at(&self, request: &RequestState, server: &Server) -> bool {
         let Some(PossibleRun { server: first, sent_at: sent }) = request.may_have_run else { return true };
         let Some(class) = self.settings.classes.get(&request.info.class) else { return false };
@@ -45,65 +50,70 @@
         }
     }
 
-    /// Servers of a role that the rules allow and that look healthy; where too few do, all that are allowed.
+    /// Servers of a role that the rules permit and that are healthy; if too few are healthy, all that are permitted.
+    /// Servers that have already failed the request are left out unless no others remain.
     pub(super) fn candidate_pool(&self, role: Role, request: &RequestState) -> Vec<ServerId> {
         let class = request.info.class;
-        let is_permitted = |e: &&Server| e.role == role && self.is_permitted(request, e);
+        let is_permitted = |s: &&Server| s.role == role && self.is_permitted(request, s);
         let pool =
-            keep_enough(self.servers.values().filter(is_permitted).collect(), |e| self.is_healthy(e, class));
-        let untried = |e: &&Server| !request.failed_at.contains(&e.entry.server);
+            filter_pool(self.servers.values().filter(is_permitted).collect(), |s| self.is_healthy(s, class));
+        let untried = |s: &&Server| !request.failed_at.contains(&s.entry.server);
         let any_untried = pool.iter().any(untried);
-        pool.into_iter().filter(|e| !any_untried || untried(e)).map(|e| e.entry.server).collect()
+        pool.into_iter().filter(|s| !any_untried || untried(s)).map(|s| s.entry.server).collect()
     }
 
+    /// Whether the list shows a server as ready and it is not ejected for requests of a class.
     pub(super) fn is_healthy(&self, server: &Server, class: u32) -> bool {
         let idle = server.unanswered.is_empty();
-        let standing = server.statistics.outlier_states.get(&class);
+        let outlier_state = server.statistics.outlier_states.get(&class);
         server.entry.health == Health::Ready
-            && standing.is_none_or(|standing| standing.accepts_work(self.now, idle))
+            && outlier_state.is_none_or(|outlier_state| outlier_state.accepts_work(self.now, idle))
     }
 
+    /// Number of known servers of a role.
     pub(super) fn count(&self, role: Role) -> f64 {
-        self.servers.values().filter(|e| e.role == role).count() as f64
+        self.servers.values().filter(|s| s.role == role).count() as f64
     }
 
-    /// The part of its capacity that a server in slow start surely has by now; `None` if it is warm.
+    /// The share of its full capacity that a server in slow start has by now at least; `None` if it is warm.
     pub(super) fn slow_start_share(&self, server: &Server) -> Option<f64> {
-        let (from, set) = (server.entry.started?, &self.settings);
-        let age = self.now.saturating_sub(from) as f64 / set.slow_start_window.max(1) as f64;
-        (self.now < from.saturating_add(set.slow_start_window))
-            .then_some(set.slow_start_min_share * (1.0 + CAPACITY_GAIN * age))
+        let (start, config) = (server.entry.started?, &self.settings);
+        let age = self.now.saturating_sub(start) as f64 / config.slow_start_window.max(1) as f64;
+        (self.now < start.saturating_add(config.slow_start_window))
+            .then_some(config.slow_start_min_share * (1.0 + CAPACITY_GAIN * age))
     }
 
-    /// Sends that a window permits to a server in slow start: the part of its capacity that it surely has, by
-    /// what a warm server of its role serves for this dispatcher; `None` if it is warm.
+    /// Requests that this dispatcher may send to a server in slow start within one overload window: the share of
+    /// capacity that the server has by now at least, times the rate at which a warm server of its role serves this
+    /// dispatcher. `None` if the server is warm.
     pub(super) fn requests_per_window(&self, server: &Server) -> Option<f64> {
-        let set = &self.settings;
+        let config = &self.settings;
         let share = self.slow_start_share(server)?;
-        let peers =
-            self.servers.values().filter(|e| e.role == server.role && self.slow_start_share(e).is_none());
-        let ready = peers.filter(|e| e.entry.health == Health::Ready);
-        let carried =
-            ready.map(|e| e.statistics.served_per_second.age_corrected_at(self.now, RATE_TIME_CONSTANT_US));
-        let (sum, warm) = carried.fold((0.0, 0.0), |(sum, count), rate| (sum + rate, count + 1.0));
-        let even = self.request_rate.age_corrected_at(self.now, RATE_TIME_CONSTANT_US)
+        let warm_peers =
+            self.servers.values().filter(|s| s.role == server.role && self.slow_start_share(s).is_none());
+        let ready = warm_peers.filter(|s| s.entry.health == Health::Ready);
+        let served_rates =
+            ready.map(|s| s.statistics.served_per_second.age_corrected_at(self.now, RATE_TIME_CONSTANT_US));
+        let (sum, warm_count) = served_rates.fold((0.0, 0.0), |(sum, count), rate| (sum + rate, count + 1.0));
+        let even_rate = self.request_rate.age_corrected_at(self.now, RATE_TIME_CONSTANT_US)
             / self.count(server.role).max(1.0);
-        let rate = if warm > 0.0 { sum / warm } else { SHARE_WITHOUT_WARM_PEERS * even };
+        let rate = if warm_count > 0.0 { sum / warm_count } else { SHARE_WITHOUT_WARM_PEERS * even_rate };
         Some(
             self.limit_share
                 * BUDGET_MARGIN
-                * set.overload_multiple
+                * config.overload_multiple
                 * share
                 * rate
-                * set.overload_window as f64
+                * config.overload_window as f64
                 / 1e6,
         )
     }
 }
 
-/// Those of a pool that pass a test; where too few do, all of it: then the yardstick is wrong.
-pub(super) fn keep_enough(pool: Vec<&Server>, test: impl Fn(&Server) -> bool) -> Vec<&Server> {
-    let passing: Vec<&Server> = pool.iter().copied().filter(|e| test(e)).collect();
+/// The servers of a pool that satisfy a predicate. If too few do, the predicate is assumed to be wrong and the whole
+/// pool is returned.
+pub(super) fn filter_pool(pool: Vec<&Server>, predicate: impl Fn(&Server) -> bool) -> Vec<&Server> {
+    let passing: Vec<&Server> = pool.iter().copied().filter(|s| predicate(s)).collect();
     if passing.len() as f64 >= MIN_HEALTHY_SHARE * pool.len() as f64 {
         passing
     } else {
--- a/crates/router/tests/full_scan/oracle/learning.rs
+++ b/crates/router/tests/full_scan/oracle/learning.rs
@@ -1,4 +1,4 @@
-//! What is learnt from attempts that are answered or end.
+//! Updates of the statistics from attempts that are answered or end.
 
 use rand_core::RngCore;
 
@@ -12,7 +12,8 @@
 use crate::records::{Attempt, Stage};
 
 impl Router {
-    /// An attempt has ended: gives its memory back and judges the server, unless its first token has done that.
+    /// Records the end of an attempt: frees its memory at the server and, unless its first token has done so already,
+    /// updates the statistics. `prompt_tokens` is the length of the request's prompt.
     pub(super) fn record_end(
         &mut self,
         mut attempt: Attempt,
@@ -43,90 +44,105 @@
         }
     }
 
+    /// Removes an attempt from the server's unanswered work, and adds it to the averages of its stage.
     pub(super) fn record_answered(&mut self, id: RequestId, attempt: &Attempt) {
-        let at = attempt.stage as usize;
+        let stage_index = attempt.stage as usize;
         let Some(server) = self.servers.get_mut(&attempt.server) else { return };
         if server.unanswered.remove(&(attempt.sent_at, id)) {
-            server.unanswered_tokens[at] = (server.unanswered_tokens[at] - attempt.work_tokens).max(0.0);
+            server.unanswered_tokens[stage_index] =
+                (server.unanswered_tokens[stage_index] - attempt.work_tokens).max(0.0);
             let taken = (self.now - attempt.sent_at) as f64 / 1e6;
-            let stage = &mut self.stages[at];
+            let stage = &mut self.stages[stage_index];
             stage.tokens_in_flight.add(attempt.work_tokens * taken, self.now, RATE_TIME_CONSTANT_US);
             stage.tokens_per_attempt += SAMPLE_WEIGHT * (attempt.work_tokens - stage.tokens_per_attempt);
         }
     }
 
+    /// Records a finished read or a first token that came `taken` us after the attempt was sent: updates the rate,
+    /// the pace and the queueing of the server, and the queueing of its cell and its stage. Of a fetch from another
+    /// cell, the pace counts for remote fetches instead, and the queueing is not recorded.
     pub(super) fn record_success(&mut self, attempt: &Attempt, taken: Micros) {
-        let at = attempt.stage as usize;
+        let stage_index = attempt.stage as usize;
         let pace = taken as f64 / attempt.work_tokens;
         let Some(server) = self.servers.get_mut(&attempt.server) else { return };
         server.statistics.outlier_states.remove(&attempt.class);
         server.statistics.served_per_second.add(1.0, self.now, RATE_TIME_CONSTANT_US);
-        let usual = self.stages[at].median_us_per_token;
+        let median_pace = self.stages[stage_index].median_us_per_token;
         if attempt.crosses_cells {
             return self.remote_fetch_us_per_token.add(
                 pace,
                 self.now,
-                usual,
+                median_pace,
                 AVERAGE_HALF_LIFE_US,
                 SAMPLE_WEIGHT,
             );
         }
-        let best = &mut self.stages[at].unloaded_us_per_token;
-        *best += (pace - *best) * if pace < *best { UNLOADED_FALL_WEIGHT } else { UNLOADED_RISE_WEIGHT };
-        let queued = (taken as f64 - *best * attempt.work_tokens).max(0.0);
-        server.statistics.us_per_token[at].add(pace, self.now, usual, AVERAGE_HALF_LIFE_US, SAMPLE_WEIGHT);
-        server.statistics.queueing_us[at].add_weighted_by_age(
-            queued,
+        let unloaded_pace = &mut self.stages[stage_index].unloaded_us_per_token;
+        *unloaded_pace += (pace - *unloaded_pace)
+            * if pace < *unloaded_pace { UNLOADED_FALL_WEIGHT } else { UNLOADED_RISE_WEIGHT };
+        let queued_us = (taken as f64 - *unloaded_pace * attempt.work_tokens).max(0.0);
+        server.statistics.us_per_token[stage_index].add(
+            pace,
+            self.now,
+            median_pace,
+            AVERAGE_HALF_LIFE_US,
+            SAMPLE_WEIGHT,
+        );
+        server.statistics.queueing_us[stage_index].add_weighted_by_age(
+            queued_us,
             self.now,
             AVERAGE_HALF_LIFE_US,
             SAMPLE_WEIGHT,
         );
         if attempt.stage != Stage::Write {
-            self.gossip.record_queueing(attempt.server, queued, attempt.expected_queueing_us);
+            self.gossip.record_queueing(attempt.server, queued_us, attempt.expected_queueing_us);
         }
-        self.record_cell_queueing(attempt, queued, false);
+        self.record_cell_queueing(attempt, queued_us, false);
         self.record_stage_queueing(
-            at,
-            queued.min(MAX_QUEUEING_OBJECTIVES * self.settings.shortest_latency_objective()),
+            stage_index,
+            queued_us.min(MAX_QUEUEING_OBJECTIVES * self.settings.shortest_latency_objective()),
         );
-        self.record_recent(at, queued);
+        self.record_recent(stage_index, queued_us);
     }
 
-    /// What attempts of a stage queued that came back, over the last second or the last few samples,
-    /// whichever is longer.
-    pub(super) fn record_stage_queueing(&mut self, at: usize, queued: f64) {
-        let stage_queueing_us = &mut self.stages[at].queueing_us;
+    /// Adds the queueing of an attempt that came back (us) to its stage's average, which covers the last second or the
+    /// last few samples, whichever is longer.
+    pub(super) fn record_stage_queueing(&mut self, stage_index: usize, queued_us: f64) {
+        let stage_queueing_us = &mut self.stages[stage_index].queueing_us;
         let weight =
             (1.0 - (-stage_queueing_us.age_us(self.now) / STAGE_QUEUEING_TIME_US).exp()).min(SAMPLE_WEIGHT);
-        let falls = queued < stage_queueing_us.value_at(self.now, 0.0, AVERAGE_HALF_LIFE_US);
+        let falls = queued_us < stage_queueing_us.value_at(self.now, 0.0, AVERAGE_HALF_LIFE_US);
         let weight = weight * if falls { STAGE_QUEUEING_FALL } else { 1.0 };
-        stage_queueing_us.add(queued, self.now, 0.0, AVERAGE_HALF_LIFE_US, weight);
+        stage_queueing_us.add(queued_us, self.now, 0.0, AVERAGE_HALF_LIFE_US, weight);
     }
 
-    pub(super) fn record_recent(&mut self, at: usize, queued: f64) {
-        self.stages[at].record_recent(self.now, queued, MAX_RECENT_SAMPLES);
+    /// Adds the queueing of an attempt (us) to the recent samples of its stage.
+    pub(super) fn record_recent(&mut self, stage_index: usize, queued_us: f64) {
+        self.stages[stage_index].record_recent(self.now, queued_us, MAX_RECENT_SAMPLES);
     }
 
-    /// What a state queued at a writer of its reader's cell, recorded for the cell. One that was lost there
-    /// counts as twice what came back at most: where others are prompt, its writer is unresponsive, not
-    /// crowded.
-    pub(super) fn record_cell_queueing(&mut self, attempt: &Attempt, queued: f64, lost: bool) {
-        let near = attempt.stage == Stage::Write && !attempt.crosses_cells;
-        let writer = self.servers.get(&attempt.server).filter(|_| near);
+    /// Adds the queueing of a state (us) at a writer in its reader's cell to the cell's average. An attempt that timed
+    /// out counts as at most twice that average: if the other writers of the cell are fast, its writer is unresponsive
+    /// and the cell not congested.
+    pub(super) fn record_cell_queueing(&mut self, attempt: &Attempt, queued_us: f64, timed_out: bool) {
+        let is_local = attempt.stage == Stage::Write && !attempt.crosses_cells;
+        let writer = self.servers.get(&attempt.server).filter(|_| is_local);
         let Some(cell) = writer.and_then(|writer| self.cells.get_mut(&writer.entry.cell)) else { return };
-        let max_us = if lost {
+        let max_us = if timed_out {
             SLOW_MULTIPLE * cell.queueing_us.value_at(self.now, 0.0, AVERAGE_HALF_LIFE_US)
         } else {
-            queued
+            queued_us
         };
         cell.queueing_us.add_weighted_by_age(
-            queued.min(max_us),
+            queued_us.min(max_us),
             self.now,
             AVERAGE_HALF_LIFE_US,
             SAMPLE_WEIGHT,
         );
     }
 
+    /// Records a failed attempt. A server that rejected it as full gets no new work for a while; most other failures
+    /// count towards the server's ejection for the request's class.
     pub(super) fn record_failure(&mut self, attempt: &Attempt, outcome: Outcome) {
         let Some(server) = self.servers.get_mut(&attempt.server) else { return };
         match outcome {
@@ -148,14 +164,14 @@
                 MAX_QUEUEING_OBJECTIVES * self.settings.shortest_latency_objective(),
             );
         }
-        // This dispatcher comes to each server of the pool about once in that time: a shorter ejection would
-        // be none.
-        let turn =
+        // About the interval at which this dispatcher sends to each server of the pool. A shorter ejection would end
+        // before the server's next turn and have no effect.
+        let turn_interval_us =
             self.count(role) * 1e6 / self.request_rate.value_at(self.now, RATE_TIME_CONSTANT_US).max(1e-3);
         let draw = self.rng.next_u64();
         if let Some(server) = self.servers.get_mut(&attempt.server) {
-            let standing = server.statistics.outlier_states.entry(attempt.class).or_default();
-            standing.record_failure(self.now, BASE_EJECTION_US.max(turn as Micros), draw);
+            let outlier_state = server.statistics.outlier_states.entry(attempt.class).or_default();
+            outlier_state.record_failure(self.now, BASE_EJECTION_US.max(turn_interval_us as Micros), draw);
         }
     }
 }
--- a/crates/router/tests/full_scan/oracle/mod.rs
+++ b/crates/router/tests/full_scan/oracle/mod.rs
@@ -1,12 +1,11 @@
-//! An oracle: a second implementation of the router's decisions, which answers every question to all servers
-//! by going through all of them. What the router does is held against it, event by event.
+//! A test oracle for the router: a second implementation of its decisions that scans all servers for each question.
+//! After every event, the actions of the two are compared.
 //!
-//! It exists because the router answers such questions from an index that is kept up to date bit by bit: a
-//! mistake in that would only show as a slightly worse choice, which no other test sees. So it is to stay
-//! separate: it shares the records, statistics and load gossip with the router, and none of its rules nor its
-//! index. A change of a rule is made here as well, by hand. The draw that parts equal servers is a hash of
-//! one draw and the server's number, as it is in the router, so that it does not depend on how many servers
-//! are looked at.
+//! The router answers such questions from an index that it updates incrementally. An error in these updates would show
+//! only as a slightly worse choice, which no other test detects. The oracle is therefore kept separate: it shares the
+//! records, the statistics and the load gossip with the router, but neither its rules nor its index. Whoever changes a
+//! rule changes it here too, by hand. As in the router, the draw that decides between equal servers is a hash of one
+//! random number and the server's id, so that it does not depend on how many servers are visited.
 
 mod constants;
 mod eligibility;
@@ -30,40 +29,41 @@
 use crate::statistics::{lower_median, DecayingAverage, DecayingRate};
 use constants::{FIRST_GUESS_TOKENS, SWEEP, SWEEP_INTERVAL_US, WRITE_OVERHEAD_TOKENS};
 
-/// A dispatcher's decisions. See the [module](self).
+/// Makes a dispatcher's routing decisions by a full scan. See the [module](self).
 #[derive(Debug)]
 pub struct Router {
     settings: Settings,
     rng: Pcg64Mcg,
     pub(crate) now: Micros,
     pub(crate) servers: BTreeMap<ServerId, Server>,
-    requests: HashMap<RequestId, RequestState>, // looked up, never iterated
-    awaiting_writer: BTreeSet<RequestId>,       // their state waits for a writer
+    requests: HashMap<RequestId, RequestState>, // only iterated where the order does not matter, as it is random
+    awaiting_writer: BTreeSet<RequestId>,       // requests whose held state waits for a writer
     pub(crate) stages: [StageStatistics; 3],
-    remote_fetch_us_per_token: DecayingAverage, // of fetches that leave the reader's cell
+    remote_fetch_us_per_token: DecayingAverage, // of fetches by writers outside the reader's cell
     pub(crate) request_rate: DecayingRate,
-    pub(crate) recent_request_rate: DecayingRate, // over the time that popularity is judged by
-    pub(crate) shared_prefixes: LruCache<Key, DecayingRate>, // requests a second with each
+    pub(crate) recent_request_rate: DecayingRate, // over the popularity window
+    pub(crate) shared_prefixes: LruCache<Key, DecayingRate>, // rate of requests that begin with each shared prefix
     cells: BTreeMap<CellId, CellBalance>,
     list_backoff: ListBackoff,
     subscribe_at: Option<Micros>,
     is_sweeping: bool,
     pub(crate) gossip: LoadGossip,
-    limit_share: f64, // of this dispatcher that this process is, while another takes over
+    limit_share: f64, // this process's share of the dispatcher's limits; below 1 during a hot restart
 }
 
 impl Router {
-    /// A dispatcher that has just started.
+    /// Creates the oracle of a dispatcher that starts at `now`. With the same seed as a router it draws the same
+    /// random numbers.
     #[must_use]
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
-        let guess = settings.shortest_latency_objective() / FIRST_GUESS_TOKENS;
+        let initial_pace = settings.shortest_latency_objective() / FIRST_GUESS_TOKENS;
         Self {
             rng: Pcg64Mcg::seed_from_u64(seed),
             now,
             servers: BTreeMap::new(),
             requests: HashMap::new(),
             awaiting_writer: BTreeSet::new(),
-            stages: [(); 3].map(|()| StageStatistics::new(guess, WRITE_OVERHEAD_TOKENS)),
+            stages: [(); 3].map(|()| StageStatistics::new(initial_pace, WRITE_OVERHEAD_TOKENS)),
             remote_fetch_us_per_token: DecayingAverage::default(),
             request_rate: DecayingRate::default(),
             recent_request_rate: DecayingRate::default(),
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Takes an event and adds what is to be done to `out`.
+    /// Handles an event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.now = now;
         if !self.is_sweeping {
@@ -96,7 +96,7 @@
             Event::SettingsReloaded { settings, class_renumbering } => {
                 self.on_settings_reloaded(*settings, &class_renumbering);
             }
-            Event::StateImported(_) => unreachable!("a hand-over is not played here"),
+            Event::StateImported(_) => unreachable!("the oracle does not support state import"),
             Event::DeadlinesCapped(at) => {
                 self.requests
                     .values_mut()
@@ -108,7 +108,7 @@
         self.gossip.publish(now, out);
     }
 
-    /// New settings: what is known of servers for a class goes on under its new number.
+    /// Applies new settings. What is known of servers for a class continues under the class's new number.
     fn on_settings_reloaded(&mut self, settings: Settings, class_renumbering: &BTreeMap<u32, u32>) {
         for server in self.servers.values_mut() {
             for (&new, old) in class_renumbering {
@@ -121,7 +121,8 @@
         self.settings = settings;
     }
 
-    /// What no event brings up: the list to ask for, the medians, states that wait for a writer.
+    /// The periodic work that no other event triggers: the call for the list of servers, the stages' medians, states
+    /// that wait for a writer, and gossip about readers whose oldest attempt is overdue.
     fn sweep(&mut self, out: &mut Vec<Action>) {
         out.push(Action::StartTimer { delay: SWEEP_INTERVAL_US, token: SWEEP });
         if self.subscribe_at.is_some_and(|at| at <= self.now) {
@@ -129,14 +130,14 @@
             out.push(Action::Subscribe);
         }
         for (at, stage) in self.stages.iter_mut().enumerate() {
-            let known = self.servers.values().filter_map(|e| e.statistics.us_per_token[at].last);
+            let known = self.servers.values().filter_map(|s| s.statistics.us_per_token[at].last);
             stage.median_us_per_token =
                 lower_median(known.map(|(pace, _)| pace).collect()).unwrap_or(stage.median_us_per_token);
         }
         for id in std::mem::take(&mut self.awaiting_writer) {
             self.advance(id, out);
         }
-        for (&id, server) in self.servers.iter().filter(|(_, e)| e.role == Role::Reader) {
+        for (&id, server) in self.servers.iter().filter(|(_, s)| s.role == Role::Reader) {
             let oldest =
                 server.unanswered.first().and_then(|(_, id)| self.requests.get(id)?.in_flight.as_ref());
             if let Some(oldest) = oldest {
--- a/crates/router/tests/full_scan/oracle/requests.rs
+++ b/crates/router/tests/full_scan/oracle/requests.rs
@@ -1,4 +1,4 @@
-//! A request's life, from its arrival to its answer.
+//! The steps of a request, from its arrival to the answer that ends it.
 
 use rand_core::RngCore;
 
@@ -16,17 +16,18 @@
 use crate::statistics::{unit_interval, DecayingRate};
 
 impl Router {
+    /// A request has arrived. One with the id of an open request is ignored.
     pub(super) fn on_request(&mut self, info: RequestInfo, out: &mut Vec<Action>) {
         let id = info.id;
         if self.requests.contains_key(&id) {
             return;
         }
         self.request_rate.add(1.0, self.now, RATE_TIME_CONSTANT_US);
-        let time = self.popularity_window_us();
-        self.recent_request_rate.add(1.0, self.now, time);
+        let window_us = self.popularity_window_us();
+        self.recent_request_rate.add(1.0, self.now, window_us);
         self.gossip.add_credit();
         if let Some(key) = info.shared {
-            self.shared_prefixes.get_or_insert_mut(key, DecayingRate::default).add(1.0, self.now, time);
+            self.shared_prefixes.get_or_insert_mut(key, DecayingRate::default).add(1.0, self.now, window_us);
             if self.shared_prefixes.len() > PREFIX_KEYS {
                 self.shared_prefixes.pop_lru();
             }
@@ -35,8 +36,9 @@
         self.advance(id, out);
     }
 
-    /// The next step of a request that has no attempt in flight: on to a writer, to a mixed server, to a
-    /// reader, else whole to whatever can do it, else an answer at once.
+    /// Takes the next step of a request that has no attempt in flight: sends a held state on to a writer, else the
+    /// request to a mixed server that does both stages, else to a reader, else to any server that can do both stages;
+    /// if there is none, the request ends.
     pub(super) fn advance(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         if request.info.not_after <= self.now
@@ -61,7 +63,7 @@
         let draw = unit_interval(self.rng.next_u64());
         let is_overloaded =
             self.is_overloaded(class, Stage::Read, draw) || self.is_overloaded(class, Stage::Write, draw);
-        if (is_overloaded || self.takes_mixed_share(class, session))
+        if (is_overloaded || self.is_in_mixed_share(class, session))
             && !self.is_overloaded(class, Stage::ReadAndWrite, draw)
         {
             if let Some(mixed) = self.select_server(id, Role::Mixed, true) {
@@ -74,9 +76,9 @@
         if let Some(reader) = self.select_server(id, Role::Reader, false) {
             return self.send(id, reader, Stage::Read, out);
         }
-        let in_need =
+        let fallback_roles =
             [Role::Mixed, Role::Writer].into_iter().take(1 + usize::from(self.settings.writers_can_read));
-        for role in in_need {
+        for role in fallback_roles {
             if let Some(server) = self.select_server(id, role, false) {
                 return self.send(id, server, Stage::ReadAndWrite, out);
             }
@@ -84,17 +86,18 @@
         self.answer(id, out);
     }
 
-    /// Ends a request at once: rejected where a new try is harmless, else failed. Releases its state.
+    /// Ends a request without a stream: it is rejected if a retry by the client is harmless and its deadline has not
+    /// passed, else failed. A state that is held for it is released.
     pub(super) fn answer(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let class = self.settings.classes.get(&request.info.class);
-        let harmless = request.may_have_run.is_none()
+        let is_retry_safe = request.may_have_run.is_none()
             || class.is_none_or(|class| match class.effect {
                 Effect::Idempotent => true,
                 Effect::Deduplicated => class.dedup_group == DedupGroup::All,
                 Effect::AtMostOnce => false,
             });
-        if harmless && request.info.not_after > self.now {
+        if is_retry_safe && request.info.not_after > self.now {
             let spread = self.rng.next_u64() % (self.settings.max_retry_after / 2).max(1);
             out.push(Action::Reject { id, retry_in: self.settings.max_retry_after / 2 + spread });
         } else {
@@ -104,8 +107,7 @@
         self.close(id, out);
     }
 
-    /// Removes a request that is completed and has nothing in flight; a state that is held for it is
-    /// released.
+    /// Removes a request that is completed and has no attempt in flight; a state that is held for it is released.
     pub(super) fn close(&mut self, id: RequestId, out: &mut Vec<Action>) {
         self.awaiting_writer.remove(&id);
         if self.requests.get(&id).is_some_and(|request| request.is_completed && request.in_flight.is_none()) {
@@ -116,6 +118,8 @@
         }
     }
 
+    /// The first token of an answer has come, `taken` us after the attempt was sent. From then on the answer streams
+    /// and the reader no longer holds the state.
     pub(super) fn on_first_token(&mut self, id: RequestId, number: u32, taken: Micros) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(attempt) =
@@ -130,6 +134,8 @@
         self.record_success(&attempt, taken);
     }
 
+    /// An attempt has ended: updates the held state and the statistics, then takes the request's next step or removes
+    /// it.
     pub(super) fn on_attempt_finished(&mut self, finished: AttemptFinished, out: &mut Vec<Action>) {
         let AttemptFinished { id, outcome, .. } = finished;
         if let (Some(server), Some(report)) = (self.servers.get_mut(&finished.server), finished.report) {
@@ -143,11 +149,11 @@
             (Outcome::Read, _) => {
                 request.held_state = Some(HeldState { reader: attempt.server, since: self.now });
             }
-            // Also told where the reader is only cut off from that writer: the state may still be pinned.
+            // The state may still be held: a writer also reports this if it only cannot reach the reader.
             (Outcome::NoState, _) if request.held_state.take().is_some() => {
                 out.push(Action::ReleaseHeldState(id));
             }
-            // The time that a state may wait goes on running while nothing shows that a server had the attempt.
+            // The hold time continues to run while nothing shows that a server received the attempt.
             (_, HeldStateAfter::TimeGoesOn) => {}
             (_, HeldStateAfter::Released) => request.held_state = None,
             (_, HeldStateAfter::TimeBeginsAnew) => {
@@ -168,8 +174,8 @@
         }
     }
 
-    /// The client has left: what is in flight is cancelled where that is allowed; a late read is released
-    /// then.
+    /// The client has disconnected: an attempt in flight that does not stream yet is cancelled where the settings
+    /// allow it. The request is removed when that attempt ends, and a state that it may have read is released then.
     pub(super) fn on_disconnect(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.is_completed = true;
@@ -181,6 +187,7 @@
         self.close(id, out);
     }
 
+    /// Sends a request to a server as a new attempt. If the rules do not permit that, the request ends instead.
     pub(super) fn send(&mut self, id: RequestId, to: ServerId, stage: Stage, out: &mut Vec<Action>) {
         let (Some(request), Some(server)) = (self.requests.get(&id), self.servers.get(&to)) else { return };
         if !self.is_permitted(request, server) || self.attempts_exhausted(request) {
@@ -188,12 +195,12 @@
         }
         let info = &request.info;
         let held = server.prefixes.longest_match(info, self.now);
-        let unread = info.prompt_tokens - held.map_or(0, |prefix| prefix.tokens);
+        let unread_tokens = info.prompt_tokens - held.map_or(0, |prefix| prefix.tokens);
         let answer = self.answer_tokens(info);
         let (tokens, work_tokens) = match stage {
-            Stage::Read => (unread, unread as f64 + READ_OVERHEAD_TOKENS),
+            Stage::Read => (unread_tokens, unread_tokens as f64 + READ_OVERHEAD_TOKENS),
             Stage::Write => (info.prompt_tokens + answer, info.prompt_tokens as f64 + WRITE_OVERHEAD_TOKENS),
-            Stage::ReadAndWrite => (info.prompt_tokens + answer, unread as f64 + READ_OVERHEAD_TOKENS),
+            Stage::ReadAndWrite => (info.prompt_tokens + answer, unread_tokens as f64 + READ_OVERHEAD_TOKENS),
         };
         let reader = request.held_state.and_then(|held| self.servers.get(&held.reader));
         let crosses_cells = reader.is_some_and(|reader| reader.entry.cell != server.entry.cell);
@@ -208,7 +215,7 @@
             .min(info.not_after - self.now)
             .max(1);
         let per_window = self.requests_per_window(server);
-        let expected = self.gossip.believed_us(to, self.now);
+        let expected_queueing = self.gossip.believed_us(to, self.now);
         if stage != Stage::Write {
             self.gossip.record_sent(to, work_tokens * self.stages[stage as usize].unloaded_us_per_token);
         }
@@ -232,7 +239,7 @@
             sent_at: self.now,
             memory_tokens: tokens,
             work_tokens,
-            expected_queueing_us: expected,
+            expected_queueing_us: expected_queueing,
             class,
             expected_prefix: held.filter(|_| stage != Stage::Write),
             is_streaming: false,
@@ -244,8 +251,9 @@
         out.push(Action::Assign { id, server: to, attempt_timeout });
     }
 
-    /// How long an attempt may take: a multiple of what its like usually takes behind what waits there, more
-    /// with each failure, so that a jam of the whole pool ends in waiting and not in ever more repeats.
+    /// The attempt timeout (us): a multiple of the expected time of the attempt, including the work queued ahead of
+    /// it. It doubles with each failure of the request, so that an overload of the whole pool makes requests wait
+    /// longer instead of causing ever more retries.
     pub(super) fn attempt_timeout(
         &self,
         server: &Server,
@@ -254,20 +262,23 @@
         failures: usize,
         latency_objective: f64,
     ) -> Micros {
-        let usual = self.stages[stage as usize].median_us_per_token;
-        let told = self.gossip.believed_us(server.entry.server, self.now);
-        let waits = told.max(usual * server.unanswered_tokens[stage as usize]);
-        let least =
+        let median_pace = self.stages[stage as usize].median_us_per_token;
+        let reported_us = self.gossip.believed_us(server.entry.server, self.now);
+        let queued_us = reported_us.max(median_pace * server.unanswered_tokens[stage as usize]);
+        let min_timeout =
             TIMEOUT_SHARE_OF_OBJECTIVE * latency_objective.max(self.settings.shortest_latency_objective());
-        let attempt_timeout = (TIMEOUT_MULTIPLE * (usual * work_tokens + waits)).max(least);
+        let attempt_timeout = (TIMEOUT_MULTIPLE * (median_pace * work_tokens + queued_us)).max(min_timeout);
         (attempt_timeout * f64::from(1u32 << failures.min(6))) as Micros
     }
 
+    /// Whether a state that has been held since `since` can wait for a writer until the next sweep, with a margin
+    /// before its deadline and the end of its hold time.
     pub(super) fn can_wait_for_sweep(&self, since: Micros, not_after: Micros) -> bool {
-        let next = self.now + SWEEP_INTERVAL_US + 4 * self.settings.resolution + 10_000;
-        next < not_after.min(since + self.settings.max_hold_time)
+        let next_sweep = self.now + SWEEP_INTERVAL_US + 4 * self.settings.resolution + 10_000;
+        next_sweep < not_after.min(since + self.settings.max_hold_time)
     }
 
+    /// Expected length of an answer in tokens: by the client's hint, else half of the maximum that it allows.
     pub(super) fn answer_tokens(&self, info: &RequestInfo) -> u64 {
         let token_interval_objective =
             self.settings.classes.get(&info.class).map_or(0, |class| class.token_interval_objective);
--- a/crates/router/tests/full_scan/pair.rs
+++ b/crates/router/tests/full_scan/pair.rs
@@ -1,4 +1,5 @@
-//! The router and the oracle side by side, told the same, with what surrounds them as far as that needs it.
+//! Drives the router and the oracle side by side with the same events, and simulates the servers, clients and timers
+//! that they need.
 
 use std::collections::BTreeMap;
 
@@ -70,17 +71,18 @@
     }
 }
 
-/// An attempt that is out.
+/// An attempt that was sent and has not ended.
 #[derive(Clone, Debug)]
 struct InFlight {
     number: u32,
     server: ServerId,
     sent_at: Micros,
+    /// When it times out, unless it streams by then.
     until: Micros,
     is_streaming: bool,
 }
 
-/// Both routers, told the same.
+/// The router and the oracle, which receive the same events.
 pub struct Pair {
     router: dewladder_router::Router,
     oracle: oracle::Router,
@@ -88,12 +90,14 @@
     now: Micros,
     list: BTreeMap<ServerId, ServerEntry>,
     in_flight: BTreeMap<RequestId, InFlight>,
+    /// Number of attempts sent so far, by request.
     attempts: BTreeMap<RequestId, u32>,
     timers: Vec<(Micros, TimerToken)>,
     last_id: u64,
-    /// Whatever is sent arrives; else what is held may be let go of, or its time go on, at the end of any attempt.
-    pub all_arrives: bool,
-    /// All that was decided, which is the same for both.
+    /// Every message reaches its server. Otherwise the end of any attempt may release the held state, restart its hold
+    /// time or let the hold time continue, whatever the outcome.
+    pub every_message_arrives: bool,
+    /// Hash of all decisions, which are the same for both.
     pub decisions: DecisionHash,
 }
 
@@ -110,19 +114,20 @@
             attempts: BTreeMap::new(),
             timers: Vec::new(),
             last_id: 0,
-            all_arrives: true,
+            every_message_arrives: true,
             decisions: DecisionHash::default(),
         };
         pair.handle(Event::EndpointsUpdated { how: ListUpdateKind::Full, entries });
         pair
     }
 
-    /// Hands an event to both, compares their actions and the index with a recount, and does as they say.
+    /// Passes an event to both, checks that their actions are equal and that the router's index agrees with a recount,
+    /// and carries out the actions.
     fn handle(&mut self, event: Event) {
-        let (mut actions, mut scanned) = (Vec::new(), Vec::new());
+        let (mut actions, mut oracle_actions) = (Vec::new(), Vec::new());
         self.router.handle(self.now, event.clone(), &mut actions);
-        self.oracle.handle(self.now, event.clone(), &mut scanned);
-        assert_eq!(actions, scanned, "at {} after {event:?}", self.now);
+        self.oracle.handle(self.now, event.clone(), &mut oracle_actions);
+        assert_eq!(actions, oracle_actions, "at {} after {event:?}", self.now);
         assert_eq!(self.router.index_disagreement(), None, "at {} after {event:?}", self.now);
         self.decisions.decided(0, self.now, &actions, self.router.end_reasons());
         for action in actions {
@@ -151,14 +156,17 @@
         }
     }
 
+    /// What the end of an attempt means for the state that is held for its request. See
+    /// [`every_message_arrives`](Self::every_message_arrives).
     fn held_state_after(&self, id: RequestId, outcome: Outcome) -> HeldStateAfter {
-        if self.all_arrives {
+        if self.every_message_arrives {
             return HeldStateAfter::of_arrived(outcome);
         }
         let all = [HeldStateAfter::TimeGoesOn, HeldStateAfter::TimeBeginsAnew, HeldStateAfter::Released];
         all[(id.0 + self.now) as usize % all.len()]
     }
 
+    /// Reports the end of an attempt. With `full`, its server also sends a load report of 97% of its memory held.
     fn end(&mut self, id: RequestId, attempt: &InFlight, outcome: Outcome, cached_tokens: u64, full: bool) {
         let mut report = Report::default();
         report.set("x0", Some(if full { 0.97 } else { 0.4 }));
@@ -175,27 +183,29 @@
         }));
     }
 
-    /// Lets time pass: timers fire, and attempts that are late time out at the next one.
+    /// Lets time pass. Timers expire on time; attempts past their timeout end at the next timer.
     pub fn pass(&mut self, time: Micros) {
         let end = self.now + time;
         loop {
             let due = self.timers.iter().map(|&(at, _)| at).min().filter(|&at| at <= end);
             let Some(at) = due else { break };
             self.now = self.now.max(at);
-            let place = self.timers.iter().position(|&(due, _)| due == at).expect("there");
-            let (_, token) = self.timers.swap_remove(place);
+            let index = self.timers.iter().position(|&(due, _)| due == at).expect("a timer is due");
+            let (_, token) = self.timers.swap_remove(index);
             self.handle(Event::TimerFired(token));
-            let late =
+            let timed_out =
                 |(_, attempt): &(&RequestId, &InFlight)| !attempt.is_streaming && attempt.until <= self.now;
-            let late: Vec<RequestId> = self.in_flight.iter().filter(late).map(|(&id, _)| id).collect();
-            for id in late {
-                let attempt = self.in_flight.remove(&id).expect("out");
+            let timed_out: Vec<RequestId> =
+                self.in_flight.iter().filter(timed_out).map(|(&id, _)| id).collect();
+            for id in timed_out {
+                let attempt = self.in_flight.remove(&id).expect("an attempt in flight");
                 self.end(id, &attempt, Outcome::Timeout, 0, false);
             }
         }
         self.now = end;
     }
 
+    /// A request arrives. All of its properties follow from `draw`.
     fn request(&mut self, draw: u32) {
         self.last_id += 1;
         let session = u64::from(draw >> 4) % 23;
@@ -214,6 +224,7 @@
         self.handle(Event::RequestArrived(info));
     }
 
+    /// Changes an entry of the list of servers and reports it as a patch.
     fn change(&mut self, server: ServerId, change: impl FnOnce(&mut ServerEntry, Micros)) {
         let Some(entry) = self.list.get_mut(&server) else { return };
         change(entry, self.now);
@@ -221,30 +232,32 @@
         self.handle(Event::EndpointsUpdated { how: ListUpdateKind::Patch, entries });
     }
 
-    fn reads(&self, server: ServerId) -> bool {
+    fn is_reader(&self, server: ServerId) -> bool {
         self.list.get(&server).is_some_and(|entry| entry.kind == 0)
     }
 
+    /// An attempt advances: a read ends, a stream begins, or it ends as served.
     fn answer(&mut self, draw: u32) {
-        let waiting: Vec<RequestId> = self.in_flight.keys().copied().collect();
-        let Some(&id) = waiting.get(draw as usize % waiting.len().max(1)) else { return };
+        let candidates: Vec<RequestId> = self.in_flight.keys().copied().collect();
+        let Some(&id) = candidates.get(draw as usize % candidates.len().max(1)) else { return };
         let attempt = self.in_flight[&id].clone();
-        let reads = self.reads(attempt.server);
-        if !reads && !attempt.is_streaming && !draw.is_multiple_of(5) {
-            self.in_flight.get_mut(&id).expect("out").is_streaming = true;
+        let is_reader = self.is_reader(attempt.server);
+        if !is_reader && !attempt.is_streaming && !draw.is_multiple_of(5) {
+            self.in_flight.get_mut(&id).expect("an attempt in flight").is_streaming = true;
             let taken = self.now - attempt.sent_at;
             return self.handle(Event::FirstToken { id, attempt: attempt.number, taken });
         }
         self.in_flight.remove(&id);
-        let outcome = if reads { Outcome::Read } else { Outcome::Served };
+        let outcome = if is_reader { Outcome::Read } else { Outcome::Served };
         self.end(id, &attempt, outcome, u64::from(draw >> 8) % 900, draw.is_multiple_of(11));
     }
 
+    /// An attempt that does not stream yet fails.
     fn fail(&mut self, draw: u32) {
-        let waiting: Vec<RequestId> =
+        let candidates: Vec<RequestId> =
             self.in_flight.iter().filter(|(_, attempt)| !attempt.is_streaming).map(|(&id, _)| id).collect();
-        let Some(&id) = waiting.get(draw as usize % waiting.len().max(1)) else { return };
-        let attempt = self.in_flight.remove(&id).expect("out");
+        let Some(&id) = candidates.get(draw as usize % candidates.len().max(1)) else { return };
+        let attempt = self.in_flight.remove(&id).expect("an attempt in flight");
         let outcome = [
             Outcome::Full,
             Outcome::Error,
@@ -258,9 +271,10 @@
         self.end(id, &attempt, outcome, 0, false);
     }
 
-    /// One step of a series: `what` happens, and `draw` says how and to whom.
-    pub fn step(&mut self, what: u8, draw: u32) {
-        match what {
+    /// Performs one step of a random series. `choice` selects what happens, and `draw` its details, such as the server
+    /// or the request.
+    pub fn step(&mut self, choice: u8, draw: u32) {
+        match choice {
             0..=11 => self.request(draw),
             12..=24 => self.answer(draw),
             25..=28 => self.fail(draw),
@@ -325,6 +339,8 @@
         self.handle(Event::EndpointsUpdated { how: ListUpdateKind::Full, entries });
     }
 
+    /// Reloads the settings with other objectives, another slow start window and another number of dispatchers, and
+    /// renumbers one class.
     fn reload_settings(&mut self, draw: u32) {
         let mut settings = self.settings.clone();
         settings.slow_start_window = SECOND * (1 + u64::from(draw % 9));
