--- a/crates/router/tests/common/decision_hash.rs
+++ b/crates/router/tests/common/decision_hash.rs
@@ -1,11 +1,11 @@
-//! A stable hash of what a router decides, so that two versions of the program can be shown to decide alike: every
-//! action with its fields, in the order in which they came, and the reasons of answers. The encoding is written out
-//! by hand with fixed numbers, so that no name and no `Debug` has a part in it.
+//! A stable hash of a router's decisions, by which tests check that two versions of the program decide alike. It
+//! covers every action with its fields, in order, and the end reasons. The encoding uses fixed numbers and depends
+//! neither on names nor on `Debug`, so that renaming does not change it.
 
 use dewladder_router::interface::{Action, Micros};
 use dewladder_router::{EndReason, EndReasons};
 
-/// 64-bit FNV-1a over everything that it is given. See the [module](self).
+/// A running 64-bit FNV-1a hash. See the [module](self).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DecisionHash(u64);
 
@@ -16,49 +16,56 @@
 }
 
 impl DecisionHash {
-    /// The hash of all that was taken in so far.
+    /// The hash of everything added so far.
     pub fn value(&self) -> u64 {
         self.0
     }
 
+    /// Adds bytes.
     pub fn bytes(&mut self, bytes: &[u8]) {
         for &byte in bytes {
             self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
         }
     }
 
+    /// Adds a number as eight bytes, little-endian.
     pub fn number(&mut self, number: u64) {
         self.bytes(&number.to_le_bytes());
     }
 
-    fn numbers(&mut self, tag: u64, fields: &[u64]) {
+    /// Adds a tag that identifies the kind of record, and the record's fields.
+    fn record(&mut self, tag: u64, fields: &[u64]) {
         self.number(tag);
         fields.iter().for_each(|&field| self.number(field));
     }
 
-    /// What one event at one dispatcher led to.
+    /// Adds the actions and end reasons that follow from one event at one dispatcher.
     pub fn decided(&mut self, dispatcher: usize, now: Micros, actions: &[Action], reasons: &EndReasons) {
-        self.numbers(0, &[dispatcher as u64, now]);
+        self.record(0, &[dispatcher as u64, now]);
         actions.iter().for_each(|action| self.action(action));
         for &(id, reason) in reasons {
-            let place = EndReason::ALL.iter().position(|&other| other == reason).expect("all are listed");
-            self.numbers(9, &[id.0, place as u64]);
+            let index = EndReason::ALL
+                .iter()
+                .position(|&other| other == reason)
+                .expect("EndReason::ALL lists every reason");
+            self.record(9, &[id.0, index as u64]);
         }
     }
 
+    /// Adds an action.
     pub fn action(&mut self, action: &Action) {
         match action {
             Action::Assign { id, server, attempt_timeout } => {
-                self.numbers(1, &[id.0, u64::from(server.0), *attempt_timeout]);
+                self.record(1, &[id.0, u64::from(server.0), *attempt_timeout]);
             }
-            Action::Reject { id, retry_in } => self.numbers(2, &[id.0, *retry_in]),
-            Action::Fail(id) => self.numbers(3, &[id.0]),
-            Action::CancelAttempt { id, attempt } => self.numbers(4, &[id.0, u64::from(*attempt)]),
-            Action::ReleaseHeldState(id) => self.numbers(5, &[id.0]),
-            Action::StartTimer { delay, token } => self.numbers(6, &[*delay, token.0]),
-            Action::Subscribe => self.numbers(7, &[]),
+            Action::Reject { id, retry_in } => self.record(2, &[id.0, *retry_in]),
+            Action::Fail(id) => self.record(3, &[id.0]),
+            Action::CancelAttempt { id, attempt } => self.record(4, &[id.0, u64::from(*attempt)]),
+            Action::ReleaseHeldState(id) => self.record(5, &[id.0]),
+            Action::StartTimer { delay, token } => self.record(6, &[*delay, token.0]),
+            Action::Subscribe => self.record(7, &[]),
             Action::PublishGossip(bytes) => {
-                self.numbers(8, &[bytes.len() as u64]);
+                self.record(8, &[bytes.len() as u64]);
                 self.bytes(bytes);
             }
         }
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -1,5 +1,10 @@
-//! A dispatcher's surroundings, as far as tests need them, and a checker of the five rules that shares nothing
-//! with the decision module. It is no simulator: servers do what the test says.
+//! A test harness for one router: it carries out the router's actions and checks them against the five rules. The
+//! checks share no code with the router. The harness does not simulate servers: they do what the test says.
+//!
+//! The rules: (1) every request is answered once and by its deadline; (2) a request has at most one attempt in
+//! flight, and is repeated or rejected only where its class allows that; (3) requests go only to servers that the
+//! list shows as ready; (4) a server in slow start gets few requests; (5) no state stays held at a reader for longer
+//! than `max_hold_time` without an attempt.
 #![allow(dead_code)]
 
 pub mod decision_hash;
@@ -12,6 +17,7 @@
 
 pub const SECOND: Micros = 1_000_000;
 
+/// A class with a latency objective of 1 s, at most 5 attempts and a deduplication window of 2 s.
 pub fn class(effect: Effect, dedup_group: DedupGroup) -> Class {
     Class {
         name: format!("{effect:?}-{dedup_group:?}"),
@@ -28,6 +34,8 @@
     }
 }
 
+/// Settings with four classes that differ in effect and deduplication group, and with one kind of server for each
+/// role: 0 reader, 1 writer, 2 mixed.
 pub fn settings() -> Settings {
     Settings {
         dispatcher_count: 2,
@@ -62,6 +70,7 @@
     }
 }
 
+/// A ready, warm server. Even and odd ids are in different zones and cells.
 pub fn entry(server: u32, kind: u32) -> ServerEntry {
     ServerEntry {
         server: ServerId(server),
@@ -74,7 +83,7 @@
     }
 }
 
-/// Readers 0 to 3, writers 10 to 13, and with `mixed` also servers 20 and 21.
+/// Readers 0 to 3, writers 10 to 13, and with `mixed` also the mixed servers 20 and 21.
 pub fn fleet(mixed: bool) -> Vec<ServerEntry> {
     let mut list: Vec<ServerEntry> =
         (0..4).map(|id| entry(id, 0)).chain((10..14).map(|id| entry(id, 1))).collect();
@@ -84,6 +93,7 @@
     list
 }
 
+/// A request of class 0 with a session of its own and a deadline 5 s after `now`.
 pub fn request_info(id: u64, now: Micros) -> RequestInfo {
     RequestInfo {
         id: RequestId(id),
@@ -98,41 +108,57 @@
     }
 }
 
+/// An attempt that was sent and has not ended.
 #[derive(Clone, Debug)]
-pub struct Sent {
+pub struct SentAttempt {
     pub number: u32,
     pub server: ServerId,
+    /// When it was sent.
     pub at: Micros,
+    /// When it times out, unless it streams by then.
     pub until: Micros,
+    /// The first token has come.
     pub begun: bool,
+    /// The server is a reader.
     pub reads: bool,
 }
 
+/// What the harness knows of a request, for the checks of the rules.
 #[derive(Clone, Debug)]
-pub struct Known {
+pub struct RequestRecord {
     pub info: RequestInfo,
+    /// Number of attempts sent.
     pub attempts: u32,
-    pub out: Option<Sent>,
+    /// The attempt in flight.
+    pub out: Option<SentAttempt>,
+    /// The final answer has been given, or the client has disconnected.
     pub ended: bool,
-    pub ran: Option<(ServerId, Micros)>,
-    /// Reader that holds its state, and since when nothing was out.
-    pub held: Option<(ServerId, Micros)>,
+    /// The server and the send time of the first attempt that may have run.
+    pub may_have_run: Option<(ServerId, Micros)>,
+    /// The reader that holds the request's state, and when the last attempt ended.
+    pub held_by: Option<(ServerId, Micros)>,
 }
 
-/// A router with its surroundings; every action is held against the rules as it comes.
+/// A router with its timers, servers and clients. Every action is checked against the rules as it comes.
 pub struct World {
     pub settings: Settings,
     pub router: Router,
     pub now: Micros,
     pub list: BTreeMap<ServerId, ServerEntry>,
-    pub known: BTreeMap<RequestId, Known>,
+    /// All requests since the dispatcher's last restart.
+    pub known: BTreeMap<RequestId, RequestRecord>,
+    /// Expiry time and token of each timer.
     pub timers: BTreeSet<(Micros, u64)>,
+    /// All actions so far.
     pub log: Vec<Action>,
+    /// Time and server of each send, and whether the server was in slow start.
     pub sends: Vec<(Micros, ServerId, bool)>,
+    /// Times of the calls for the list of servers.
     pub subscribes: Vec<Micros>,
 }
 
 impl World {
+    /// A router that starts with a stored copy of the list.
     pub fn new(settings: Settings, list: Vec<ServerEntry>) -> Self {
         Self::with_seed(settings, list, 7)
     }
@@ -154,6 +180,7 @@
         world
     }
 
+    /// Updates the list of servers, or reports that a call for it failed.
     pub fn roster(&mut self, how: ListUpdateKind, entries: Vec<ServerEntry>) {
         if how != ListUpdateKind::Failed {
             if how != ListUpdateKind::Patch {
@@ -166,14 +193,14 @@
         self.tell(Event::EndpointsUpdated { how, entries });
     }
 
-    /// Changes one entry of the list and tells the router.
+    /// Changes one entry of the list and reports the change to the router.
     pub fn change(&mut self, server: u32, change: impl FnOnce(&mut ServerEntry)) {
         let mut entry = self.list[&ServerId(server)].clone();
         change(&mut entry);
         self.roster(ListUpdateKind::Patch, vec![entry]);
     }
 
-    /// The dispatcher is killed and comes back with its last list; its requests are its clients' to repeat.
+    /// The dispatcher is killed and restarts with its last list. Its open requests are lost.
     pub fn restart(&mut self, seed: u64) {
         self.router = Router::new(self.settings.clone(), seed, self.now);
         self.known.clear();
@@ -182,20 +209,30 @@
         self.roster(ListUpdateKind::StaleCopy, list);
     }
 
+    /// A request arrives.
     pub fn ask(&mut self, info: RequestInfo) {
         let id = info.id;
-        let known = Known { info: info.clone(), attempts: 0, out: None, ended: false, ran: None, held: None };
+        let known = RequestRecord {
+            info: info.clone(),
+            attempts: 0,
+            out: None,
+            ended: false,
+            may_have_run: None,
+            held_by: None,
+        };
         self.known.insert(id, known);
         self.tell(Event::RequestArrived(info));
     }
 
+    /// A request with the properties of [`request_info`] arrives.
     pub fn simple(&mut self, id: u64) -> RequestId {
         let info = request_info(id, self.now);
         self.ask(info);
         RequestId(id)
     }
 
-    pub fn out(&self, id: RequestId) -> Option<Sent> {
+    /// The request's attempt in flight.
+    pub fn out(&self, id: RequestId) -> Option<SentAttempt> {
         self.known.get(&id).and_then(|known| known.out.clone())
     }
 
@@ -205,25 +242,27 @@
             .is_some_and(|entry| self.settings.kinds[entry.kind as usize].role == Role::Reader)
     }
 
+    /// The request's attempt in flight streams its first token.
     pub fn begin(&mut self, id: RequestId) {
         let Some(known) = self.known.get_mut(&id) else { return };
         let Some(out) = known.out.as_mut() else { return };
         out.begun = true;
-        known.held = None;
+        known.held_by = None;
         let event = Event::FirstToken { id, attempt: out.number, taken: self.now - out.at };
         self.tell(event);
     }
 
-    /// Ends the attempt that is out.
+    /// Ends the request's attempt in flight.
     pub fn end(&mut self, id: RequestId, outcome: Outcome) {
         self.end_with(id, outcome, 0);
     }
 
+    /// Ends the attempt in flight; its server found `cached_tokens` of the prompt in its cache.
     pub fn end_with(&mut self, id: RequestId, outcome: Outcome, cached_tokens: u64) {
         self.end_as(id, outcome, HeldStateAfter::of_arrived(outcome), cached_tokens);
     }
 
-    /// The same, with what it means for the state that is held.
+    /// Ends the attempt in flight, with the given effect on the state that is held for the request.
     pub fn end_as(
         &mut self,
         id: RequestId,
@@ -235,17 +274,17 @@
         let Some(out) = known.out.take() else { return };
         let last = known.ended || outcome == Outcome::Served || out.begun;
         match outcome {
-            Outcome::Read => known.held = Some((out.server, self.now)),
-            // A reader that is cut off from the writer still holds the state.
-            _ if held_state == HeldStateAfter::Released => known.held = None,
-            _ => known.held = known.held.map(|(server, _)| (server, self.now)),
+            Outcome::Read => known.held_by = Some((out.server, self.now)),
+            // A reader that the writer cannot reach still holds the state.
+            _ if held_state == HeldStateAfter::Released => known.held_by = None,
+            _ => known.held_by = known.held_by.map(|(server, _)| (server, self.now)),
         }
-        let proven = matches!(
+        let never_ran = matches!(
             outcome,
             Outcome::Full | Outcome::NoState | Outcome::ConnectFailed | Outcome::NotSent | Outcome::Read
         );
-        if !proven && !out.reads && known.ran.is_none() {
-            known.ran = Some((out.server, out.at));
+        if !never_ran && !out.reads && known.may_have_run.is_none() {
+            known.may_have_run = Some((out.server, out.at));
         }
         known.ended = last;
         let event = Event::AttemptFinished(AttemptFinished {
@@ -262,6 +301,7 @@
         self.tell(event);
     }
 
+    /// The client of a request disconnects.
     pub fn hangup(&mut self, id: RequestId) {
         if let Some(known) = self.known.get_mut(&id) {
             known.ended = true;
@@ -269,7 +309,7 @@
         self.tell(Event::ClientDisconnected(id));
     }
 
-    /// Lets time pass in small steps; timers and time-outs come due, the clock rules are checked.
+    /// Lets time pass in small steps. Timers expire, attempts time out, and the rules on time are checked.
     pub fn pass(&mut self, time: Micros) {
         let end = self.now + time;
         while self.now < end {
@@ -281,7 +321,7 @@
                 self.timers.pop_first();
                 self.tell(Event::TimerFired(TimerToken(token)));
             }
-            let late: Vec<RequestId> = self
+            let timed_out: Vec<RequestId> = self
                 .known
                 .iter()
                 .filter(|(_, known)| {
@@ -289,27 +329,33 @@
                 })
                 .map(|(&id, _)| id)
                 .collect();
-            for id in late {
+            for id in timed_out {
                 self.end(id, Outcome::Timeout);
             }
-            self.check_clock();
+            self.check_deadlines();
         }
     }
 
-    fn check_clock(&self) {
+    /// Rules 1 and 5: no request is open past its deadline, with a tolerance of four times the resolution, and no
+    /// state is held for too long without an attempt in flight.
+    fn check_deadlines(&self) {
         for (id, known) in &self.known {
             let begun = known.out.as_ref().is_some_and(|out| out.begun);
             let slack = 4 * self.settings.resolution;
             assert!(
                 known.ended || begun || self.now <= known.info.not_after + slack,
-                "rule 1: {id:?} not answered"
+                "rule 1: {id:?} was not answered by its deadline"
             );
-            if let (None, Some((_, since))) = (&known.out, known.held) {
-                assert!(self.now <= since + self.settings.max_hold_time, "rule 5: {id:?} left pinned");
+            if let (None, Some((_, since))) = (&known.out, known.held_by) {
+                assert!(
+                    self.now <= since + self.settings.max_hold_time,
+                    "rule 5: the state of {id:?} was held for too long"
+                );
             }
         }
     }
 
+    /// Passes an event to the router, checks its actions and carries them out.
     pub fn tell(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.router.handle(self.now, event, &mut actions);
@@ -320,16 +366,16 @@
 
     fn take(&mut self, action: Action) {
         match &action {
-            Action::Assign { id, server, attempt_timeout } => self.take_send(*id, *server, *attempt_timeout),
+            Action::Assign { id, server, attempt_timeout } => self.add_send(*id, *server, *attempt_timeout),
             Action::Reject { id, .. } => {
                 let known = self.known.get_mut(id).expect("a known request");
                 assert!(!known.ended, "rule 1: {id:?} answered twice");
-                assert!(known.out.is_none(), "refused while an attempt is out");
+                assert!(known.out.is_none(), "rejected while an attempt is in flight");
                 let class = &self.settings.classes[&known.info.class];
-                let harmless = known.ran.is_none()
+                let is_retry_safe = known.may_have_run.is_none()
                     || class.effect == Effect::Idempotent
                     || (class.effect == Effect::Deduplicated && class.dedup_group == DedupGroup::All);
-                assert!(harmless, "rule 2: {id:?} refused though it may have run");
+                assert!(is_retry_safe, "rule 2: {id:?} was rejected although it may have run");
                 known.ended = true;
             }
             Action::Fail(id) => {
@@ -339,12 +385,12 @@
             }
             Action::ReleaseHeldState(id) => {
                 if let Some(known) = self.known.get_mut(id) {
-                    known.held = None;
+                    known.held_by = None;
                 }
             }
             Action::CancelAttempt { id, attempt } => {
                 let known = self.known.get(id).expect("a known request");
-                assert!(*attempt < known.attempts, "an attempt that was made");
+                assert!(*attempt < known.attempts, "a cancelled attempt must have been sent");
             }
             Action::StartTimer { delay, token } => {
                 self.timers.insert((self.now + delay, token.0));
@@ -355,57 +401,77 @@
         self.log.push(action);
     }
 
-    fn take_send(&mut self, id: RequestId, server: ServerId, attempt_timeout: Micros) {
-        let entry = self.list.get(&server).expect("a server of the list").clone();
+    /// Checks a send against rules 1 to 4 and records it.
+    fn add_send(&mut self, id: RequestId, server: ServerId, attempt_timeout: Micros) {
+        let entry = self.list.get(&server).expect("a listed server").clone();
         let reads = self.is_reader(server);
         let known = self.known.get_mut(&id).expect("a known request");
-        assert!(!known.ended && self.now <= known.info.not_after, "rule 1: {id:?} sent after its end");
-        assert!(known.out.is_none(), "rule 2: {id:?} has two attempts out");
-        assert_eq!(entry.health, Health::Ready, "rule 3: {id:?} sent to a server that drains or is gone");
-        if let Some((first, sent)) = known.ran {
+        assert!(
+            !known.ended && self.now <= known.info.not_after,
+            "rule 1: {id:?} was sent after its end or deadline"
+        );
+        assert!(known.out.is_none(), "rule 2: {id:?} has two attempts in flight");
+        assert_eq!(
+            entry.health,
+            Health::Ready,
+            "rule 3: {id:?} was sent to a server that is draining or gone"
+        );
+        if let Some((first, sent)) = known.may_have_run {
             let class = &self.settings.classes[&known.info.class];
-            assert_ne!(class.effect, Effect::AtMostOnce, "rule 2: {id:?} sent again");
+            assert_ne!(
+                class.effect,
+                Effect::AtMostOnce,
+                "rule 2: {id:?} was sent again although it may have run"
+            );
             if class.effect == Effect::Deduplicated {
-                assert!(self.now <= sent + class.dedup_window, "rule 2: {id:?} sent after the window");
+                assert!(
+                    self.now <= sent + class.dedup_window,
+                    "rule 2: {id:?} was sent after the deduplication window"
+                );
                 let cell = self.list.get(&first).map(|entry| entry.cell);
                 assert!(
                     class.dedup_group == DedupGroup::All || cell == Some(entry.cell),
-                    "rule 2: outside its dedup_group"
+                    "rule 2: {id:?} was sent outside its deduplication group"
                 );
             }
         }
         let until = (self.now + attempt_timeout.max(1)).min(known.info.not_after);
         let number = known.attempts;
-        known.out = Some(Sent { number, server, at: self.now, until, begun: false, reads });
+        known.out = Some(SentAttempt { number, server, at: self.now, until, begun: false, reads });
         known.attempts += 1;
         assert!(
             known.attempts <= self.settings.classes[&known.info.class].max_attempts,
-            "{id:?} sent too often"
+            "{id:?} was sent more often than its class allows"
         );
-        let cold = entry.started.is_some_and(|at| self.now < at + self.settings.slow_start_window);
-        self.sends.push((self.now, server, cold));
-        if cold {
-            self.check_cold(server);
+        let in_slow_start = entry.started.is_some_and(|at| self.now < at + self.settings.slow_start_window);
+        self.sends.push((self.now, server, in_slow_start));
+        if in_slow_start {
+            self.check_slow_start(server);
         }
     }
 
-    /// Rule 4, loosely and from outside: since its last start, within a window, no more than one send for the start,
-    /// one for chance, and the cold share of the most that any one server was sent in a window of that length.
-    fn check_cold(&self, server: ServerId) {
+    /// Rule 4, as a loose bound that needs no knowledge of the router. Within an overload window since its last start,
+    /// a server in slow start gets at most two requests, one for the start and one for chance, plus
+    /// `overload_multiple * slow_start_min_share` times the most requests that any warm server got in such a window.
+    fn check_slow_start(&self, server: ServerId) {
         let window = self.settings.overload_window;
         let sent_in = |to: ServerId, end: Micros| {
             self.sends.iter().filter(|&&(at, id, _)| id == to && at + window > end && at <= end).count()
         };
-        let warm = self.sends.iter().filter(|&&(_, _, cold)| !cold);
-        let most = warm.map(|&(at, id, _)| sent_in(id, at)).max().unwrap_or(0);
+        let warm = self.sends.iter().filter(|&&(_, _, in_slow_start)| !in_slow_start);
+        let max_sent = warm.map(|&(at, id, _)| sent_in(id, at)).max().unwrap_or(0);
         let share = self.settings.overload_multiple * self.settings.slow_start_min_share;
         let started = self.list[&server].started.unwrap_or(0);
         let since_start = |at: Micros| at >= started && at + window > self.now;
         let sent = self.sends.iter().filter(|&&(at, id, _)| id == server && since_start(at)).count() as f64;
-        assert!(sent <= 2.0 + share * most as f64, "rule 4: {server:?} was sent {sent} while cold");
+        assert!(
+            sent <= 2.0 + share * max_sent as f64,
+            "rule 4: {server:?} was sent {sent} requests during slow start"
+        );
     }
 
-    pub fn count(&self, test: impl Fn(&Action) -> bool) -> usize {
-        self.log.iter().filter(|action| test(action)).count()
+    /// Number of actions so far for which `predicate` holds.
+    pub fn count(&self, predicate: impl Fn(&Action) -> bool) -> usize {
+        self.log.iter().filter(|action| predicate(action)).count()
     }
 }
--- a/crates/router/tests/common/serving.rs
+++ b/crates/router/tests/common/serving.rs
@@ -1,10 +1,10 @@
-//! A request that everything goes well with.
+//! A request that is served without any failure.
 
 use super::request_info;
 use super::World;
 use dewladder_router::interface::{Key, Outcome, RequestId, ServerId};
 
-/// Serves a request at once, both stages; says where it was read.
+/// Sends a request of a session and serves both of its stages in 52 ms. Returns the reader.
 pub fn serve(world: &mut World, id: u64, session: u64) -> ServerId {
     let mut info = request_info(id, world.now);
     info.session = Some(Key(session));
--- a/crates/router/tests/fleet_model/mod.rs
+++ b/crates/router/tests/fleet_model/mod.rs
@@ -1,5 +1,6 @@
-//! Many dispatchers before one fleet of servers, in virtual time: each server works its queue off in turn, a read takes
-//! as long as its prompt wants, and nothing here looks into the decisions.
+//! A simulation of several dispatchers in front of one fleet of servers, in virtual time. Each server processes its
+//! queue in order, and an attempt takes a time that grows with the length of the prompt. The simulation shares no code
+//! with the routers' rules.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -13,30 +14,34 @@
 
 pub const SECOND: Micros = 1_000_000;
 
-/// A server as it truly is.
+/// A simulated server. The dispatchers know only its list entry.
 #[derive(Clone, Debug)]
 pub struct Server {
     pub entry: ServerEntry,
     pub role: Role,
-    /// Time for a token of a prompt, when warm and alone.
+    /// Time per prompt token (us), for a warm server without queue.
     pub token_takes: f64,
-    /// Time for an attempt, whatever its length.
+    /// Additional time for each attempt (us).
     pub attempt_takes: f64,
-    /// How long an answer streams after its first token.
-    pub streams_for: Micros,
-    /// What it does with attempts besides working them off.
+    /// How long an answer streams after its first token (us).
+    pub streaming_time: Micros,
     pub behavior: Behavior,
+    /// When the server has processed its queue.
     free_at: Micros,
 }
 
+/// What a server does with attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behavior {
+    /// Processes them.
     Work,
+    /// Never answers them.
     Hang,
+    /// Refuses the connection.
     Refuse,
 }
 
-/// A send, as a server sees it.
+/// A send of an attempt to a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Sent {
     pub at: Micros,
@@ -44,55 +49,70 @@
     pub server: ServerId,
 }
 
-/// What became of a request.
+/// A request and its result so far.
 #[derive(Clone, Debug)]
 pub struct Record {
     pub info: RequestInfo,
     pub dispatcher: usize,
+    /// When it arrived.
     pub at: Micros,
+    /// Number of attempts sent.
     pub attempts: u32,
     /// When its first token came.
     pub answered: Option<Micros>,
+    /// The dispatcher rejected it.
     pub refused: bool,
     pub failed: bool,
 }
 
 struct Dispatcher {
     router: Router,
-    life: u32,
-    /// For each attempt that is out: its request's number of the attempt, server, when sent.
-    out: BTreeMap<RequestId, (u32, ServerId, Micros)>,
+    /// Number of restarts. Steps that were scheduled before the last one are dropped.
+    restarts: u32,
+    /// Number, server and send time of each attempt in flight.
+    in_flight: BTreeMap<RequestId, (u32, ServerId, Micros)>,
 }
 
+/// Something that is scheduled to happen at a dispatcher.
 #[derive(Debug)]
 enum Step {
-    Due(TimerToken),
-    Ends(RequestId, u32, Outcome),
-    Begins(RequestId, u32),
-    Leaves(RequestId),
+    /// A timer expires.
+    TimerExpires(TimerToken),
+    /// An attempt, given by its request and number, ends.
+    AttemptEnds(RequestId, u32, Outcome),
+    /// An attempt, given by its request and number, streams its first token.
+    FirstTokenComes(RequestId, u32),
+    /// A client that has no answer by the deadline disconnects.
+    ClientLeaves(RequestId),
 }
 
-/// See the [module](self).
+/// The simulated fleet and its dispatchers. See the [module](self).
 pub struct Model {
     pub now: Micros,
     pub settings: Settings,
     pub servers: BTreeMap<ServerId, Server>,
     pub sends: Vec<Sent>,
     pub records: BTreeMap<RequestId, Record>,
-    /// Timers come due at the next multiple of this: many dispatchers need not be swept as often as few.
+    /// Timers expire at the next multiple of this (us). A larger value saves time with many dispatchers, which
+    /// need not be swept as often as few.
     pub sweep: Micros,
     pub lots: Pcg64Mcg,
-    /// The servers that are sent something first turn out to do this from then on, up to a third of each role.
+    /// The behavior that servers take on with their first attempt, for up to a third of the servers of each role.
     pub first_ones: Option<Behavior>,
-    /// All that the dispatchers have decided.
+    /// Hash of all decisions of the dispatchers.
     pub decisions: DecisionHash,
     dispatchers: Vec<Dispatcher>,
-    steps: BTreeMap<(Micros, u64), (usize, u32, Step)>,
-    number: u64,
+    /// Scheduled steps by time and, for equal times, in the order of scheduling, each with its dispatcher and the
+    /// dispatcher's number of restarts.
+    schedule: BTreeMap<(Micros, u64), (usize, u32, Step)>,
+    /// Number of steps scheduled so far.
+    sequence: u64,
+    /// The zone of each dispatcher.
     zones: Vec<ZoneId>,
 }
 
 impl Model {
+    /// A simulation without servers, and with one dispatcher for each of `zones`.
     pub fn new(settings: Settings, zones: Vec<ZoneId>, seed: u64) -> Self {
         let mut model = Self {
             now: 1_000 * SECOND,
@@ -105,13 +125,13 @@
             first_ones: None,
             decisions: DecisionHash::default(),
             dispatchers: Vec::new(),
-            steps: BTreeMap::new(),
-            number: 0,
+            schedule: BTreeMap::new(),
+            sequence: 0,
             zones,
         };
         for dispatcher in 0..model.zones.len() {
             let router = model.router(dispatcher);
-            model.dispatchers.push(Dispatcher { router, life: 0, out: BTreeMap::new() });
+            model.dispatchers.push(Dispatcher { router, restarts: 0, in_flight: BTreeMap::new() });
         }
         model
     }
@@ -121,56 +141,60 @@
         Router::new(settings, self.lots.next_u64(), self.now)
     }
 
+    /// Number of dispatchers.
     pub fn dispatchers(&self) -> usize {
         self.dispatchers.len()
     }
 
-    /// What a dispatcher has learnt, as it would hand it over.
+    /// The state that a dispatcher exports in a hot restart, as JSON.
     pub fn learnt(&self, dispatcher: usize) -> String {
-        serde_json::to_string(&self.dispatchers[dispatcher].router.export_state()).expect("it can be written")
+        serde_json::to_string(&self.dispatchers[dispatcher].router.export_state())
+            .expect("the exported state can be serialized")
     }
 
-    /// A share of 1.
+    /// A random number in [0, 1).
     pub fn unit_draw(&mut self) -> f64 {
         self.lots.next_u32() as f64 / (f64::from(u32::MAX) + 1.0)
     }
 
-    /// A number from these, the last one not included.
+    /// A random number from `from` to `to`, without `to` itself.
     pub fn draw(&mut self, from: f64, to: f64) -> f64 {
         from + (to - from) * self.unit_draw()
     }
 
-    /// Sets a server up; the dispatchers hear of it with the next list.
+    /// Adds a server. The dispatchers learn of it with the next list.
     pub fn add_server(
         &mut self,
         entry: ServerEntry,
         token_takes: f64,
         attempt_takes: f64,
-        streams_for: Micros,
+        streaming_time: Micros,
     ) {
         let role = self.settings.kinds[entry.kind as usize].role;
         let (behavior, free_at) = (Behavior::Work, 0);
         let id = entry.server;
-        self.servers
-            .insert(id, Server { entry, role, token_takes, attempt_takes, streams_for, behavior, free_at });
+        self.servers.insert(
+            id,
+            Server { entry, role, token_takes, attempt_takes, streaming_time, behavior, free_at },
+        );
     }
 
-    /// Tells all dispatchers the whole list.
+    /// Sends the whole list of servers to all dispatchers.
     pub fn list(&mut self) {
         for dispatcher in 0..self.dispatchers.len() {
-            self.list_to(dispatcher);
+            self.send_list_to(dispatcher);
         }
     }
 
-    fn list_to(&mut self, dispatcher: usize) {
+    fn send_list_to(&mut self, dispatcher: usize) {
         let entries = self.servers.values().map(|server| server.entry.clone()).collect();
         self.tell(dispatcher, Event::EndpointsUpdated { how: ListUpdateKind::Full, entries });
     }
 
-    /// A server comes back cold; all dispatchers are told at once.
+    /// Restarts a server, which begins its slow start. All dispatchers receive the change at once.
     pub fn restart_server(&mut self, server: ServerId) {
         let now = self.now;
-        let server = self.servers.get_mut(&server).expect("a server");
+        let server = self.servers.get_mut(&server).expect("a simulated server");
         (server.entry.started, server.free_at) = (Some(now), now);
         let entries = vec![server.entry.clone()];
         for dispatcher in 0..self.dispatchers.len() {
@@ -181,21 +205,22 @@
         }
     }
 
-    /// A dispatcher is killed and comes back without memory; what it had out is nobody's any more.
+    /// A dispatcher is killed and restarts without any state. Its attempts in flight are lost.
     pub fn restart_dispatcher(&mut self, dispatcher: usize) {
         let router = self.router(dispatcher);
-        let life = self.dispatchers[dispatcher].life + 1;
-        self.dispatchers[dispatcher] = Dispatcher { router, life, out: BTreeMap::new() };
-        self.list_to(dispatcher);
+        let restarts = self.dispatchers[dispatcher].restarts + 1;
+        self.dispatchers[dispatcher] = Dispatcher { router, restarts, in_flight: BTreeMap::new() };
+        self.send_list_to(dispatcher);
     }
 
-    /// The part of its capacity that a server has now, rising evenly while it is cold.
+    /// The share of its full capacity that a server has now. It rises linearly during slow start.
     pub fn share(&self, server: &Server, now: Micros) -> f64 {
         let Some(from) = server.entry.started else { return 1.0 };
         let age = now.saturating_sub(from) as f64 / self.settings.slow_start_window as f64;
         (self.settings.slow_start_min_share + (1.0 - self.settings.slow_start_min_share) * age).min(1.0)
     }
 
+    /// A request arrives at a dispatcher.
     pub fn ask(&mut self, dispatcher: usize, info: RequestInfo) {
         let (id, at, not_after) = (info.id, self.now, info.not_after);
         let record = Record {
@@ -208,39 +233,45 @@
             failed: false,
         };
         self.records.insert(id, record);
-        self.plan(not_after, dispatcher, Step::Leaves(id));
+        self.schedule_step(not_after, dispatcher, Step::ClientLeaves(id));
         self.tell(dispatcher, Event::RequestArrived(info));
     }
 
-    fn plan(&mut self, at: Micros, dispatcher: usize, step: Step) {
-        self.number += 1;
-        self.steps.insert((at, self.number), (dispatcher, self.dispatchers[dispatcher].life, step));
+    /// Schedules a step for a dispatcher.
+    fn schedule_step(&mut self, at: Micros, dispatcher: usize, step: Step) {
+        self.sequence += 1;
+        self.schedule.insert((at, self.sequence), (dispatcher, self.dispatchers[dispatcher].restarts, step));
     }
 
-    /// Lets time pass up to this moment.
+    /// Lets time pass until `end`.
     pub fn run_until(&mut self, end: Micros) {
-        while let Some((&(at, number), _)) = self.steps.first_key_value().filter(|(key, _)| key.0 <= end) {
-            let (dispatcher, life, step) = self.steps.remove(&(at, number)).expect("there");
+        while let Some((&(at, sequence), _)) = self.schedule.first_key_value().filter(|(key, _)| key.0 <= end)
+        {
+            let (dispatcher, restarts, step) =
+                self.schedule.remove(&(at, sequence)).expect("the key was just found");
             self.now = at;
-            if life == self.dispatchers[dispatcher].life {
+            if restarts == self.dispatchers[dispatcher].restarts {
                 self.step(dispatcher, step);
             }
         }
         self.now = end;
     }
 
+    /// Performs a scheduled step.
     fn step(&mut self, dispatcher: usize, step: Step) {
         match step {
-            Step::Due(token) => self.tell(dispatcher, Event::TimerFired(token)),
-            Step::Leaves(id) => {
+            Step::TimerExpires(token) => self.tell(dispatcher, Event::TimerFired(token)),
+            Step::ClientLeaves(id) => {
                 let record = &self.records[&id];
                 if record.answered.is_none() && !record.refused && !record.failed {
                     self.tell(dispatcher, Event::ClientDisconnected(id));
                 }
             }
-            Step::Begins(id, attempt) => {
-                let Some(&(_, _, sent)) =
-                    self.dispatchers[dispatcher].out.get(&id).filter(|out| out.0 == attempt)
+            Step::FirstTokenComes(id, attempt) => {
+                let Some(&(_, _, sent)) = self.dispatchers[dispatcher]
+                    .in_flight
+                    .get(&id)
+                    .filter(|in_flight| in_flight.0 == attempt)
                 else {
                     return;
                 };
@@ -248,13 +279,16 @@
                 let taken = self.now - sent;
                 self.tell(dispatcher, Event::FirstToken { id, attempt, taken });
             }
-            Step::Ends(id, attempt, outcome) => {
-                let out = self.dispatchers[dispatcher].out.get(&id).filter(|out| out.0 == attempt);
-                let Some(&(_, server, sent)) = out else { return };
+            Step::AttemptEnds(id, attempt, outcome) => {
+                let in_flight = self.dispatchers[dispatcher]
+                    .in_flight
+                    .get(&id)
+                    .filter(|in_flight| in_flight.0 == attempt);
+                let Some(&(_, server, sent)) = in_flight else { return };
                 if outcome == Outcome::Timeout && self.records[&id].answered.is_some() {
-                    return; // it belongs to the client
+                    return; // the attempt timeout no longer applies
                 }
-                self.dispatchers[dispatcher].out.remove(&id);
+                self.dispatchers[dispatcher].in_flight.remove(&id);
                 let record = &self.records[&id];
                 let last = outcome == Outcome::Served || record.refused || record.failed;
                 let taken = self.now - sent;
@@ -274,6 +308,7 @@
         }
     }
 
+    /// Passes an event to a dispatcher and carries out its actions.
     fn tell(&mut self, dispatcher: usize, event: Event) {
         let mut actions = Vec::new();
         let router = &mut self.dispatchers[dispatcher].router;
@@ -287,17 +322,21 @@
                 Action::Reject { id, .. } => self.records.get_mut(&id).expect("known").refused = true,
                 Action::Fail(id) => self.records.get_mut(&id).expect("known").failed = true,
                 Action::CancelAttempt { id, attempt } => {
-                    self.plan(self.now, dispatcher, Step::Ends(id, attempt, Outcome::Cancelled));
+                    self.schedule_step(
+                        self.now,
+                        dispatcher,
+                        Step::AttemptEnds(id, attempt, Outcome::Cancelled),
+                    );
                 }
                 Action::StartTimer { delay, token } => {
                     let due = (self.now + delay).next_multiple_of(self.sweep);
-                    self.plan(due, dispatcher, Step::Due(token));
+                    self.schedule_step(due, dispatcher, Step::TimerExpires(token));
                 }
                 Action::PublishGossip(bytes) => {
                     for other in (0..self.dispatchers.len()).filter(|&other| other != dispatcher) {
-                        // Heard without an answer: what a dispatcher does next, it does at its next event.
-                        let heard = Event::GossipReceived(bytes.clone());
-                        self.dispatchers[other].router.handle(self.now, heard, &mut Vec::new());
+                        // Gossip leads to no action of its own; the receiver uses it at its next event.
+                        let gossip = Event::GossipReceived(bytes.clone());
+                        self.dispatchers[other].router.handle(self.now, gossip, &mut Vec::new());
                     }
                 }
                 Action::ReleaseHeldState(_) | Action::Subscribe => {}
@@ -305,48 +344,57 @@
         }
     }
 
+    /// Sends an attempt to a server and schedules what follows from it.
     fn send(&mut self, dispatcher: usize, id: RequestId, server: ServerId, attempt_timeout: Micros) {
         let now = self.now;
         self.sends.push(Sent { at: now, dispatcher, server });
         let record = self.records.get_mut(&id).expect("known");
         let attempt = record.attempts;
         record.attempts += 1;
-        let until = (now + attempt_timeout.max(1)).min(record.info.not_after);
+        let timeout_at = (now + attempt_timeout.max(1)).min(record.info.not_after);
         let tokens = record.info.prompt_tokens as f64;
-        self.dispatchers[dispatcher].out.insert(id, (attempt, server, now));
-        let mut model = self.servers.remove(&server).expect("a server");
+        self.dispatchers[dispatcher].in_flight.insert(id, (attempt, server, now));
+        let mut model = self.servers.remove(&server).expect("a simulated server");
         let of_role = || self.servers.values().filter(|other| other.role == model.role);
-        let bad = of_role().filter(|other| other.behavior != Behavior::Work).count();
-        if let Some(behavior) = self.first_ones.filter(|_| 3 * (bad + 1) <= of_role().count() + 1) {
+        let misbehaving = of_role().filter(|other| other.behavior != Behavior::Work).count();
+        if let Some(behavior) = self.first_ones.filter(|_| 3 * (misbehaving + 1) <= of_role().count() + 1) {
             model.behavior = behavior;
         }
-        let takes = (tokens * model.token_takes + model.attempt_takes) / self.share(&model, now);
-        let (role, streams_for) = (model.role, model.streams_for);
+        let processing_time = (tokens * model.token_takes + model.attempt_takes) / self.share(&model, now);
+        let (role, streaming_time) = (model.role, model.streaming_time);
         let done = match model.behavior {
             Behavior::Hang => Micros::MAX,
             Behavior::Refuse => {
-                self.plan(now + 500, dispatcher, Step::Ends(id, attempt, Outcome::ConnectFailed));
+                self.schedule_step(
+                    now + 500,
+                    dispatcher,
+                    Step::AttemptEnds(id, attempt, Outcome::ConnectFailed),
+                );
                 self.servers.insert(server, model);
                 return;
             }
             Behavior::Work => {
-                let begins = model.free_at.max(now);
-                let done = begins + takes as Micros;
-                // What is given up before its turn is never begun.
-                if begins < until {
-                    model.free_at = done.min(until);
+                let start = model.free_at.max(now);
+                let done = start + processing_time as Micros;
+                // An attempt that times out before its turn takes no time of the server.
+                if start < timeout_at {
+                    model.free_at = done.min(timeout_at);
                 }
                 done
             }
         };
         self.servers.insert(server, model);
-        if done > until {
-            self.plan(until, dispatcher, Step::Ends(id, attempt, Outcome::Timeout));
+        if done > timeout_at {
+            self.schedule_step(timeout_at, dispatcher, Step::AttemptEnds(id, attempt, Outcome::Timeout));
         } else if role == Role::Reader {
-            self.plan(done, dispatcher, Step::Ends(id, attempt, Outcome::Read));
+            self.schedule_step(done, dispatcher, Step::AttemptEnds(id, attempt, Outcome::Read));
         } else {
-            self.plan(done, dispatcher, Step::Begins(id, attempt));
-            self.plan(done + streams_for, dispatcher, Step::Ends(id, attempt, Outcome::Served));
+            self.schedule_step(done, dispatcher, Step::FirstTokenComes(id, attempt));
+            self.schedule_step(
+                done + streaming_time,
+                dispatcher,
+                Step::AttemptEnds(id, attempt, Outcome::Served),
+            );
         }
     }
 }
