--- a/crates/router/tests/properties.rs
+++ b/crates/router/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Random orders of events against the five rules and determinism.
+//! Random sequences of events: the five rules hold, and equal events give equal actions.
 
 mod common;
 
@@ -21,11 +21,11 @@
     Outcome::Unknown,
 ];
 
-/// One step: what happens, and two free numbers for it.
+/// One step: a number that selects what happens, and two random numbers for its details.
 type Step = (u8, u32, u32);
 
-/// Plays a series of steps and lets all requests come to their end; everything that the router did.
-fn play(mixed: bool, steps: &[Step]) -> Vec<Action> {
+/// Runs a sequence of steps, then lets time pass until all requests have ended. Returns all actions of the router.
+fn run(mixed: bool, steps: &[Step]) -> Vec<Action> {
     let mut world = World::new(settings(), fleet(mixed));
     let mut last_id = 0;
     for &step in steps {
@@ -36,11 +36,11 @@
     world.log
 }
 
-fn take_step(world: &mut World, last_id: u64, (what, first, second): Step) {
+fn take_step(world: &mut World, last_id: u64, (choice, first, second): Step) {
     let in_flight = world.known.iter().filter(|(_, known)| known.out.is_some());
     let in_flight: Vec<RequestId> = in_flight.map(|(&id, _)| id).collect();
     let any = in_flight.get(first as usize % in_flight.len().max(1)).copied();
-    match (what, any) {
+    match (choice, any) {
         (0..=5, _) => arrive(world, last_id, first, second),
         (6..=10, Some(id)) => serve(world, id, second),
         (11..=13, Some(id)) => fail(world, id, second),
@@ -55,6 +55,7 @@
     }
 }
 
+/// A request arrives whose class, keys, length and deadline follow from two random numbers.
 fn arrive(world: &mut World, id: u64, first: u32, second: u32) {
     let mut info = request_info(id, world.now);
     info.class = first % 4;
@@ -66,18 +67,19 @@
     world.ask(info);
 }
 
-fn is_read(world: &World, id: RequestId) -> bool {
+fn is_at_reader(world: &World, id: RequestId) -> bool {
     world.out(id).is_some_and(|attempt| attempt.reads)
 }
 
+/// Ends an attempt with success.
 fn serve(world: &mut World, id: RequestId, second: u32) {
-    let outcome = if is_read(world, id) { Outcome::Read } else { Outcome::Served };
+    let outcome = if is_at_reader(world, id) { Outcome::Read } else { Outcome::Served };
     world.end_with(id, outcome, u64::from(second % 700));
 }
 
-/// Ends an attempt in any way; what is not played for its stage is taken as turned away.
+/// Ends an attempt with any outcome. One that is not possible at its server counts as rejected for capacity.
 fn fail(world: &mut World, id: RequestId, second: u32) {
-    let reads = is_read(world, id);
+    let reads = is_at_reader(world, id);
     let outcome = OUTCOMES[second as usize % OUTCOMES.len()];
     let is_possible = match outcome {
         Outcome::Read | Outcome::NoState => reads,
@@ -100,6 +102,7 @@
     }
 }
 
+/// Drains, removes, restarts or readmits a server.
 fn change_server(world: &mut World, first: u32, second: u32) {
     let ids: Vec<u32> = world.list.keys().map(|id| id.0).collect();
     let now = world.now;
@@ -124,25 +127,25 @@
         mixed in any::<bool>(),
         steps in prop::collection::vec((0u8..26, any::<u32>(), any::<u32>()), 1..160),
     ) {
-        let first = play(mixed, &steps);
-        prop_assert_eq!(first, play(mixed, &steps));
+        let first = run(mixed, &steps);
+        prop_assert_eq!(first, run(mixed, &steps));
     }
 }
 
-/// Failures of all kinds, restarts of the dispatcher and of servers, in steps that a seed gives: decided as they were
-/// when this was recorded.
+/// Hashes of all actions for seeded sequences with failures of all kinds and restarts of the dispatcher and of
+/// servers. A change of the code that is not meant to change decisions must leave the hashes as they are.
 #[test]
-fn seeded_orders_of_events_are_decided_as_recorded() {
+fn seeded_sequences_of_events_lead_to_the_recorded_decisions() {
     let recorded = [13383258104366578817, 9768121777338194781, 18390634471075789233, 9561319631280990499];
     let decided = [1u32, 2, 3, 4].map(|seed| {
-        let mut lot = seed;
+        let mut lcg_state = seed;
         let mut draw = || {
-            lot = lot.wrapping_mul(1_664_525).wrapping_add(1_013_904_223);
-            lot.rotate_left(11)
+            lcg_state = lcg_state.wrapping_mul(1_664_525).wrapping_add(1_013_904_223);
+            lcg_state.rotate_left(11)
         };
         let steps: Vec<Step> = (0..600).map(|_| (draw() as u8 % 26, draw(), draw())).collect();
         let mut decisions = DecisionHash::default();
-        play(seed.is_multiple_of(2), &steps).iter().for_each(|action| decisions.action(action));
+        run(seed.is_multiple_of(2), &steps).iter().for_each(|action| decisions.action(action));
         decisions.value()
     });
     assert_eq!(decided, recorded);
--- a/crates/router/tests/written_forms.rs
+++ b/crates/router/tests/written_forms.rs
@@ -1,5 +1,6 @@
-//! What leaves the process by way of the router, as bytes: the hand-over to the process that takes its place (old and
-//! new versions read each other's), load gossip between dispatchers, and texts that operators and figures know.
+//! Compatibility of everything that the router writes for readers outside the process: the state that it hands over
+//! in a hot restart (old and new versions read each other's), the load gossip between dispatchers, and texts that
+//! operators and metrics rely on.
 
 mod common;
 
@@ -8,20 +9,21 @@
 use dewladder_router::settings::{from_key_values, SettingsError};
 use dewladder_router::{EndReason, Handover, Load, LoadUpdate};
 
-/// Written by the program as it stood before names in its code changed: it keeps the names on record.
+/// A handover written by the program before identifiers in its code were renamed. It keeps the outer names fixed.
 const HANDOVER: &str = include_str!("golden/handover.json");
-/// The same as the program writes it once it has read it: the reader of numbers is off by the last bit here and there.
+/// The same handover after the program has read it and written it again. Some numbers differ in the last bit because
+/// parsing them is not exact.
 const REWRITTEN_HANDOVER: &str = include_str!("golden/handover_rewritten.json");
-/// The same from a version without `calls_lately`.
+/// The same handover as written by a version without `calls_lately`.
 const OLDER_HANDOVER: &str = include_str!("golden/handover_without_calls_lately.json");
 
-/// Settings of a router that takes gossip.
+/// Settings of one of three dispatchers that exchange load gossip.
 fn with_gossip() -> Settings {
     Settings { peers: true, dispatcher_count: 3, ..settings() }
 }
 
-/// One turn of a session that shares a beginning, read and answered.
-fn turn(world: &mut World, id: u64, cached_tokens: u64) {
+/// Reads and answers one request of a session, mostly with a shared prefix.
+fn serve_turn(world: &mut World, id: u64, cached_tokens: u64) {
     let mut info = request_info(id, world.now);
     info.session = Some(Key(id % 5));
     info.shared = (!id.is_multiple_of(3)).then_some(Key(70 + id % 2));
@@ -35,17 +37,17 @@
     world.end(RequestId(id), Outcome::Served);
 }
 
-/// A router that has learnt of everything that it hands over: paces, rates, beginnings, texts, and one server that has
-/// forgotten what it was sent.
-fn learnt() -> World {
+/// A router with values in every part of its handover: paces, rates, sessions and shared prefixes, and a server that
+/// has evicted the prefixes that it was sent.
+fn router_with_history() -> World {
     let mut list = fleet(true);
     list[1].started = Some(900 * SECOND);
     let mut world = World::new(with_gossip(), list);
     for id in 1..16 {
-        turn(&mut world, id, 900);
+        serve_turn(&mut world, id, 900);
     }
     for id in 16..24 {
-        turn(&mut world, id, 0);
+        serve_turn(&mut world, id, 0);
     }
     let failing = world.simple(40);
     world.end(failing, Outcome::Timeout);
@@ -61,7 +63,7 @@
 
 #[test]
 fn the_handover_is_written_as_recorded() {
-    let written = serde_json::to_string(&learnt().router.export_state()).unwrap();
+    let written = serde_json::to_string(&router_with_history().router.export_state()).unwrap();
     assert_eq!(written, HANDOVER.trim_end());
 }
 
@@ -73,7 +75,7 @@
 
 #[test]
 fn a_router_that_takes_a_recorded_handover_hands_the_same_on() {
-    let old = learnt();
+    let old = router_with_history();
     let mut world = World::new(with_gossip(), old.list.values().cloned().collect());
     world.now = old.now;
     world.tell(Event::StateImported(Box::new(serde_json::from_str(HANDOVER).unwrap())));
@@ -142,7 +144,7 @@
 
 #[test]
 fn settings_that_can_not_be_read_are_refused_with_these_texts() {
-    let texts = [
+    let cases = [
         ("balancers", "many", "settings balancers: can't read 'many'"),
         ("balancers", "0", "settings balancers: 0 is not 1 to 100000"),
         ("balancers", "100001", "settings balancers: 100001 is not 1 to 100000"),
@@ -171,15 +173,15 @@
         ("domain.role_by_kind", "reads", "settings domain.role_by_kind: unknown role 'reads'"),
         ("kinds", "a,b,a", "settings kinds: 'a' is there twice"),
     ];
-    for (path, value, text) in texts {
-        assert_eq!(error(path, value).to_string(), text);
+    for (path, value, message) in cases {
+        assert_eq!(error(path, value).to_string(), message);
         assert_eq!(error(path, value).path, path);
     }
     let kind = |memory| {
         from_key_values([("kinds", "a"), ("domain.kind_memory_tokens", memory)].into_iter().collect())
     };
-    let text = "settings domain.kind_memory_tokens: 0 of kind 0 is not a positive number";
-    assert_eq!(kind("0").unwrap_err().to_string(), text);
-    let text = "settings domain.kind_memory_tokens: '1e12' is no number";
-    assert_eq!(kind("1e12").unwrap_err().to_string(), text);
+    let message = "settings domain.kind_memory_tokens: 0 of kind 0 is not a positive number";
+    assert_eq!(kind("0").unwrap_err().to_string(), message);
+    let message = "settings domain.kind_memory_tokens: '1e12' is no number";
+    assert_eq!(kind("1e12").unwrap_err().to_string(), message);
 }
