--- a/crates/chat/src/body.rs
+++ b/crates/chat/src/body.rs
@@ -1,19 +1,20 @@
-//! Request bodies: UTF-8 and JSON, with a bound on their depth.
+//! Parsing of request bodies: UTF-8 and JSON, with a bound on the nesting depth.
 
 use serde_json::Value;
 
 use crate::RequestError;
 
-/// Parses a request body: valid UTF-8, JSON, an object, and nested no deeper than `max_depth`.
+/// Parses a request body, which must be a JSON object in valid UTF-8. At most `max_depth` objects and arrays may be
+/// nested, the body itself included.
 ///
 /// # Errors
-/// What is wrong, with the place where the parser found it.
+/// `invalid_json`. For invalid UTF-8 and JSON syntax, the message gives the position of the fault.
 pub fn parse_body(body: &[u8], max_depth: usize) -> Result<Value, RequestError> {
     let text = std::str::from_utf8(body).map_err(|error| {
         let valid_up_to = error.valid_up_to();
         RequestError::invalid_json(format!("the body is not valid UTF-8 from byte {valid_up_to} on"))
     })?;
-    // Before anything is built of it: depth costs stack and memory.
+    // Checked before the JSON parser runs, because each level of nesting costs stack and memory.
     check_depth(text, max_depth)?;
     let value: Value = serde_json::from_str(text)
         .map_err(|error| RequestError::invalid_json(format!("the body is no JSON: {error}")))?;
@@ -24,6 +25,7 @@
     }
 }
 
+/// Checks the nesting depth by counting brackets outside strings, without building a value.
 fn check_depth(text: &str, max_depth: usize) -> Result<(), RequestError> {
     let mut depth = 0usize;
     let mut in_string = false;
--- a/crates/chat/src/chat_request.rs
+++ b/crates/chat/src/chat_request.rs
@@ -1,4 +1,4 @@
-//! Chat requests: `POST /v1/chat/completions`.
+//! Validation of chat requests: `POST /v1/chat/completions`.
 
 use serde_json::Value;
 
@@ -8,7 +8,7 @@
 use crate::messages::read_messages;
 use crate::request::{Limits, Request, RequestKind};
 use crate::sampling::{
-    check_common, check_service_tier, read_choices, read_max_tokens, read_model, REASONING_EFFORTS,
+    check_common_fields, check_service_tier, read_choices, read_max_tokens, read_model, REASONING_EFFORTS,
     VERBOSITIES,
 };
 use crate::tools::{check_response_format, check_tools};
@@ -16,6 +16,7 @@
 
 const MAX_TOP_LOGPROBS: u64 = 20;
 
+/// The top-level fields that the API knows, unsupported ones included; any other field is rejected as unknown.
 const KNOWN_FIELDS: [&str; 35] = [
     "messages",
     "model",
@@ -55,20 +56,20 @@
 ];
 
 impl Request {
-    /// Reads a chat request.
+    /// Validates a chat request.
     ///
     /// # Errors
-    /// The first field at fault, by its path.
+    /// The first field that fails a check.
     pub fn chat(body: Value, limits: &Limits) -> Result<Self, RequestError> {
         let fields = object(&body)?;
         reject_unknown(fields, &KNOWN_FIELDS)?;
         let model = read_model(fields)?;
-        let include_usage = check_common(fields)?;
+        let include_usage = check_common_fields(fields)?;
         let max_tokens = read_either_max_tokens(fields)?;
         let choices_per_prompt = read_choices(fields, limits.max_choices)?;
         check_logprobs(fields)?;
-        check_unserved(fields)?;
-        check_hints(fields)?;
+        check_unsupported(fields)?;
+        check_passthrough_fields(fields)?;
         check_response_format(fields)?;
         check_tools(fields)?;
         let prompt = read_messages(fields, limits.max_messages)?;
@@ -89,7 +90,7 @@
     }
 }
 
-/// The limit under its new name or its old one; both at once are refused.
+/// Reads the token limit from `max_completion_tokens` or the deprecated `max_tokens`; setting both is an error.
 fn read_either_max_tokens(fields: &Object) -> Result<Option<u64>, RequestError> {
     let new = read_max_tokens(fields, "max_completion_tokens")?;
     let old = read_max_tokens(fields, "max_tokens")?;
@@ -109,8 +110,8 @@
     flag(fields, "logprobs").map(drop)
 }
 
-/// Refuses what the published API has and this installation does not serve.
-fn check_unserved(fields: &Object) -> Result<(), RequestError> {
+/// Rejects the parts of the OpenAI API that this program does not support.
+fn check_unsupported(fields: &Object) -> Result<(), RequestError> {
     if flag(fields, "store")? {
         return Err(RequestError::unsupported("store", "chat completions are not kept"));
     }
@@ -119,8 +120,8 @@
         &[("audio", "answers are text"), ("web_search_options", "nothing is searched")],
     )?;
     let Some(modalities) = field(fields, "modalities") else { return Ok(()) };
-    for (at, value) in modalities.as_array()?.iter().enumerate() {
-        let path = format!("modalities[{at}]");
+    for (index, value) in modalities.as_array()?.iter().enumerate() {
+        let path = format!("modalities[{index}]");
         if (Field { value, path: &path }).one_of(&["text", "audio"])? != "text" {
             return Err(RequestError::unsupported(&path, "answers are text"));
         }
@@ -128,8 +129,8 @@
     Ok(())
 }
 
-/// Checks fields that servers may go by and that decide nothing here.
-fn check_hints(fields: &Object) -> Result<(), RequestError> {
+/// Checks fields that are only passed on to the servers and have no effect here.
+fn check_passthrough_fields(fields: &Object) -> Result<(), RequestError> {
     if let Some(effort) = field(fields, "reasoning_effort") {
         effort.one_of(&REASONING_EFFORTS)?;
     }
--- a/crates/chat/src/completion_request.rs
+++ b/crates/chat/src/completion_request.rs
@@ -1,12 +1,13 @@
-//! Completion requests: `POST /v1/completions`.
+//! Validation of completion requests: `POST /v1/completions`.
 
 use serde_json::Value;
 
 use crate::fields::{field, flag, object, reject_unknown, reject_unsupported, Field, Object};
 use crate::request::{Limits, Message, Request, RequestKind};
-use crate::sampling::{check_common, read_choices, read_max_tokens, read_model};
+use crate::sampling::{check_common_fields, read_choices, read_max_tokens, read_model};
 use crate::RequestError;
 
+/// The top-level fields that the API knows, unsupported ones included; any other field is rejected as unknown.
 const KNOWN_FIELDS: [&str; 18] = [
     "model",
     "prompt",
@@ -29,22 +30,22 @@
 ];
 
 impl Request {
-    /// Reads a completion request.
+    /// Validates a completion request. Each prompt becomes a chat prompt with a single user message.
     ///
     /// # Errors
-    /// The first field at fault, by its path.
+    /// The first field that fails a check.
     pub fn completion(body: Value, limits: &Limits) -> Result<Self, RequestError> {
         let fields = object(&body)?;
         reject_unknown(fields, &KNOWN_FIELDS)?;
         let model = read_model(fields)?;
-        let include_usage = check_common(fields)?;
+        let include_usage = check_common_fields(fields)?;
         let choices_per_prompt = read_choices(fields, limits.max_choices)?;
-        check_unserved(fields, limits)?;
+        check_unsupported(fields, limits)?;
         let texts = read_prompts(fields)?;
         if texts.is_empty() || texts.len() as u64 * choices_per_prompt > limits.max_choices {
             let max = limits.max_choices;
-            let wanted = format!("1 to {max} prompts, those of each choice counted");
-            return Err(RequestError::invalid_value("prompt", wanted));
+            let expected = format!("1 to {max} prompts, those of each choice counted");
+            return Err(RequestError::invalid_value("prompt", expected));
         }
         Ok(Self {
             kind: RequestKind::Completion,
@@ -63,7 +64,8 @@
     }
 }
 
-fn check_unserved(fields: &Object, limits: &Limits) -> Result<(), RequestError> {
+/// Rejects the parts of the OpenAI API that this program does not support.
+fn check_unsupported(fields: &Object, limits: &Limits) -> Result<(), RequestError> {
     let best_of =
         field(fields, "best_of").map_or(Ok(1), |best| best.integer_within(1, limits.max_choices))?;
     if best_of != 1 {
@@ -75,7 +77,7 @@
     )
 }
 
-/// The prompts: one string or several; prompts of tokens are refused.
+/// Reads `prompt`, a string or an array of strings. Prompts given as token ids are rejected.
 fn read_prompts(fields: &Object) -> Result<Vec<String>, RequestError> {
     let prompt = field(fields, "prompt").ok_or_else(|| RequestError::missing("prompt"))?;
     let items = match prompt.value {
@@ -87,8 +89,8 @@
         return Err(RequestError::unsupported("prompt", "texts are taken, not tokens"));
     }
     let mut texts = Vec::with_capacity(items.len());
-    for (at, value) in items.iter().enumerate() {
-        texts.push(Field { value, path: &format!("prompt[{at}]") }.to_text()?);
+    for (index, value) in items.iter().enumerate() {
+        texts.push(Field { value, path: &format!("prompt[{index}]") }.to_text()?);
     }
     Ok(texts)
 }
--- a/crates/chat/src/fields.rs
+++ b/crates/chat/src/fields.rs
@@ -1,43 +1,43 @@
-//! Checks of single fields of a request body. An absent field and `null` are the same throughout, as clients send
-//! either. Each check fails with the path of the field at fault.
+//! Access to single fields of a request body, with type and range checks. A field that is `null` counts as absent,
+//! because clients send either for a field that they don't set. Each error names the path of the field at fault.
 
 use serde_json::{Map, Value};
 
 use crate::RequestError;
 
-/// A JSON object.
+/// A JSON object: the body of a request, or an object within it.
 pub(crate) type Object = Map<String, Value>;
 
-/// The longest name of a function or schema (bytes).
+/// Maximum length of the name of a function or schema (bytes).
 const MAX_IDENTIFIER_BYTES: usize = 64;
-/// Bounds of `metadata`: pairs, characters of a key and characters of a value.
+/// Limits on `metadata`: the number of pairs, and the characters of a key and of a value.
 const MAX_METADATA_PAIRS: usize = 16;
 const MAX_METADATA_KEY_CHARS: usize = 64;
 const MAX_METADATA_VALUE_CHARS: usize = 512;
 
-/// A value in a body, with its path for errors.
+/// A value in a body, with the path that errors report for it, such as `messages[2].role`.
 #[derive(Clone, Copy)]
 pub(crate) struct Field<'a> {
     pub(crate) value: &'a Value,
     pub(crate) path: &'a str,
 }
 
-/// A field at the top of the body.
+/// A top-level field of the body; `None` if it is absent or `null`.
 pub(crate) fn field<'a>(body: &'a Object, name: &'a str) -> Option<Field<'a>> {
     body.get(name).filter(|value| !value.is_null()).map(|value| Field { value, path: name })
 }
 
-/// A top-level flag; absent is `false`.
+/// A top-level boolean; `false` if it is absent.
 pub(crate) fn flag(body: &Object, name: &str) -> Result<bool, RequestError> {
     field(body, name).map_or(Ok(false), Field::as_bool)
 }
 
-/// The body as an object.
+/// The body as an object, or the error of a body of another type.
 pub(crate) fn object(body: &Value) -> Result<&Object, RequestError> {
     body.as_object().ok_or_else(|| RequestError::invalid_json("the body must be an object"))
 }
 
-/// Refuses a top-level field that is not among the known ones.
+/// Rejects a top-level field that is not listed in `known`, even if its value is `null`.
 pub(crate) fn reject_unknown(body: &Object, known: &[&str]) -> Result<(), RequestError> {
     match body.keys().find(|name| !known.contains(&name.as_str())) {
         Some(name) => Err(RequestError::unknown(name)),
@@ -45,7 +45,7 @@
     }
 }
 
-/// Refuses the first of these `(name, reason)` that is present.
+/// Rejects the body if it has one of these top-level fields, each given as `(name, reason)`.
 pub(crate) fn reject_unsupported(body: &Object, unsupported: &[(&str, &str)]) -> Result<(), RequestError> {
     match unsupported.iter().find(|(name, _)| field(body, name).is_some()) {
         Some((name, reason)) => Err(RequestError::unsupported(name, reason)),
@@ -53,7 +53,7 @@
     }
 }
 
-/// Checks that each of these top-level fields that is present is a string.
+/// Checks that these top-level fields are strings where they are present.
 pub(crate) fn check_strings(body: &Object, names: &[&str]) -> Result<(), RequestError> {
     for name in names {
         if let Some(field) = field(body, name) {
@@ -76,7 +76,7 @@
         self.value.as_bool().ok_or_else(|| RequestError::invalid_type(self.path, "a boolean"))
     }
 
-    /// A whole number from `min` to `max`.
+    /// An integer from `min` to `max`, both included.
     pub(crate) fn integer_within(self, min: u64, max: u64) -> Result<u64, RequestError> {
         let number = self.value.as_u64().ok_or_else(|| match self.value {
             Value::Number(_) => {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// A number from `min` to `max`.
+    /// A number from `min` to `max`, both included.
     pub(crate) fn number_within(self, min: f64, max: f64) -> Result<f64, RequestError> {
         let number = self.value.as_f64().ok_or_else(|| RequestError::invalid_type(self.path, "a number"))?;
         if (min..=max).contains(&number) {
@@ -109,12 +109,12 @@
         self.value.as_object().ok_or_else(|| RequestError::invalid_type(self.path, "an object"))
     }
 
-    /// The same value as an object whose fields are to be checked.
+    /// The value as an object whose own fields are checked in turn.
     pub(crate) fn nested(self) -> Result<NestedObject<'a>, RequestError> {
         NestedObject::new(self.value, self.path.to_owned())
     }
 
-    /// One of the known strings.
+    /// A string that is one of `known`.
     pub(crate) fn one_of(self, known: &[&str]) -> Result<&'a str, RequestError> {
         let text = self.as_str()?;
         if known.contains(&text) {
@@ -124,7 +124,7 @@
         }
     }
 
-    /// A name of a function or schema.
+    /// The name of a function or schema: 1 to 64 letters, digits, `_` or `-`.
     pub(crate) fn identifier(self) -> Result<String, RequestError> {
         let text = self.as_str()?;
         let allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'_' | b'-');
@@ -136,7 +136,7 @@
     }
 }
 
-/// An object below the top of a body; errors name the whole path of its fields.
+/// An object nested in a body, whose fields are reported in errors by their full path.
 pub(crate) struct NestedObject<'a> {
     pub(crate) object: &'a Object,
     pub(crate) path: String,
@@ -148,12 +148,12 @@
         Ok(Self { object, path })
     }
 
-    /// The path of one of its fields.
+    /// The full path of one of the fields.
     pub(crate) fn path_of(&self, name: &str) -> String {
         format!("{}.{name}", self.path)
     }
 
-    /// Reads a field that may be absent.
+    /// Reads an optional field; `None` if it is absent or `null`.
     pub(crate) fn optional<T>(
         &self,
         name: &str,
@@ -164,7 +164,7 @@
         read(Field { value, path: &path }).map(Some)
     }
 
-    /// Reads a field that must be there.
+    /// Reads a required field.
     pub(crate) fn required<T>(
         &self,
         name: &str,
@@ -183,22 +183,22 @@
         self.required(name, |field| field.identifier())
     }
 
-    /// A string that may be absent.
+    /// An optional string.
     pub(crate) fn optional_text(&self, name: &str) -> Result<Option<String>, RequestError> {
         self.optional(name, |field| field.to_text())
     }
 
-    /// A boolean that may be absent.
+    /// An optional boolean.
     pub(crate) fn optional_bool(&self, name: &str) -> Result<Option<bool>, RequestError> {
         self.optional(name, |field| field.as_bool())
     }
 
-    /// A required string that is one of the known ones.
+    /// A required string that is one of `known`.
     pub(crate) fn required_one_of(&self, name: &str, known: &[&str]) -> Result<String, RequestError> {
         self.required(name, |field| field.one_of(known).map(str::to_owned))
     }
 
-    /// Refuses a field that is not among the known ones.
+    /// Rejects a field that is not listed in `known`, even if its value is `null`.
     pub(crate) fn reject_unknown(&self, known: &[&str]) -> Result<(), RequestError> {
         match self.object.keys().find(|name| !known.contains(&name.as_str())) {
             Some(name) => Err(RequestError::unknown(&self.path_of(name))),
@@ -207,7 +207,7 @@
     }
 }
 
-/// Checks `metadata`: up to 16 pairs of strings.
+/// Checks `metadata`: at most 16 pairs of strings, of limited length.
 pub(crate) fn check_metadata(body: &Object) -> Result<(), RequestError> {
     let Some(metadata) = field(body, "metadata") else { return Ok(()) };
     let pairs = metadata.as_object()?;
--- a/crates/chat/src/lib.rs
+++ b/crates/chat/src/lib.rs
@@ -1,15 +1,17 @@
-//! An OpenAI-style API without I/O: which requests are accepted and which are refused, by the path of the field at
-//! fault; how the events of servers become those of clients; and how a whole answer is put together from them.
+//! An OpenAI-compatible API without I/O: validation of request bodies, the request that is sent to a server for each
+//! choice, and translation of the servers' events into the client's stream or whole answer.
 //!
-//! - [`parse_body`], then [`Request::chat`], [`Request::completion`] or [`Request::response`], read a request. Each is
-//!   sent to servers as one chat request for each of its choices: [`Request::server_body`].
-//! - [`EventParser`] reads a server's stream. [`StreamWriter`] writes a client's stream from its events,
-//!   [`CollectedAnswer`] an answer without a stream.
-//! - [`ResponseStore`] keeps the responses that later requests go on from.
+//! - [`parse_body`] parses a body; [`Request::chat`], [`Request::completion`] and [`Request::response`] validate it. An
+//!   invalid request is rejected with a [`RequestError`] that names the path of the field at fault. Each choice is sent
+//!   to a server as a chat request of its own: [`Request::server_body`].
+//! - [`EventParser`] splits a server's stream into events. [`StreamWriter`] turns them into the client's stream, or
+//!   into a whole response ([`StreamWriter::response`]); [`CollectedAnswer`] builds whole chat and completion answers.
+//! - [`ResponseStore`] keeps the responses that later requests continue through `previous_response_id`.
 //!
-//! Order of the modules, lower ones first: `request_error`, `fields`, `request`; then the readers of each kind
-//! (`chat_request`, `completion_request`, `response_request`) and `server_body`; `answer_metadata`, then
-//! `collected_answer`, then `response_stream` and `stream_writer`.
+//! Modules by dependency, lowest first: `request_error`; `body`, `event_parser` and `fields`; `request`, `sampling` and
+//! `tools`; `messages`; the requests of each kind (`chat_request`, `completion_request`, `response_request`) and
+//! `server_body`. Answers: `answer_metadata`, `collected_answer`, `response_stream`, `stream_writer`. `response_store`
+//! depends on none of them.
 
 mod answer_metadata;
 mod body;
--- a/crates/chat/src/messages.rs
+++ b/crates/chat/src/messages.rs
@@ -1,4 +1,4 @@
-//! Messages of chat requests: each checked, and reduced to its role and its text.
+//! Validation of the messages of chat requests. Each is reduced to its role and text.
 
 use serde_json::Value;
 
@@ -22,17 +22,17 @@
 const OTHER_FIELDS: [&str; 3] = ["role", "content", "name"];
 const PART_TYPES: [&str; 5] = ["text", "refusal", "image_url", "input_audio", "file"];
 
-/// Reads `messages`.
+/// Reads the required field `messages`.
 pub(crate) fn read_messages(body: &Object, max_messages: usize) -> Result<Vec<Message>, RequestError> {
     let messages = field(body, "messages").ok_or_else(|| RequestError::missing("messages"))?.as_array()?;
     if messages.is_empty() || messages.len() > max_messages {
         return Err(RequestError::invalid_value("messages", format!("1 to {max_messages} messages")));
     }
     let mut prompt = Vec::with_capacity(messages.len());
-    // Ids of the last assistant message's tool calls that no tool message has answered yet.
+    // The ids of the latest assistant message's tool calls that have no tool message yet.
     let mut unanswered_calls: Vec<String> = Vec::new();
-    for (at, value) in messages.iter().enumerate() {
-        let message = NestedObject::new(value, format!("messages[{at}]"))?;
+    for (index, value) in messages.iter().enumerate() {
+        let message = NestedObject::new(value, format!("messages[{index}]"))?;
         prompt.push(read_message(&message, &mut unanswered_calls)?);
     }
     Ok(prompt)
@@ -51,7 +51,7 @@
             *unanswered_calls = read_assistant(message, content.is_some(), &mut text)?;
             return Ok(Message { role, text });
         }
-        "tool" => answer_call(message, unanswered_calls)?,
+        "tool" => check_tool_message(message, unanswered_calls)?,
         _ => message.reject_unknown(&OTHER_FIELDS)?,
     }
     if content.is_none() {
@@ -60,7 +60,7 @@
     Ok(Message { role, text })
 }
 
-/// Reads what only an assistant's message has; returns the ids of its tool calls.
+/// Checks an assistant message and appends its refusal and call arguments to `text`. Returns the ids of its tool calls.
 fn read_assistant(
     message: &NestedObject<'_>,
     has_content: bool,
@@ -81,19 +81,22 @@
     Ok(call_ids)
 }
 
-/// Checks a tool's message: it answers one of the calls before it, once.
-fn answer_call(message: &NestedObject<'_>, unanswered_calls: &mut Vec<String>) -> Result<(), RequestError> {
+/// Checks a tool message: it must answer one of the unanswered calls, which it removes from the list.
+fn check_tool_message(
+    message: &NestedObject<'_>,
+    unanswered_calls: &mut Vec<String>,
+) -> Result<(), RequestError> {
     message.reject_unknown(&TOOL_FIELDS)?;
     let id = message.required_text("tool_call_id")?;
-    let Some(at) = unanswered_calls.iter().position(|call| *call == id) else {
+    let Some(index) = unanswered_calls.iter().position(|call| *call == id) else {
         let path = message.path_of("tool_call_id");
         return Err(RequestError::invalid_value(&path, "that of a call in the assistant's message before"));
     };
-    unanswered_calls.remove(at);
+    unanswered_calls.remove(index);
     Ok(())
 }
 
-/// Appends the text of a message's content, a string or parts.
+/// Appends the text of a message's `content`, which is a string or an array of parts.
 fn append_content(content: Field<'_>, role: &str, text: &mut String) -> Result<(), RequestError> {
     let parts = match content.value {
         Value::String(plain) => {
@@ -106,8 +109,8 @@
     if parts.is_empty() {
         return Err(RequestError::invalid_value(content.path, "a string or parts, one at least"));
     }
-    for (at, part) in parts.iter().enumerate() {
-        let part = NestedObject::new(part, format!("{}[{at}]", content.path))?;
+    for (index, part) in parts.iter().enumerate() {
+        let part = NestedObject::new(part, format!("{}[{index}]", content.path))?;
         match part.required_one_of("type", &PART_TYPES)?.as_str() {
             "text" => text.push_str(&part.required_text("text")?),
             "refusal" if role == "assistant" => text.push_str(&part.required_text("refusal")?),
@@ -121,11 +124,11 @@
     Ok(())
 }
 
-/// Reads tool calls; appends their arguments to `text` and returns their ids.
+/// Checks the tool calls of an assistant message and appends their arguments to `text`. Returns their ids.
 fn read_tool_calls(calls: Field<'_>, text: &mut String) -> Result<Vec<String>, RequestError> {
     let mut ids = Vec::new();
-    for (at, call) in calls.as_array()?.iter().enumerate() {
-        let call = NestedObject::new(call, format!("{}[{at}]", calls.path))?;
+    for (index, call) in calls.as_array()?.iter().enumerate() {
+        let call = NestedObject::new(call, format!("{}[{index}]", calls.path))?;
         call.required_one_of("type", &["function"])?;
         let id = call.required_text("id")?;
         if ids.contains(&id) {
--- a/crates/chat/src/request_error.rs
+++ b/crates/chat/src/request_error.rs
@@ -1,60 +1,60 @@
-//! Why a request is refused: the error object of the published API.
+//! Request errors, in the format of the OpenAI API's error object.
 
 use serde_json::{json, Value};
 
 /// The HTTP status of every request error.
 const BAD_REQUEST: u16 = 400;
 
-/// A request that can't be served. `Display` writes the message that clients read.
+/// Why a request is rejected, or why a server's stream can't be parsed. `Display` writes the message for the client.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{message}")]
 pub struct RequestError {
-    /// The HTTP status.
+    /// The HTTP status of the answer; 400 for every error of this crate.
     pub status: u16,
-    /// The error's `code`, by which programs tell errors apart.
+    /// The error's `code`, a fixed word that clients match on, such as `invalid_type`.
     pub code: &'static str,
-    /// The field at fault, as a path: `messages[2].role`. `None` where the whole body is at fault.
+    /// The path of the field at fault, such as `messages[2].role`; `None` if the body as a whole is at fault.
     pub param: Option<String>,
-    /// The error's `message`, for people.
+    /// The error's `message`, an explanation for people.
     pub message: String,
 }
 
 impl RequestError {
-    fn at(code: &'static str, param: &str, message: String) -> Self {
+    fn for_param(code: &'static str, param: &str, message: String) -> Self {
         Self { status: BAD_REQUEST, code, param: Some(param.to_owned()), message }
     }
 
-    /// A body, or an event of a server, that can't be read.
+    /// A request body, or an event from a server, that can't be parsed.
     pub(crate) fn invalid_json(message: impl Into<String>) -> Self {
         Self { status: BAD_REQUEST, code: "invalid_json", param: None, message: message.into() }
     }
 
     /// A required field that is absent.
     pub(crate) fn missing(param: &str) -> Self {
-        Self::at("missing_required_parameter", param, format!("{param} is missing"))
+        Self::for_param("missing_required_parameter", param, format!("{param} is missing"))
     }
 
-    /// A field of another type than it must have.
-    pub(crate) fn invalid_type(param: &str, wanted: &str) -> Self {
-        Self::at("invalid_type", param, format!("{param} must be {wanted}"))
+    /// A field of the wrong JSON type. `expected` completes the sentence "the field must be ...".
+    pub(crate) fn invalid_type(param: &str, expected: &str) -> Self {
+        Self::for_param("invalid_type", param, format!("{param} must be {expected}"))
     }
 
-    /// A field of the right type, with a value that is not allowed.
-    pub(crate) fn invalid_value(param: &str, wanted: impl AsRef<str>) -> Self {
-        Self::at("invalid_value", param, format!("{param} must be {}", wanted.as_ref()))
+    /// A field of the right type with an invalid value. `expected` completes the sentence "the field must be ...".
+    pub(crate) fn invalid_value(param: &str, expected: impl AsRef<str>) -> Self {
+        Self::for_param("invalid_value", param, format!("{param} must be {}", expected.as_ref()))
     }
 
-    /// A field that the published API has, but this installation does not serve.
+    /// A field, or a value of one, that is part of the OpenAI API and that this program does not support.
     pub(crate) fn unsupported(param: &str, reason: &str) -> Self {
-        Self::at("unsupported_parameter", param, format!("{param} is not served here: {reason}"))
+        Self::for_param("unsupported_parameter", param, format!("{param} is not served here: {reason}"))
     }
 
-    /// A field that the published API does not have.
+    /// A field that is not part of the endpoint's request format.
     pub(crate) fn unknown(param: &str) -> Self {
-        Self::at("unknown_parameter", param, format!("{param} is no parameter of this request"))
+        Self::for_param("unknown_parameter", param, format!("{param} is no parameter of this request"))
     }
 
-    /// The error as the body of an HTTP response: `{"error": {"message", "type", "param", "code"}}`.
+    /// The body of the HTTP response that reports the error: `{"error": {"message", "type", "param", "code"}}`.
     #[must_use]
     pub fn envelope(&self) -> Value {
         json!({"error": {"message": self.message, "type": "invalid_request_error", "param": self.param,
--- a/crates/chat/src/response_request.rs
+++ b/crates/chat/src/response_request.rs
@@ -1,4 +1,4 @@
-//! Requests for responses: `POST /v1/responses`. Their input becomes a chat prompt.
+//! Validation of requests for responses: `POST /v1/responses`. Their input is converted to a chat prompt.
 
 use serde_json::{json, Value};
 
@@ -13,6 +13,7 @@
 use crate::tools::{check_tool_choice, ToolChoiceForm, FORMAT_TYPES};
 use crate::RequestError;
 
+/// The top-level fields that the API knows, unsupported ones included; any other field is rejected as unknown.
 const KNOWN_FIELDS: [&str; 30] = [
     "model",
     "input",
@@ -45,7 +46,7 @@
     "verbosity",
     "context_management",
 ];
-/// Fields of the published API that are refused, and why.
+/// Fields of the OpenAI API that this program does not support: `(name, reason)`.
 const UNSUPPORTED: [(&str, &str); 5] = [
     ("conversation", "go on with previous_response_id"),
     ("prompt", "no prompts are kept"),
@@ -58,16 +59,16 @@
     ["input_text", "output_text", "refusal", "input_image", "input_file", "input_audio"];
 
 impl Request {
-    /// Reads a request for a response.
+    /// Validates a request for a response.
     ///
     /// # Errors
-    /// The first field at fault, by its path.
+    /// The first field that fails a check.
     pub fn response(body: Value, limits: &Limits) -> Result<Self, RequestError> {
         let fields = object(&body)?;
         reject_unknown(fields, &KNOWN_FIELDS)?;
         let model = read_model(fields)?;
         check_sampling_ranges(fields)?;
-        check_unserved(fields)?;
+        check_unsupported(fields)?;
         check_strings(fields, &["user", "prompt_cache_key", "prompt_cache_retention", "safety_identifier"])?;
         check_metadata(fields)?;
         let stream = flag(fields, "stream")?;
@@ -93,27 +94,28 @@
         })
     }
 
-    /// Puts the items of earlier responses into the prompt, behind the instructions and before the input. Instructions
-    /// of earlier responses are not carried on, as published.
+    /// Inserts the items of the response that this request continues into the prompt, after the instructions and before
+    /// the input. An item that can't be read as a message stays out of the prompt, but is kept in the input items.
+    /// Instructions of earlier responses are not carried over, as the OpenAI API defines it.
     pub fn prepend_items(&mut self, items: &[Value]) {
         let instruction_count = self.prompts[0].len() - self.input_items.len();
-        let earlier = items.iter().filter_map(|item| read_item(item, String::new()).ok());
-        self.prompts[0].splice(instruction_count..instruction_count, earlier);
-        let mut all = items.to_vec();
-        all.append(&mut self.input_items);
-        self.input_items = all;
+        let earlier_messages = items.iter().filter_map(|item| read_item(item, String::new()).ok());
+        self.prompts[0].splice(instruction_count..instruction_count, earlier_messages);
+        let mut all_items = items.to_vec();
+        all_items.append(&mut self.input_items);
+        self.input_items = all_items;
     }
 }
 
-/// Refuses what the published API has and this installation does not serve.
-fn check_unserved(fields: &Object) -> Result<(), RequestError> {
+/// Rejects the parts of the OpenAI API that this program does not support.
+fn check_unsupported(fields: &Object) -> Result<(), RequestError> {
     reject_unsupported(fields, &UNSUPPORTED)?;
     if flag(fields, "background")? {
         return Err(RequestError::unsupported("background", "responses are made while their client waits"));
     }
     if let Some(include) = field(fields, "include") {
-        for (at, value) in include.as_array()?.iter().enumerate() {
-            Field { value, path: &format!("include[{at}]") }.as_str()?;
+        for (index, value) in include.as_array()?.iter().enumerate() {
+            Field { value, path: &format!("include[{index}]") }.as_str()?;
         }
     }
     if let Some(truncation) = field(fields, "truncation") {
@@ -156,37 +158,38 @@
 }
 
 fn check_tools(fields: &Object) -> Result<(), RequestError> {
-    let mut names = Vec::new();
+    let mut tool_names = Vec::new();
     if let Some(tools) = field(fields, "tools") {
-        for (at, tool) in tools.as_array()?.iter().enumerate() {
-            let tool = NestedObject::new(tool, format!("tools[{at}]"))?;
+        for (index, tool) in tools.as_array()?.iter().enumerate() {
+            let tool = NestedObject::new(tool, format!("tools[{index}]"))?;
             if tool.required_text("type")? != "function" {
                 return Err(RequestError::unsupported(&tool.path_of("type"), "tools are functions"));
             }
             tool.reject_unknown(&["type", "name", "description", "parameters", "strict"])?;
             tool.optional("parameters", |parameters| parameters.as_object().map(drop))?;
-            names.push(tool.required_identifier("name")?);
+            tool_names.push(tool.required_identifier("name")?);
         }
     }
     if let Some(choice) = field(fields, "tool_choice") {
-        check_tool_choice(choice, &names, ToolChoiceForm::Response)?;
+        check_tool_choice(choice, &tool_names, ToolChoiceForm::Response)?;
     }
     flag(fields, "parallel_tool_calls").map(drop)
 }
 
-/// The prompt, instructions first, and the items of the input.
+/// Reads the prompt and the input items. `instructions` becomes the first message of the prompt.
 fn read_prompt(fields: &Object, max_items: usize) -> Result<(Vec<Message>, Vec<Value>), RequestError> {
     let mut prompt = Vec::new();
     if let Some(instructions) = field(fields, "instructions") {
         prompt.push(Message { role: "developer".to_owned(), text: instructions.to_text()? });
     }
     let items = read_items(fields, max_items)?;
-    for (at, item) in items.iter().enumerate() {
-        prompt.push(read_item(item, format!("input[{at}]"))?);
+    for (index, item) in items.iter().enumerate() {
+        prompt.push(read_item(item, format!("input[{index}]"))?);
     }
     Ok((prompt, items))
 }
 
+/// Reads `input`. A string becomes a single user message.
 fn read_items(fields: &Object, max_items: usize) -> Result<Vec<Value>, RequestError> {
     let input = field(fields, "input").ok_or_else(|| RequestError::missing("input"))?;
     match input.value {
@@ -199,7 +202,7 @@
     }
 }
 
-/// Reads an item of the input as a message.
+/// Converts an input item to a message; `path` is its path for errors.
 fn read_item(item: &Value, path: String) -> Result<Message, RequestError> {
     let item = NestedObject::new(item, path)?;
     let item_type = item.optional_text("type")?;
@@ -225,7 +228,7 @@
     }
 }
 
-/// The text of an item's content, a string or parts.
+/// The text of an item's `content`, which is a string or an array of parts.
 fn content_text(content: Field<'_>) -> Result<String, RequestError> {
     let parts = match content.value {
         Value::String(text) => return Ok(text.clone()),
@@ -233,8 +236,8 @@
         _ => return Err(RequestError::invalid_type(content.path, "a string or an array of parts")),
     };
     let mut text = String::new();
-    for (at, part) in parts.iter().enumerate() {
-        let part = NestedObject::new(part, format!("{}[{at}]", content.path))?;
+    for (index, part) in parts.iter().enumerate() {
+        let part = NestedObject::new(part, format!("{}[{index}]", content.path))?;
         match part.required_one_of("type", &PART_TYPES)?.as_str() {
             "input_text" | "output_text" => text.push_str(&part.required_text("text")?),
             "refusal" => text.push_str(&part.required_text("refusal")?),
--- a/crates/chat/src/sampling.rs
+++ b/crates/chat/src/sampling.rs
@@ -1,11 +1,12 @@
-//! Fields that several kinds of requests have: the model, limits on tokens, and how tokens are drawn.
+//! Fields that several kinds of requests share: the model, the token limit, the sampling parameters, stop strings and
+//! stream options.
 
 use serde_json::Value;
 
 use crate::fields::{field, flag, Field, NestedObject, Object};
 use crate::RequestError;
 
-/// Numbers that say how tokens are drawn: `(name, min, max)`.
+/// Sampling parameters and their ranges: `(name, min, max)`, bounds included.
 const SAMPLING_RANGES: [(&str, f64, f64); 4] = [
     ("temperature", 0.0, 2.0),
     ("top_p", 0.0, 1.0),
@@ -17,13 +18,13 @@
 const MAX_STOP_STRINGS: usize = 4;
 const MAX_LOGIT_BIAS: f64 = 100.0;
 
-/// The values of `reasoning_effort`, and of `reasoning.effort` in a response.
+/// The allowed values of `reasoning_effort`, and of `reasoning.effort` in a request for a response.
 pub(crate) const REASONING_EFFORTS: [&str; 6] = ["none", "minimal", "low", "medium", "high", "xhigh"];
-/// The values of `verbosity`.
+/// The allowed values of `verbosity`.
 pub(crate) const VERBOSITIES: [&str; 3] = ["low", "medium", "high"];
 const SERVICE_TIERS: [&str; 5] = ["auto", "default", "flex", "scale", "priority"];
 
-/// Reads `model`.
+/// Reads the required field `model`.
 pub(crate) fn read_model(body: &Object) -> Result<String, RequestError> {
     let model = field(body, "model").ok_or_else(|| RequestError::missing("model"))?.as_str()?;
     if model.is_empty() || model.len() > MAX_MODEL_BYTES {
@@ -32,17 +33,17 @@
     Ok(model.to_owned())
 }
 
-/// Reads a limit on the tokens of an answer.
+/// Reads the limit on output tokens from the field `name`, which differs between the endpoints.
 pub(crate) fn read_max_tokens(body: &Object, name: &str) -> Result<Option<u64>, RequestError> {
     field(body, name).map(|field| field.integer_within(1, MAX_TOKENS)).transpose()
 }
 
-/// Reads `n`, the choices for each prompt.
+/// Reads `n`, the number of choices for each prompt; 1 if it is absent.
 pub(crate) fn read_choices(body: &Object, max_choices: u64) -> Result<u64, RequestError> {
     field(body, "n").map_or(Ok(1), |n| n.integer_within(1, max_choices))
 }
 
-/// Checks the numbers that say how tokens are drawn.
+/// Checks the ranges of the sampling parameters.
 pub(crate) fn check_sampling_ranges(body: &Object) -> Result<(), RequestError> {
     for (name, min, max) in SAMPLING_RANGES {
         if let Some(field) = field(body, name) {
@@ -52,7 +53,7 @@
     Ok(())
 }
 
-/// Checks `service_tier`.
+/// Checks `service_tier`. There is only one tier, so `auto` and `default` are the only supported values.
 pub(crate) fn check_service_tier(body: &Object) -> Result<(), RequestError> {
     let Some(tier) = field(body, "service_tier") else { return Ok(()) };
     match tier.one_of(&SERVICE_TIERS)? {
@@ -61,8 +62,8 @@
     }
 }
 
-/// Checks what chat and completion requests have in common; whether the stream is to report the usage.
-pub(crate) fn check_common(body: &Object) -> Result<bool, RequestError> {
+/// Checks the fields that chat and completion requests share. Returns whether the stream reports the token usage.
+pub(crate) fn check_common_fields(body: &Object) -> Result<bool, RequestError> {
     check_sampling_ranges(body)?;
     if let Some(seed) = field(body, "seed") {
         seed.value.as_i64().ok_or_else(|| RequestError::invalid_type("seed", "a whole number"))?;
@@ -80,8 +81,8 @@
     match stop.value {
         Value::String(_) => Ok(()),
         Value::Array(strings) if (1..=MAX_STOP_STRINGS).contains(&strings.len()) => {
-            for (at, value) in strings.iter().enumerate() {
-                Field { value, path: &format!("stop[{at}]") }.as_str()?;
+            for (index, value) in strings.iter().enumerate() {
+                Field { value, path: &format!("stop[{index}]") }.as_str()?;
             }
             Ok(())
         }
@@ -99,6 +100,7 @@
     Ok(())
 }
 
+/// Reads `stream_options.include_usage`. Stream options are only allowed in a request for a stream.
 fn read_include_usage(body: &Object) -> Result<bool, RequestError> {
     let stream = flag(body, "stream")?;
     let Some(options) = field(body, "stream_options") else { return Ok(false) };
--- a/crates/chat/src/tools.rs
+++ b/crates/chat/src/tools.rs
@@ -1,4 +1,4 @@
-//! Tools that a model may call, the choice among them, and the format of answers.
+//! Validation of the tools that a model may call, of the choice among them, and of `response_format`.
 
 use serde_json::Value;
 
@@ -6,15 +6,15 @@
 use crate::RequestError;
 
 const MAX_TOOLS: usize = 128;
-/// The types of `response_format`, and of `text.format` in a response.
+/// The allowed types of `response_format`, and of `text.format` in a request for a response.
 pub(crate) const FORMAT_TYPES: [&str; 3] = ["text", "json_object", "json_schema"];
 
-/// Where a `tool_choice` object names its function.
+/// Where a `tool_choice` object holds the name of the function.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ToolChoiceForm {
-    /// In `function.name`, as chat requests do.
+    /// In `function.name`: chat requests.
     Chat,
-    /// In `name`, as requests for responses do.
+    /// In `name`: requests for responses.
     Response,
 }
 
@@ -34,44 +34,45 @@
     })
 }
 
-/// Checks a chat request's tools, the choice of one, and whether several may be called at once.
+/// Checks the tool fields of a chat request: `tools`, `tool_choice`, `parallel_tool_calls` and the deprecated
+/// `functions` and `function_call`.
 pub(crate) fn check_tools(body: &Object) -> Result<(), RequestError> {
-    let names = read_tool_names(body)?;
+    let tool_names = read_tool_names(body)?;
     let parallel = field(body, "parallel_tool_calls").map(Field::as_bool).transpose()?;
-    if parallel.is_some() && names.is_empty() {
+    if parallel.is_some() && tool_names.is_empty() {
         return Err(RequestError::invalid_value("parallel_tool_calls", "absent without tools"));
     }
     if let Some(choice) = field(body, "tool_choice") {
-        check_tool_choice(choice, &names, ToolChoiceForm::Chat)?;
+        check_tool_choice(choice, &tool_names, ToolChoiceForm::Chat)?;
     }
-    check_function_call(body, &names)
+    check_function_call(body, &tool_names)
 }
 
-/// The names of all tools and, under their old name, functions.
+/// Checks `tools` and its deprecated form `functions`. Returns the names of all functions in them.
 fn read_tool_names(body: &Object) -> Result<Vec<String>, RequestError> {
-    let mut names = Vec::new();
+    let mut tool_names = Vec::new();
     if let Some(tools) = field(body, "tools") {
         let tools = tools.as_array()?;
         if tools.is_empty() || tools.len() > MAX_TOOLS {
             return Err(RequestError::invalid_value("tools", "1 to 128 tools"));
         }
-        for (at, tool) in tools.iter().enumerate() {
-            let tool = NestedObject::new(tool, format!("tools[{at}]"))?;
+        for (index, tool) in tools.iter().enumerate() {
+            let tool = NestedObject::new(tool, format!("tools[{index}]"))?;
             if tool.required_one_of("type", &["function", "custom"])? == "custom" {
                 return Err(RequestError::unsupported(&tool.path_of("type"), "tools are functions"));
             }
-            names.push(tool.required("function", read_function)?);
+            tool_names.push(tool.required("function", read_function)?);
         }
     }
     if let Some(functions) = field(body, "functions") {
-        for (at, value) in functions.as_array()?.iter().enumerate() {
-            names.push(read_function(Field { value, path: &format!("functions[{at}]") })?);
+        for (index, value) in functions.as_array()?.iter().enumerate() {
+            tool_names.push(read_function(Field { value, path: &format!("functions[{index}]") })?);
         }
     }
-    Ok(names)
+    Ok(tool_names)
 }
 
-/// Checks a function's description; returns its name.
+/// Checks the definition of a function. Returns its name.
 fn read_function(function: Field<'_>) -> Result<String, RequestError> {
     let function = function.nested()?;
     function.reject_unknown(&["name", "description", "parameters", "strict"])?;
@@ -81,15 +82,15 @@
     function.required_identifier("name")
 }
 
-/// Checks `tool_choice` against the names of the tools.
+/// Checks `tool_choice`, which may only name one of the tools in the request.
 pub(crate) fn check_tool_choice(
     choice: Field<'_>,
-    names: &[String],
+    tool_names: &[String],
     form: ToolChoiceForm,
 ) -> Result<(), RequestError> {
     if let Value::String(text) = choice.value {
         choice.one_of(&["none", "auto", "required"])?;
-        if names.is_empty() && text == "required" {
+        if tool_names.is_empty() && text == "required" {
             return Err(RequestError::invalid_value("tool_choice", "absent without tools"));
         }
         return Ok(());
@@ -104,21 +105,21 @@
         }
         ToolChoiceForm::Response => (choice.required_identifier("name")?, "tool_choice.name"),
     };
-    if names.contains(&name) {
+    if tool_names.contains(&name) {
         Ok(())
     } else {
         Err(RequestError::invalid_value(path, "that of a tool"))
     }
 }
 
-/// Checks `function_call`, the old name of `tool_choice`.
-fn check_function_call(body: &Object, names: &[String]) -> Result<(), RequestError> {
+/// Checks `function_call`, the deprecated form of `tool_choice`.
+fn check_function_call(body: &Object, tool_names: &[String]) -> Result<(), RequestError> {
     let Some(choice) = field(body, "function_call") else { return Ok(()) };
     if choice.value.is_string() {
         return choice.one_of(&["none", "auto"]).map(drop);
     }
     let name = choice.nested()?.required_identifier("name")?;
-    if names.contains(&name) {
+    if tool_names.contains(&name) {
         Ok(())
     } else {
         Err(RequestError::invalid_value("function_call.name", "that of a function"))
