--- a/crates/chat/src/collected_answer.rs
+++ b/crates/chat/src/collected_answer.rs
@@ -1,4 +1,4 @@
-//! A whole answer, put together from the events of its choices.
+//! Collects the events of all choices into a whole chat or completion answer.
 
 use std::collections::BTreeMap;
 
@@ -6,10 +6,10 @@
 
 use crate::answer_metadata::AnswerMetadata;
 
-/// What a token's log probabilities are counted as, as they are not measured (bytes).
-const LOGPROB_BYTES: usize = 64;
+/// The size that is counted for the log probabilities of one token, since their actual size is not measured (bytes).
+const LOGPROB_ENTRY_BYTES: usize = 64;
 
-/// A tool call, its arguments joined from pieces.
+/// A tool call, whose strings arrive in pieces and are concatenated.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ToolCall {
     pub(crate) id: String,
@@ -17,18 +17,18 @@
     pub(crate) arguments: String,
 }
 
-/// One choice as far as it has come.
+/// One choice, as far as it has arrived.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Choice {
     pub(crate) content: String,
     pub(crate) refusal: Option<String>,
-    /// By the index that the server gives them, in whatever order pieces come.
+    /// By the index that the server gives each call; pieces of different calls may arrive interleaved.
     pub(crate) tool_calls: BTreeMap<u64, ToolCall>,
     pub(crate) logprobs: Option<Vec<Value>>,
     pub(crate) finish_reason: Option<String>,
 }
 
-/// Tokens that servers reported, summed over all choices.
+/// The token counts that servers reported, summed over all choices.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct UsageTotal {
     prompt_tokens: u64,
@@ -36,12 +36,12 @@
     cached_tokens: u64,
 }
 
-/// The usage of an answer; nothing until a server has reported some.
+/// The token usage of an answer; `None` until a server has reported any.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Usage(Option<UsageTotal>);
 
 impl Usage {
-    /// Adds what an event reports, if it does.
+    /// Adds the `usage` of an event; anything but an object is ignored.
     pub(crate) fn add(&mut self, usage: &Value) {
         if !usage.is_object() {
             return;
@@ -53,7 +53,7 @@
         total.cached_tokens += tokens(&usage["prompt_tokens_details"]["cached_tokens"]);
     }
 
-    /// The `usage` of a chat or completion answer; `null` where none was reported.
+    /// The `usage` of a chat or completion answer; `null` if none was reported.
     pub(crate) fn to_json(self) -> Value {
         let Some(UsageTotal { prompt_tokens, completion_tokens, cached_tokens }) = self.0 else {
             return Value::Null;
@@ -63,7 +63,7 @@
             "prompt_tokens_details": {"cached_tokens": cached_tokens}})
     }
 
-    /// The `usage` of a response; `null` where none was reported.
+    /// The `usage` of a response; `null` if none was reported.
     pub(crate) fn to_response_json(self) -> Value {
         let Some(UsageTotal { prompt_tokens, completion_tokens, cached_tokens }) = self.0 else {
             return Value::Null;
@@ -74,7 +74,7 @@
     }
 }
 
-/// An answer as it comes together.
+/// An answer that is collected from the events of its choices.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CollectedAnswer {
     pub(crate) choices: BTreeMap<usize, Choice>,
@@ -83,7 +83,7 @@
 }
 
 impl CollectedAnswer {
-    /// Takes in a server's event of a choice.
+    /// Adds a server's event for the choice with this index.
     pub fn push(&mut self, choice: usize, event: &Value) {
         self.usage.add(&event["usage"]);
         let piece = &event["choices"][0];
@@ -94,13 +94,14 @@
         self.text_bytes += choice.push(piece);
     }
 
-    /// Bytes of text that it holds.
+    /// The bytes of text and tool calls collected so far, with an estimate for log probabilities. Callers use it to
+    /// limit the size of an answer.
     #[must_use]
     pub fn text_bytes(&self) -> usize {
         self.text_bytes
     }
 
-    /// The answer to a chat request.
+    /// The answer to a chat request, as far as it has been collected.
     #[must_use]
     pub fn chat(&self, metadata: &AnswerMetadata) -> Value {
         let choices: Vec<Value> =
@@ -110,7 +111,8 @@
             "usage": self.usage.to_json()})
     }
 
-    /// The answer to a completion request; `echo` gives what stands before each choice's text.
+    /// The answer to a completion request, as far as it has been collected. `echo` returns the text to put before that
+    /// of the choice with the given index.
     #[must_use]
     pub fn completion(&self, metadata: &AnswerMetadata, echo: impl Fn(usize) -> String) -> Value {
         let to_json = |(index, choice): (&usize, &Choice)| {
@@ -125,7 +127,7 @@
 }
 
 impl Choice {
-    /// Takes in a piece of this choice; returns the bytes of text that it brought.
+    /// Adds the choice of a server's event. Returns the bytes that it adds to [`CollectedAnswer::text_bytes`].
     fn push(&mut self, piece: &Value) -> usize {
         let mut bytes = 0;
         let delta = &piece["delta"];
@@ -140,7 +142,7 @@
         bytes += self.push_tool_calls(&delta["tool_calls"]);
         if let Some(tokens) = piece["logprobs"]["content"].as_array() {
             self.logprobs.get_or_insert_default().extend(tokens.iter().cloned());
-            bytes += LOGPROB_BYTES * tokens.len();
+            bytes += LOGPROB_ENTRY_BYTES * tokens.len();
         }
         if let Some(reason) = piece["finish_reason"].as_str() {
             self.finish_reason = Some(reason.to_owned());
@@ -148,10 +150,11 @@
         bytes
     }
 
+    /// Adds the `tool_calls` of a delta. Returns the bytes of text in them.
     fn push_tool_calls(&mut self, pieces: &Value) -> usize {
         let mut bytes = 0;
-        for (at, piece) in pieces.as_array().into_iter().flatten().enumerate() {
-            let call = self.tool_calls.entry(tool_call_index(piece, at)).or_default();
+        for (fallback_index, piece) in pieces.as_array().into_iter().flatten().enumerate() {
+            let call = self.tool_calls.entry(tool_call_index(piece, fallback_index)).or_default();
             for (text, joined) in [
                 (&piece["id"], &mut call.id),
                 (&piece["function"]["name"], &mut call.name),
@@ -181,7 +184,7 @@
     }
 }
 
-/// The index that a server gave a tool call, or its place in the event.
-pub(crate) fn tool_call_index(piece: &Value, at: usize) -> u64 {
-    piece["index"].as_u64().unwrap_or(at as u64)
+/// The index that the server gives a tool call in `piece`, or else `fallback_index`: its position in the event.
+pub(crate) fn tool_call_index(piece: &Value, fallback_index: usize) -> u64 {
+    piece["index"].as_u64().unwrap_or(fallback_index as u64)
 }
--- a/crates/chat/src/event_parser.rs
+++ b/crates/chat/src/event_parser.rs
@@ -1,36 +1,36 @@
-//! Server-sent events as servers send them: whole events out of pieces of any size.
+//! Incremental parser for the server-sent events of a server's stream.
 
 use serde_json::Value;
 
 use crate::RequestError;
 
-/// An event that has not come whole may hold so many bytes.
+/// Limit on the buffer of an event whose end has not arrived yet (bytes).
 const MAX_PARTIAL_BYTES: usize = 1 << 20;
-/// What ends an event.
+/// The separator between events.
 const BLANK_LINE: &[u8] = b"\n\n";
 
-/// What a server's stream brings.
+/// An event of a server's stream.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServerEvent {
-    /// An event with JSON data.
+    /// The JSON data of an event.
     Data(Value),
-    /// `[DONE]`.
+    /// `[DONE]`, which marks the end of a complete stream.
     Done,
 }
 
-/// Splits one server's stream into events.
+/// Splits one server's stream, which arrives in pieces of any size, into events.
 #[derive(Debug, Default)]
 pub struct EventParser {
-    /// Bytes behind the last whole event.
+    /// Bytes received after the last complete event.
     partial: Vec<u8>,
 }
 
 impl EventParser {
-    /// Takes in a piece of the stream and appends the events that are whole by now to `events`. Comments are dropped:
-    /// they are load reports of servers, and no business of clients.
+    /// Adds a piece of the stream and appends the events that it completes to `events`. Comments are dropped, because
+    /// servers use them for load reports, which clients must not see.
     ///
     /// # Errors
-    /// An event whose data is no JSON, or that is longer than 1 MiB.
+    /// An event whose data is not JSON, or an incomplete event of more than 1 MiB.
     pub fn push(&mut self, piece: &[u8], events: &mut Vec<ServerEvent>) -> Result<(), RequestError> {
         self.partial.extend_from_slice(piece);
         let mut start = 0;
@@ -45,10 +45,10 @@
         Ok(())
     }
 
-    /// The stream has ended: appends what was not followed by a blank line.
+    /// Ends the stream and appends a last event that no blank line follows, if there is one.
     ///
     /// # Errors
-    /// An event whose data is no JSON.
+    /// An event whose data is not JSON.
     pub fn finish(&mut self, events: &mut Vec<ServerEvent>) -> Result<(), RequestError> {
         parse_event(&std::mem::take(&mut self.partial), events)
     }
@@ -59,7 +59,7 @@
 }
 
 fn parse_event(event: &[u8], events: &mut Vec<ServerEvent>) -> Result<(), RequestError> {
-    match data_of(event).as_slice() {
+    match event_data(event).as_slice() {
         [] => {}
         b"[DONE]" => events.push(ServerEvent::Done),
         data => {
@@ -71,8 +71,8 @@
     Ok(())
 }
 
-/// The data lines of an event, joined by line feeds.
-fn data_of(event: &[u8]) -> Vec<u8> {
+/// The `data:` lines of an event, joined by line feeds; empty if it has none.
+fn event_data(event: &[u8]) -> Vec<u8> {
     let mut data = Vec::new();
     for line in event.split(|&byte| byte == b'\n') {
         let line = line.strip_suffix(b"\r").unwrap_or(line);
--- a/crates/chat/src/response_stream.rs
+++ b/crates/chat/src/response_stream.rs
@@ -1,4 +1,4 @@
-//! The stream of a response: its typed events, numbered, with items that begin and end.
+//! The stream of a response: typed, numbered events, in which each output item is added, filled by deltas and finished.
 
 use serde_json::{json, Value};
 
@@ -6,15 +6,15 @@
 use crate::collected_answer::{tool_call_index, Choice, CollectedAnswer};
 use crate::request::Request;
 
-/// An item of the output, in the order in which items began: its place is its `output_index`.
+/// An item of the output.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum OutputItem {
     Message,
-    /// By the index that the server gave the call.
+    /// The tool call with this index in the server's events.
     FunctionCall(u64),
 }
 
-/// The published statuses of a response.
+/// The value of `status` in a response object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Status {
     InProgress,
@@ -34,25 +34,26 @@
     }
 }
 
-/// Writes the events of one response.
+/// Writes the event stream of one response.
 #[derive(Debug)]
 pub(crate) struct ResponseStream {
     metadata: AnswerMetadata,
-    /// Fields of the request that the response repeats: all but its input.
+    /// The fields of the request that response objects may repeat: all but `input`.
     settings: Value,
     next_sequence_number: u64,
+    /// The output items in the order in which they were added; an item's position is its `output_index`.
     items: Vec<OutputItem>,
-    /// Text and calls, which the last events repeat.
+    /// The text and tool calls so far, which the last events repeat as a whole.
     collected: CollectedAnswer,
 }
 
 impl ResponseStream {
     pub(crate) fn new(request: &Request, metadata: AnswerMetadata) -> Self {
-        // Guards memory: inputs held for as long as streams last would add up.
+        // `input` is not kept: inputs held for as long as their streams last would add up to a lot of memory.
         let settings = match request.body.as_object() {
             Some(fields) => {
-                let kept = fields.iter().filter(|(name, _)| *name != "input");
-                kept.map(|(name, value)| (name.clone(), value.clone())).collect()
+                let repeated = fields.iter().filter(|(name, _)| *name != "input");
+                repeated.map(|(name, value)| (name.clone(), value.clone())).collect()
             }
             None => Value::Null,
         };
@@ -65,81 +66,82 @@
         }
     }
 
-    /// The first events, before a server has sent anything.
+    /// The events that start the stream, before any event of a server.
     pub(crate) fn open(&mut self) -> String {
-        let mut text = String::new();
+        let mut out = String::new();
         for event_type in ["response.created", "response.in_progress"] {
             let response = self.response(Status::InProgress);
-            self.write_event(&mut text, event_type, json!({"response": response}));
+            self.write_event(&mut out, event_type, json!({"response": response}));
         }
-        text
+        out
     }
 
-    /// The events that follow from a server's event.
+    /// Translates a server's event into events of the response.
     pub(crate) fn event(&mut self, event: &Value) -> String {
-        let mut text = String::new();
+        let mut out = String::new();
         let delta = &event["choices"][0]["delta"];
         if let Some(piece) = delta["content"].as_str().filter(|piece| !piece.is_empty()) {
-            self.write_text(&mut text, piece);
+            self.write_text_delta(&mut out, piece);
         }
-        for (at, piece) in delta["tool_calls"].as_array().into_iter().flatten().enumerate() {
-            self.write_tool_call(&mut text, tool_call_index(piece, at), piece);
+        for (fallback_index, piece) in delta["tool_calls"].as_array().into_iter().flatten().enumerate() {
+            self.write_tool_call_delta(&mut out, tool_call_index(piece, fallback_index), piece);
         }
         self.collected.push(0, event);
-        text
+        out
     }
 
-    /// The last events of a response that has come whole.
+    /// The events that end a complete response: those that finish each item, then that of the final status.
     pub(crate) fn close(&mut self) -> String {
-        let mut text = String::new();
+        let mut out = String::new();
         for (output_index, (kind, item)) in self.finished_items().into_iter().enumerate() {
-            self.write_item_end(&mut text, output_index, kind, item);
+            self.write_item_done(&mut out, output_index, kind, item);
         }
-        let status = self.end_status();
+        let status = self.final_status();
         let response = self.response(status);
         let event_type = format!("response.{}", status.as_str());
-        self.write_event(&mut text, &event_type, json!({"response": response}));
-        text
+        self.write_event(&mut out, &event_type, json!({"response": response}));
+        out
     }
 
-    /// The last event of a response whose servers broke off.
+    /// The event that ends a response whose server failed.
     pub(crate) fn fail(&mut self, message: &str) -> String {
-        let mut text = String::new();
+        let mut out = String::new();
         let mut response = self.response(Status::Failed);
         response["error"] = json!({"code": "server_error", "message": message});
-        self.write_event(&mut text, "response.failed", json!({"response": response}));
-        text
+        self.write_event(&mut out, "response.failed", json!({"response": response}));
+        out
     }
 
-    /// The whole response of what has come.
+    /// The finished response, built from all events so far.
     pub(crate) fn finished_response(&self) -> Value {
-        self.response(self.end_status())
+        self.response(self.final_status())
     }
 
-    /// Items of the output, in the order in which they began.
+    /// The output items, in the order in which they were added.
     pub(crate) fn output(&self) -> Vec<Value> {
         self.finished_items().into_iter().map(|(_, item)| item).collect()
     }
 
-    /// Bytes that are held of the request.
+    /// The bytes of the request that are held.
     pub(crate) fn request_bytes(&self) -> usize {
         self.settings.to_string().len()
     }
 
-    /// Bytes of the answer's text that are held.
+    /// The bytes of the answer that are held.
     pub(crate) fn text_bytes(&self) -> usize {
         self.collected.text_bytes()
     }
 
-    fn write_event(&mut self, text: &mut String, event_type: &str, mut fields: Value) {
+    /// Appends an event of this type to `out`, with the next sequence number.
+    fn write_event(&mut self, out: &mut String, event_type: &str, mut fields: Value) {
         fields["type"] = json!(event_type);
         fields["sequence_number"] = json!(self.next_sequence_number);
         self.next_sequence_number += 1;
-        text.push_str(&format!("event: {event_type}\ndata: {fields}\n\n"));
+        out.push_str(&format!("event: {event_type}\ndata: {fields}\n\n"));
     }
 
-    /// The `output_index` of an item, and whether it begins with this.
-    fn index_of(&mut self, item: OutputItem) -> (usize, bool) {
+    /// The `output_index` of an item, and whether the item is new; a new item is appended to the output.
+    fn output_index_of(&mut self, item: OutputItem) -> (usize, bool) {
         if let Some(index) = self.items.iter().position(|known| *known == item) {
             return (index, false);
         }
@@ -155,60 +157,63 @@
         format!("fc_{}_{index}", self.metadata.id)
     }
 
-    fn write_text(&mut self, text: &mut String, piece: &str) {
+    /// Appends a delta of the message's text to `out`, after the events that add the message if it is new.
+    fn write_text_delta(&mut self, out: &mut String, piece: &str) {
         let item_id = self.message_id();
-        let (output_index, begins) = self.index_of(OutputItem::Message);
-        if begins {
+        let (output_index, is_new) = self.output_index_of(OutputItem::Message);
+        if is_new {
             let item = json!({"id": item_id, "type": "message", "status": "in_progress", "role": "assistant",
                 "content": []});
             let added = json!({"output_index": output_index, "item": item});
-            self.write_event(text, "response.output_item.added", added);
+            self.write_event(out, "response.output_item.added", added);
             let part = json!({"type": "output_text", "text": "", "annotations": [], "logprobs": []});
             let added = json!({"item_id": item_id, "output_index": output_index, "content_index": 0,
                 "part": part});
-            self.write_event(text, "response.content_part.added", added);
+            self.write_event(out, "response.content_part.added", added);
         }
         let delta = json!({"item_id": item_id, "output_index": output_index, "content_index": 0,
             "delta": piece, "logprobs": []});
-        self.write_event(text, "response.output_text.delta", delta);
+        self.write_event(out, "response.output_text.delta", delta);
     }
 
-    fn write_tool_call(&mut self, text: &mut String, index: u64, piece: &Value) {
+    /// Appends a delta of a function call to `out`, after the event that adds the call if it is new.
+    fn write_tool_call_delta(&mut self, out: &mut String, index: u64, piece: &Value) {
         let item_id = self.function_call_id(index);
-        let (output_index, begins) = self.index_of(OutputItem::FunctionCall(index));
-        if begins {
+        let (output_index, is_new) = self.output_index_of(OutputItem::FunctionCall(index));
+        if is_new {
             let item = json!({"id": item_id, "type": "function_call", "status": "in_progress",
                 "call_id": piece["id"], "name": piece["function"]["name"], "arguments": ""});
             let added = json!({"output_index": output_index, "item": item});
-            self.write_event(text, "response.output_item.added", added);
+            self.write_event(out, "response.output_item.added", added);
         }
         let arguments = piece["function"]["arguments"].as_str().unwrap_or("");
         if !arguments.is_empty() {
             let delta = json!({"item_id": item_id, "output_index": output_index, "delta": arguments});
-            self.write_event(text, "response.function_call_arguments.delta", delta);
+            self.write_event(out, "response.function_call_arguments.delta", delta);
         }
     }
 
-    fn write_item_end(&mut self, text: &mut String, output_index: usize, kind: OutputItem, item: Value) {
+    /// Appends the events that finish an item to `out`.
+    fn write_item_done(&mut self, out: &mut String, output_index: usize, kind: OutputItem, item: Value) {
         let item_id = item["id"].clone();
         match kind {
             OutputItem::FunctionCall(_) => {
                 let done = json!({"item_id": item_id, "output_index": output_index, "name": item["name"],
                     "arguments": item["arguments"]});
-                self.write_event(text, "response.function_call_arguments.done", done);
+                self.write_event(out, "response.function_call_arguments.done", done);
             }
             OutputItem::Message => {
                 let part = item["content"][0].clone();
                 let done = json!({"item_id": item_id, "output_index": output_index, "content_index": 0,
                     "text": part["text"], "logprobs": []});
-                self.write_event(text, "response.output_text.done", done);
+                self.write_event(out, "response.output_text.done", done);
                 let done = json!({"item_id": item_id, "output_index": output_index, "content_index": 0,
                     "part": part});
-                self.write_event(text, "response.content_part.done", done);
+                self.write_event(out, "response.content_part.done", done);
             }
         }
         let done = json!({"output_index": output_index, "item": item});
-        self.write_event(text, "response.output_item.done", done);
+        self.write_event(out, "response.output_item.done", done);
     }
 
     fn finished_items(&self) -> Vec<(OutputItem, Value)> {
@@ -234,8 +239,8 @@
         }
     }
 
-    /// How the response ends, by why the server's answer did.
-    fn end_status(&self) -> Status {
+    /// The final status of the response, by the server's `finish_reason`.
+    fn final_status(&self) -> Status {
         let choice = self.collected.choices.values().next();
         match choice.and_then(|choice| choice.finish_reason.as_deref()) {
             Some("length" | "content_filter") => Status::Incomplete,
@@ -243,7 +248,7 @@
         }
     }
 
-    /// The response object: with its output and usage once it has ended.
+    /// The response object. It has output and usage only if it is completed or incomplete.
     fn response(&self, status: Status) -> Value {
         let settings = &self.settings;
         let setting_or = |name: &str, default: Value| {
--- a/crates/chat/src/stream_writer.rs
+++ b/crates/chat/src/stream_writer.rs
@@ -1,4 +1,4 @@
-//! A client's stream, written from the events of servers.
+//! Writes a client's stream from the events of the servers.
 
 use serde_json::{json, Value};
 
@@ -7,10 +7,10 @@
 use crate::request::{Request, RequestKind};
 use crate::response_stream::ResponseStream;
 
-/// What ends a whole stream of chunks.
+/// The last event of a complete stream of chunks.
 const DONE: &str = "data: [DONE]\n\n";
 
-/// Writes the stream of one request, whatever its kind.
+/// Writes the stream that answers one request, in the format of the request's endpoint.
 #[derive(Debug)]
 pub struct StreamWriter {
     format: StreamFormat,
@@ -22,21 +22,22 @@
     Response(Box<ResponseStream>),
 }
 
-/// A stream of chunks, as chat and completion requests are answered.
+/// The stream of chunks that answers a chat or completion request.
 #[derive(Debug)]
 struct ChunkStream {
     metadata: AnswerMetadata,
     kind: RequestKind,
     include_usage: bool,
-    /// The prompt of each choice, where choices begin with it.
+    /// The prompt of each choice, by index, if choices start with their prompt; empty otherwise.
     echo: Vec<String>,
-    /// Choices of which something has been written.
-    begun: Vec<bool>,
+    /// For each choice, whether a chunk of it has been written.
+    started: Vec<bool>,
     usage: Usage,
 }
 
 impl StreamWriter {
-    /// Writes the answer to this request. Holds nothing of its prompt but what is echoed.
+    /// Creates the writer of the answer to this request. It copies no part of a prompt that is not echoed, so that
+    /// prompts don't take memory for as long as their streams last.
     #[must_use]
     pub fn new(request: &Request, metadata: AnswerMetadata) -> Self {
         let format = match request.kind {
@@ -48,7 +49,7 @@
         Self { format }
     }
 
-    /// What the stream begins with, before a server has sent anything.
+    /// The events that start the stream, before any event of a server; empty for chat and completion requests.
     #[must_use]
     pub fn open(&mut self) -> String {
         match &mut self.format {
@@ -57,7 +58,7 @@
         }
     }
 
-    /// A server's event of a choice, as the client gets it; empty where it gets none.
+    /// Translates a server's event for one choice into the client's events; empty if it causes none.
     #[must_use]
     pub fn event(&mut self, choice: usize, event: &Value) -> String {
         match &mut self.format {
@@ -66,7 +67,7 @@
         }
     }
 
-    /// What a whole stream ends with.
+    /// The events that end a complete stream.
     #[must_use]
     pub fn close(&mut self) -> String {
         match &mut self.format {
@@ -75,7 +76,8 @@
         }
     }
 
-    /// What a stream ends with whose servers broke off: one error, and nothing that looks like an end.
+    /// The event that ends a stream whose servers failed: a single error, without `[DONE]` or any other sign of a
+    /// complete answer. Only chunk streams report `code`; a response always reports `server_error`.
     #[must_use]
     pub fn cut(&mut self, code: &str, message: &str) -> String {
         match &mut self.format {
@@ -87,7 +89,8 @@
         }
     }
 
-    /// The whole response of what has come: to be kept, or sent where no stream is wanted. `None` for other kinds.
+    /// The finished response, built from all events so far, to be stored or sent to a client that wants no stream.
+    /// `None` for chat and completion requests.
     #[must_use]
     pub fn response(&self) -> Option<Value> {
         match &self.format {
@@ -96,7 +99,8 @@
         }
     }
 
-    /// Items of a response's output, as a response that goes on from this one is given them.
+    /// The output items of the response, to be stored for requests that continue it; empty for chat and completion
+    /// requests.
     #[must_use]
     pub fn output_items(&self) -> Vec<Value> {
         match &self.format {
@@ -105,7 +109,7 @@
         }
     }
 
-    /// Bytes that the writer holds of the request.
+    /// The bytes of the request that the writer holds.
     #[must_use]
     pub fn request_bytes(&self) -> usize {
         match &self.format {
@@ -114,7 +118,7 @@
         }
     }
 
-    /// Bytes of the answer's text that the writer holds.
+    /// The bytes of the answer that the writer holds; 0 for chunk streams, which hold none.
     #[must_use]
     pub fn text_bytes(&self) -> usize {
         match &self.format {
@@ -136,19 +140,19 @@
             kind: request.kind,
             include_usage: request.include_usage,
             echo,
-            begun: vec![false; choices],
+            started: vec![false; choices],
             usage: Usage::default(),
         }
     }
 
     fn event(&mut self, choice: usize, event: &Value) -> String {
         self.usage.add(&event["usage"]);
-        let piece = &event["choices"][0];
-        if piece.is_null() {
-            return String::new(); // usage is written once, at the end, where it is asked for
+        let server_choice = &event["choices"][0];
+        if server_choice.is_null() {
+            return String::new(); // `close` writes the usage, if the client asked for it
         }
-        let is_first = !std::mem::replace(&mut self.begun[choice], true);
-        data_event(&self.chunk(self.choice_json(choice, piece, is_first)))
+        let is_first = !std::mem::replace(&mut self.started[choice], true);
+        data_event(&self.chunk(self.choice_json(choice, server_choice, is_first)))
     }
 
     fn close(&self) -> String {
@@ -160,23 +164,24 @@
         data_event(&chunk) + DONE
     }
 
-    /// The `choices` of a chunk for a piece of one choice.
-    fn choice_json(&self, choice: usize, piece: &Value, is_first: bool) -> Value {
-        let finish_reason = &piece["finish_reason"];
+    /// The `choices` array of a chunk, from the choice in a server's event.
+    fn choice_json(&self, choice: usize, server_choice: &Value, is_first: bool) -> Value {
+        let finish_reason = &server_choice["finish_reason"];
         if self.kind == RequestKind::Chat {
-            let mut delta = piece["delta"].as_object().cloned().unwrap_or_default();
+            let mut delta = server_choice["delta"].as_object().cloned().unwrap_or_default();
             if is_first {
                 delta.insert("role".to_owned(), json!("assistant"));
             }
-            let logprobs = &piece["logprobs"];
+            let logprobs = &server_choice["logprobs"];
             return json!([{"index": choice, "delta": delta, "logprobs": logprobs,
                 "finish_reason": finish_reason}]);
         }
         let echo = self.echo.get(choice).filter(|_| is_first).map_or("", String::as_str);
-        let text = echo.to_owned() + piece["delta"]["content"].as_str().unwrap_or("");
+        let text = echo.to_owned() + server_choice["delta"]["content"].as_str().unwrap_or("");
         json!([{"index": choice, "text": text, "logprobs": null, "finish_reason": finish_reason}])
     }
 
+    /// A chunk with this `choices` array.
     fn chunk(&self, choices: Value) -> Value {
         let (prefix, object) = match self.kind {
             RequestKind::Chat => ("chatcmpl", "chat.completion.chunk"),
@@ -191,6 +196,7 @@
     }
 }
 
+/// A server-sent event with this data.
 fn data_event(data: &Value) -> String {
     format!("data: {data}\n\n")
 }
