--- a/crates/chat/tests/written_bytes.rs
+++ b/crates/chat/tests/written_bytes.rs
@@ -1,4 +1,4 @@
-//! What the API writes, byte for byte: refusals with their `param`, requests to servers, chunks, events and answers.
+//! Golden tests of everything that the crate writes: errors, request bodies for servers, streams and whole answers.
 
 mod golden_file;
 
@@ -21,48 +21,50 @@
     }
 }
 
-/// Prompts as the golden files have them: `[role, text]` for each message.
+/// Prompts in the format of the golden files: `[role, text]` for each message.
 fn prompts_json(prompts: &[Vec<Message>]) -> Value {
     let message = |message: &Message| json!([message.role, message.text]);
     prompts.iter().map(|prompt| prompt.iter().map(message).collect::<Value>()).collect()
 }
 
-/// A good request of this kind with these fields set; `null` takes one away.
-fn request(kind: &str, fields: &Value) -> Value {
+/// The minimal valid request body of this kind, with `fields` set over it. A `null` field counts as absent.
+fn request_body(kind: &str, fields: &Value) -> Value {
     let mut body = match kind {
         "chat" => json!({"model": "m", "messages": [{"role": "user", "content": "hi"}]}),
         "completion" => json!({"model": "m", "prompt": "hi"}),
         _ => json!({"model": "m", "input": "hi"}),
     };
-    for (name, value) in fields.as_object().expect("an object") {
+    for (name, value) in fields.as_object().expect("fields in an object") {
         body[name] = value.clone();
     }
     body
 }
 
-fn read(kind: &str, body: Value) -> Result<Request, String> {
+/// Validates a request body. The error is the HTTP status and body, as the golden files have them.
+fn parse_result(kind: &str, body: Value) -> Result<Request, String> {
     let limits = Limits::default();
-    let read = match kind {
+    let parse_result = match kind {
         "chat" => Request::chat(body, &limits),
         "completion" => Request::completion(body, &limits),
         _ => Request::response(body, &limits),
     };
-    read.map_err(|refused| format!("{} {}", refused.status, refused.envelope()))
+    parse_result.map_err(|error| format!("{} {}", error.status, error.envelope()))
 }
 
-fn messages(list: Value) -> Value {
-    json!({"messages": list})
+fn with_messages(messages_json: Value) -> Value {
+    json!({"messages": messages_json})
 }
 
-fn input(item: Value) -> Value {
+fn with_input_item(item: Value) -> Value {
     json!({"input": [item]})
 }
 
-/// Fields that a chat request is refused for, each in every way that there is.
-fn refused_chat() -> Vec<Value> {
+/// Fields for which a chat request is rejected, meant to cover every check. `kiln` stands for an unknown field.
+fn rejected_chat_fields() -> Vec<Value> {
     let call = |id: &str| json!({"id": id, "type": "function", "function": {"name": "f", "arguments": "{}"}});
     let text = |text: usize| "x".repeat(text);
-    let many = |count: usize| (0..count).map(|at| (format!("k{at}"), json!("v"))).collect::<Value>();
+    let metadata_pairs =
+        |count: usize| (0..count).map(|index| (format!("k{index}"), json!("v"))).collect::<Value>();
     vec![
         json!({"model": null}),
         json!({"model": 3}),
@@ -112,7 +114,7 @@
         json!({"safety_identifier": 1}),
         json!({"prompt_cache_retention": 1}),
         json!({"metadata": 1}),
-        json!({"metadata": many(17)}),
+        json!({"metadata": metadata_pairs(17)}),
         json!({"metadata": {"k": 1}}),
         json!({"metadata": {"k": text(513)}}),
         json!({"metadata": {text(65): "v"}}),
@@ -152,44 +154,45 @@
         json!({"messages": null}),
         json!({"messages": "hi"}),
         json!({"messages": []}),
-        messages(json!(["hi"])),
-        messages(json!([{"content": "a"}])),
-        messages(json!([{"role": 1, "content": "a"}])),
-        messages(json!([{"role": "chef", "content": "a"}])),
-        messages(json!([{"role": "user", "content": "a", "name": 1}])),
-        messages(json!([{"role": "user", "content": "a", "kiln": 1}])),
-        messages(json!([{"role": "user"}])),
-        messages(json!([{"role": "user", "content": 1}])),
-        messages(json!([{"role": "user", "content": []}])),
-        messages(json!([{"role": "user", "content": [1]}])),
-        messages(json!([{"role": "user", "content": [{"type": "smell"}]}])),
-        messages(json!([{"role": "user", "content": [{"type": "text"}]}])),
-        messages(
+        with_messages(json!(["hi"])),
+        with_messages(json!([{"content": "a"}])),
+        with_messages(json!([{"role": 1, "content": "a"}])),
+        with_messages(json!([{"role": "chef", "content": "a"}])),
+        with_messages(json!([{"role": "user", "content": "a", "name": 1}])),
+        with_messages(json!([{"role": "user", "content": "a", "kiln": 1}])),
+        with_messages(json!([{"role": "user"}])),
+        with_messages(json!([{"role": "user", "content": 1}])),
+        with_messages(json!([{"role": "user", "content": []}])),
+        with_messages(json!([{"role": "user", "content": [1]}])),
+        with_messages(json!([{"role": "user", "content": [{"type": "smell"}]}])),
+        with_messages(json!([{"role": "user", "content": [{"type": "text"}]}])),
+        with_messages(
             json!([{"role": "user", "content": [{"type": "text", "text": "a"}, {"type": "image_url"}]}]),
         ),
-        messages(json!([{"role": "user", "content": [{"type": "refusal", "refusal": "no"}]}])),
-        messages(json!([{"role": "assistant"}])),
-        messages(json!([{"role": "assistant", "content": "a", "kiln": 1}])),
-        messages(json!([{"role": "assistant", "refusal": 1}])),
-        messages(json!([{"role": "assistant", "tool_calls": []}])),
-        messages(json!([{"role": "assistant", "tool_calls": 1}])),
-        messages(json!([{"role": "assistant", "tool_calls": [{"type": "x"}]}])),
-        messages(json!([{"role": "assistant", "tool_calls": [{"type": "function"}]}])),
-        messages(json!([{"role": "assistant", "tool_calls": [{"type": "function", "id": "c"}]}])),
-        messages(json!([{"role": "assistant", "tool_calls": [call("c"), call("c")]}])),
-        messages(json!([{"role": "assistant", "tool_calls": [
+        with_messages(json!([{"role": "user", "content": [{"type": "refusal", "refusal": "no"}]}])),
+        with_messages(json!([{"role": "assistant"}])),
+        with_messages(json!([{"role": "assistant", "content": "a", "kiln": 1}])),
+        with_messages(json!([{"role": "assistant", "refusal": 1}])),
+        with_messages(json!([{"role": "assistant", "tool_calls": []}])),
+        with_messages(json!([{"role": "assistant", "tool_calls": 1}])),
+        with_messages(json!([{"role": "assistant", "tool_calls": [{"type": "x"}]}])),
+        with_messages(json!([{"role": "assistant", "tool_calls": [{"type": "function"}]}])),
+        with_messages(json!([{"role": "assistant", "tool_calls": [{"type": "function", "id": "c"}]}])),
+        with_messages(json!([{"role": "assistant", "tool_calls": [call("c"), call("c")]}])),
+        with_messages(json!([{"role": "assistant", "tool_calls": [
             {"type": "function", "id": "c", "function": {"name": "f", "arguments": 1}}]}])),
-        messages(json!([{"role": "assistant", "function_call": {"name": "f"}}])),
-        messages(json!([{"role": "tool", "content": "a"}])),
-        messages(json!([{"role": "tool", "content": "a", "tool_call_id": "c"}])),
-        messages(json!([{"role": "tool", "content": "a", "tool_call_id": "c", "kiln": 1}])),
-        messages(
+        with_messages(json!([{"role": "assistant", "function_call": {"name": "f"}}])),
+        with_messages(json!([{"role": "tool", "content": "a"}])),
+        with_messages(json!([{"role": "tool", "content": "a", "tool_call_id": "c"}])),
+        with_messages(json!([{"role": "tool", "content": "a", "tool_call_id": "c", "kiln": 1}])),
+        with_messages(
             json!([{"role": "assistant", "tool_calls": [call("c")]}, {"role": "tool", "tool_call_id": "c"}]),
         ),
     ]
 }
 
-fn refused_completion() -> Vec<Value> {
+/// Fields for which a completion request is rejected.
+fn rejected_completion_fields() -> Vec<Value> {
     vec![
         json!({"kiln": 1}),
         json!({"model": null}),
@@ -211,7 +214,8 @@
     ]
 }
 
-fn refused_response() -> Vec<Value> {
+/// Fields for which a request for a response is rejected.
+fn rejected_response_fields() -> Vec<Value> {
     vec![
         json!({"kiln": 1}),
         json!({"model": null}),
@@ -258,23 +262,23 @@
         json!({"input": null}),
         json!({"input": 1}),
         json!({"input": []}),
-        input(json!(1)),
-        input(json!({"type": 1})),
-        input(json!({"type": "web_search_call"})),
-        input(json!({"content": "a"})),
-        input(json!({"role": "tool", "content": "a"})),
-        input(json!({"role": "user"})),
-        input(json!({"role": "user", "content": 1})),
-        input(json!({"role": "user", "content": [1]})),
-        input(json!({"role": "user", "content": [{"type": "smell"}]})),
-        input(json!({"role": "user", "content": [{"type": "input_text"}]})),
-        input(json!({"role": "user", "content": [{"type": "input_image"}]})),
-        input(json!({"role": "assistant", "content": [{"type": "refusal"}]})),
-        input(json!({"type": "function_call"})),
-        input(json!({"type": "function_call", "call_id": "c", "name": "a b"})),
-        input(json!({"type": "function_call", "call_id": "c", "name": "f"})),
-        input(json!({"type": "function_call_output"})),
-        input(json!({"type": "function_call_output", "call_id": "c"})),
+        with_input_item(json!(1)),
+        with_input_item(json!({"type": 1})),
+        with_input_item(json!({"type": "web_search_call"})),
+        with_input_item(json!({"content": "a"})),
+        with_input_item(json!({"role": "tool", "content": "a"})),
+        with_input_item(json!({"role": "user"})),
+        with_input_item(json!({"role": "user", "content": 1})),
+        with_input_item(json!({"role": "user", "content": [1]})),
+        with_input_item(json!({"role": "user", "content": [{"type": "smell"}]})),
+        with_input_item(json!({"role": "user", "content": [{"type": "input_text"}]})),
+        with_input_item(json!({"role": "user", "content": [{"type": "input_image"}]})),
+        with_input_item(json!({"role": "assistant", "content": [{"type": "refusal"}]})),
+        with_input_item(json!({"type": "function_call"})),
+        with_input_item(json!({"type": "function_call", "call_id": "c", "name": "a b"})),
+        with_input_item(json!({"type": "function_call", "call_id": "c", "name": "f"})),
+        with_input_item(json!({"type": "function_call_output"})),
+        with_input_item(json!({"type": "function_call_output", "call_id": "c"})),
         json!({"previous_response_id": 1}),
         json!({"max_output_tokens": 0}),
         json!({"store": 1}),
@@ -282,16 +286,19 @@
 }
 
 #[test]
-fn each_refused_field_has_its_status_code_param_and_message() {
+fn rejected_fields_give_the_status_code_param_and_message_of_the_golden_file() {
     let mut text = String::new();
-    for (kind, all) in
-        [("chat", refused_chat()), ("completion", refused_completion()), ("response", refused_response())]
-    {
-        for fields in all {
-            let refused = read(kind, request(kind, &fields)).expect_err("a request that is refused");
-            // Long texts would only fill the file.
+    for (kind, cases) in [
+        ("chat", rejected_chat_fields()),
+        ("completion", rejected_completion_fields()),
+        ("response", rejected_response_fields()),
+    ] {
+        for fields in cases {
+            let error =
+                parse_result(kind, request_body(kind, &fields)).expect_err("a request with an invalid field");
+            // Shortens the strings that exceed a length limit, to keep the golden file readable.
             let fields = fields.to_string().replace(&"x".repeat(60), "[60 x]");
-            writeln!(text, "{kind} {fields}\n  {refused}").expect("a string");
+            writeln!(text, "{kind} {fields}\n  {error}").expect("write to a String");
         }
     }
     let too_many = json!(vec![json!({"role": "user", "content": "a"}); 2_049]);
@@ -300,17 +307,23 @@
         ("response", json!({"input": too_many})),
         ("chat", json!({"tools": vec![json!({}); 129]})),
     ] {
-        let refused = read(kind, request(kind, &fields)).expect_err("too many");
-        writeln!(text, "{kind} with too many\n  {refused}").expect("a string");
+        let error =
+            parse_result(kind, request_body(kind, &fields)).expect_err("a request with too many entries");
+        writeln!(text, "{kind} with too many\n  {error}").expect("write to a String");
     }
     for kind in ["chat", "completion", "response"] {
-        writeln!(text, "{kind} []\n  {}", read(kind, json!([])).expect_err("no object")).expect("a string");
+        writeln!(
+            text,
+            "{kind} []\n  {}",
+            parse_result(kind, json!([])).expect_err("a body that is not an object")
+        )
+        .expect("write to a String");
     }
     assert_golden("refusals.txt", &text);
 }
 
 #[test]
-fn bodies_and_events_that_can_not_be_read_are_refused_with_these_words() {
+fn unparsable_bodies_and_events_give_the_errors_of_the_golden_file() {
     let mut text = String::new();
     for body in [
         &b""[..],
@@ -322,22 +335,23 @@
         b"{\"a\": 01}",
         b"{\"a\": 1} x",
     ] {
-        let read = match parse_body(body, MAX_DEPTH) {
+        let parse_result = match parse_body(body, MAX_DEPTH) {
             Ok(value) => value.to_string(),
-            Err(refused) => format!("{} {}", refused.status, refused.envelope()),
+            Err(error) => format!("{} {}", error.status, error.envelope()),
         };
-        writeln!(text, "{}\n  {read}", String::from_utf8_lossy(body)).expect("a string");
+        writeln!(text, "{}\n  {parse_result}", String::from_utf8_lossy(body)).expect("write to a String");
     }
-    let long = format!("data: {}", "x".repeat(1 << 20));
-    for (what, stream) in [("no JSON", "data: nonsense\n\n"), ("too long", &long)] {
-        let refused = EventParser::default().push(stream.as_bytes(), &mut Vec::new()).expect_err("no event");
-        writeln!(text, "event: {what}\n  {} {}", refused.status, refused.envelope()).expect("a string");
+    let oversized_event = format!("data: {}", "x".repeat(1 << 20));
+    for (fault, stream) in [("no JSON", "data: nonsense\n\n"), ("too long", &oversized_event)] {
+        let error =
+            EventParser::default().push(stream.as_bytes(), &mut Vec::new()).expect_err("an invalid event");
+        writeln!(text, "event: {fault}\n  {} {}", error.status, error.envelope()).expect("write to a String");
     }
     assert_golden("unreadable.txt", &text);
 }
 
-/// Requests that are accepted, with what differs between the three kinds.
-fn accepted() -> Vec<(&'static str, Value)> {
+/// Accepted requests of all three kinds, with the fields in which the kinds differ.
+fn accepted_requests() -> Vec<(&'static str, Value)> {
     let function = json!({"name": "f", "description": "d", "parameters": {"type": "object"}, "strict": true});
     let mut tool = function.clone();
     tool["type"] = json!("function");
@@ -393,40 +407,52 @@
 }
 
 #[test]
-fn each_accepted_request_goes_to_servers_as_this_body() {
+fn accepted_requests_are_sent_to_servers_as_in_the_golden_file() {
     let mut text = String::new();
-    for (kind, fields) in accepted() {
-        let mut asked = read(kind, request(kind, &fields)).expect("a request that is accepted");
-        writeln!(text, "{kind} {fields}").expect("a string");
+    for (kind, fields) in accepted_requests() {
+        let mut accepted_request = parse_result(kind, request_body(kind, &fields)).expect("a valid request");
+        writeln!(text, "{kind} {fields}").expect("write to a String");
         writeln!(
             text,
             "  model={} stream={} include_usage={} max_tokens={:?} choices={} echo={} store={}",
-            asked.model,
-            asked.stream,
-            asked.include_usage,
-            asked.max_tokens,
-            asked.choices_per_prompt,
-            asked.echo,
-            asked.store
+            accepted_request.model,
+            accepted_request.stream,
+            accepted_request.include_usage,
+            accepted_request.max_tokens,
+            accepted_request.choices_per_prompt,
+            accepted_request.echo,
+            accepted_request.store
+        )
+        .expect("write to a String");
+        writeln!(text, "  prompts={}", prompts_json(&accepted_request.prompts)).expect("write to a String");
+        writeln!(
+            text,
+            "  previous={:?} input={}",
+            accepted_request.previous_response_id,
+            json!(accepted_request.input_items)
         )
-        .expect("a string");
-        writeln!(text, "  prompts={}", prompts_json(&asked.prompts)).expect("a string");
-        writeln!(text, "  previous={:?} input={}", asked.previous_response_id, json!(asked.input_items))
-            .expect("a string");
-        for part in 0..asked.choice_count() {
-            writeln!(text, "  part {part}: {}", asked.server_body(part)).expect("a string");
+        .expect("write to a String");
+        for choice_index in 0..accepted_request.choice_count() {
+            writeln!(text, "  part {choice_index}: {}", accepted_request.server_body(choice_index))
+                .expect("write to a String");
         }
         if kind == "response" {
-            let before = [json!({"role": "user", "content": "q"}), json!({"type": "reasoning"})];
-            asked.prepend_items(&before);
-            writeln!(text, "  going on: {} {}", prompts_json(&asked.prompts), json!(asked.input_items))
-                .expect("a string");
+            let earlier_items = [json!({"role": "user", "content": "q"}), json!({"type": "reasoning"})];
+            accepted_request.prepend_items(&earlier_items);
+            writeln!(
+                text,
+                "  going on: {} {}",
+                prompts_json(&accepted_request.prompts),
+                json!(accepted_request.input_items)
+            )
+            .expect("write to a String");
         }
     }
     assert_golden("accepted.txt", &text);
 }
 
-/// Events of servers: text of two choices, a refusal, calls of tools in pieces, log probabilities, ends and usage.
+/// Server events as `(choice, event)`: text for two choices, a refusal, split tool calls, log probabilities, finish
+/// reasons, usage and an event without choices.
 fn server_events(finish: &str) -> Vec<(usize, Value)> {
     let delta = |delta: Value| {
         json!({"id": "s", "choices": [{"index": 0, "delta": delta, "logprobs": null,
@@ -464,7 +490,8 @@
     ]
 }
 
-fn kinds() -> Vec<(&'static str, Value)> {
+/// The requests, as `(kind, fields)`, whose streams and answers are compared with the golden files.
+fn answered_requests() -> Vec<(&'static str, Value)> {
     vec![
         ("chat", json!({"n": 2, "stream": true})),
         ("chat", json!({"n": 2, "stream": true, "stream_options": {"include_usage": true}})),
@@ -481,28 +508,30 @@
 }
 
 #[test]
-fn each_kind_of_stream_and_answer_is_written_as_these_bytes() {
+fn streams_and_answers_are_written_as_in_the_golden_file() {
     let mut text = String::new();
     for finish in ["tool_calls", "length"] {
-        for (kind, fields) in kinds() {
-            let asked = read(kind, request(kind, &fields)).expect("a request that is accepted");
-            let (mut writer, mut cut) =
-                (StreamWriter::new(&asked, metadata()), StreamWriter::new(&asked, metadata()));
+        for (kind, fields) in answered_requests() {
+            let accepted_request = parse_result(kind, request_body(kind, &fields)).expect("a valid request");
+            let (mut writer, mut cut) = (
+                StreamWriter::new(&accepted_request, metadata()),
+                StreamWriter::new(&accepted_request, metadata()),
+            );
             let (mut collected, mut cut_text) = (CollectedAnswer::default(), cut.open());
-            writeln!(text, "=== {kind} {fields}, ends with {finish}").expect("a string");
+            writeln!(text, "=== {kind} {fields}, ends with {finish}").expect("write to a String");
             text += &writer.open();
             for (choice, event) in server_events(finish) {
-                let choice = choice.min(asked.choice_count() - 1);
+                let choice = choice.min(accepted_request.choice_count() - 1);
                 text += &writer.event(choice, &event);
                 cut_text += &cut.event(choice, &event);
                 collected.push(choice, &event);
             }
             text += &writer.close();
             cut_text += &cut.cut("stream_cut", "the server's stream broke");
-            writeln!(text, "--- cut\n{cut_text}").expect("a string");
-            writeln!(text, "--- whole\n{}", collected.chat(&metadata())).expect("a string");
+            writeln!(text, "--- cut\n{cut_text}").expect("write to a String");
+            writeln!(text, "--- whole\n{}", collected.chat(&metadata())).expect("write to a String");
             writeln!(text, "{}", collected.completion(&metadata(), |choice| format!("<{choice}>")))
-                .expect("a string");
+                .expect("write to a String");
             if kind == "response" {
                 writeln!(
                     text,
@@ -510,41 +539,48 @@
                     writer.response().expect("a response"),
                     json!(writer.output_items())
                 )
-                .expect("a string");
+                .expect("write to a String");
             }
-            writeln!(text, "--- bytes {} {}", collected.text_bytes(), writer.text_bytes()).expect("a string");
+            writeln!(text, "--- bytes {} {}", collected.text_bytes(), writer.text_bytes())
+                .expect("write to a String");
         }
     }
     assert_golden("answers.txt", &text);
 }
 
 #[test]
-fn an_answer_of_nothing_is_written_as_these_bytes() {
+fn answers_without_any_event_are_written_as_in_the_golden_file() {
     let mut text = String::new();
-    for (kind, fields) in kinds() {
-        let asked = read(kind, request(kind, &fields)).expect("a request that is accepted");
-        let mut writer = StreamWriter::new(&asked, metadata());
-        writeln!(text, "=== {kind} {fields}\n{}{}", writer.open(), writer.close()).expect("a string");
+    for (kind, fields) in answered_requests() {
+        let accepted_request = parse_result(kind, request_body(kind, &fields)).expect("a valid request");
+        let mut writer = StreamWriter::new(&accepted_request, metadata());
+        writeln!(text, "=== {kind} {fields}\n{}{}", writer.open(), writer.close())
+            .expect("write to a String");
         if kind == "response" {
-            writeln!(text, "{}", writer.response().expect("a response")).expect("a string");
+            writeln!(text, "{}", writer.response().expect("a response")).expect("write to a String");
         }
     }
-    let empty = CollectedAnswer::default();
-    writeln!(text, "{}\n{}", empty.chat(&metadata()), empty.completion(&metadata(), |_| String::new()))
-        .expect("a string");
+    let empty_answer = CollectedAnswer::default();
+    writeln!(
+        text,
+        "{}\n{}",
+        empty_answer.chat(&metadata()),
+        empty_answer.completion(&metadata(), |_| String::new())
+    )
+    .expect("write to a String");
     assert_golden("empty_answers.txt", &text);
 }
 
 #[test]
-fn events_are_found_with_comments_line_ends_and_several_data_lines() {
+fn events_are_parsed_with_comments_crlf_and_several_data_lines() {
     let stream = ": load 3\n\nevent: x\ndata: {\"a\":\ndata: 1}\r\n\n\ndata:{\"b\":2}\n\ndata: [DONE]\n\ndata: {\"c\":3}";
-    let (mut events, mut found, mut text) = (EventParser::default(), Vec::new(), String::new());
-    events.push(stream.as_bytes(), &mut found).expect("whole events");
-    events.finish(&mut found).expect("a last one");
-    for event in found {
+    let (mut events, mut parsed_events, mut text) = (EventParser::default(), Vec::new(), String::new());
+    events.push(stream.as_bytes(), &mut parsed_events).expect("events of valid JSON");
+    events.finish(&mut parsed_events).expect("a last event of valid JSON");
+    for event in parsed_events {
         match event {
-            ServerEvent::Data(value) => writeln!(text, "{value}").expect("a string"),
-            ServerEvent::Done => writeln!(text, "done").expect("a string"),
+            ServerEvent::Data(value) => writeln!(text, "{value}").expect("write to a String"),
+            ServerEvent::Done => writeln!(text, "done").expect("write to a String"),
         }
     }
     assert_golden("events.txt", &text);
