--- a/crates/chat/src/request.rs
+++ b/crates/chat/src/request.rs
@@ -61,7 +61,7 @@
     pub previous_response_id: Option<String>,
     /// Whether the response is stored for later requests to continue (responses only).
     pub store: bool,
-    /// The whole body, as received.
+    /// The whole parsed body, as received.
     pub body: Value,
     /// The input items (responses only), preceded by those of earlier responses after [`Request::prepend_items`]. They
     /// are stored with the response.
--- a/crates/chat/src/response_request.rs
+++ b/crates/chat/src/response_request.rs
@@ -94,9 +94,10 @@
         })
     }
 
-    /// Inserts the items of the response that this request continues into the prompt, after the instructions and before
-    /// the input. An item that can't be read as a message stays out of the prompt, but is kept in the input items.
-    /// Instructions of earlier responses are not carried over, as the OpenAI API defines it.
+    /// Inserts the items of the stored response that this request continues into the prompt, after the instructions and
+    /// before the input. They include the items of the responses before that one, but no instructions: as in the OpenAI
+    /// API, each request gives its own. An item that can't be read as a message stays out of the prompt, but is kept in
+    /// the input items.
     pub fn prepend_items(&mut self, items: &[Value]) {
         let instruction_count = self.prompts[0].len() - self.input_items.len();
         let earlier_messages = items.iter().filter_map(|item| read_item(item, String::new()).ok());
--- a/crates/chat/src/server_body.rs
+++ b/crates/chat/src/server_body.rs
@@ -4,13 +4,15 @@
 
 use crate::request::{Request, RequestKind};
 
-/// Fields of completion requests and requests for responses that chat requests have with the same name and meaning.
+/// Fields of completion requests and requests for responses that are copied to the chat request unchanged, as their
+/// name and meaning are the same there.
 const PASSTHROUGH_FIELDS: [&str; 7] =
     ["temperature", "top_p", "presence_penalty", "frequency_penalty", "seed", "stop", "user"];
 
 impl Request {
-    /// The body that is sent to a server for the choice with this index: a chat request for one streamed choice. Unless
-    /// the client sent a chat request, fields without an equivalent in chat requests are left out.
+    /// The body that is sent to a server for the choice with this index: a chat request for one streamed choice. The
+    /// fields of a chat request are sent as received, other than `stream`, `n` and `stream_options`. Other requests are
+    /// converted, and only the fields that this module names are sent.
     ///
     /// # Panics
     /// If `choice` is not less than [`Request::choice_count`], unless the client sent a chat request.
