--- a/crates/hot-restart/src/announcement.rs
+++ b/crates/hot-restart/src/announcement.rs
@@ -1,21 +1,21 @@
-//! What a process announces of itself, and the line in which it does.
+//! The state that a process announces to its peer, and the line format of announcements.
 
 use crate::generation::Generation;
 use crate::share::{LimitShare, FULL_SHARE};
 
-/// How far a process has come.
+/// The stage of a process between start and shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// It has started and does not serve yet.
+    /// Started, but not serving yet: waiting for a share of the limits.
     Joining,
-    /// It serves.
+    /// Serving requests.
     Serving,
-    /// It has been told to end.
+    /// Told to shut down.
     Leaving,
 }
 
 impl Stage {
-    /// Its word in an announcement.
+    /// The name of the stage in an announcement.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -30,35 +30,36 @@
     }
 }
 
-/// What a process announces of itself.
+/// The state of a process as it announces it to its peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Announcement {
-    /// Tells who was first: each takes a number above all that it finds.
+    /// The process's generation. The process with the lower generation is the older one.
     pub generation: Generation,
-    /// How far it has come.
+    /// The process's stage.
     pub stage: Stage,
-    /// The share of the limits that it holds at most.
+    /// The share of the limits that the process may use.
     pub share: LimitShare,
-    /// The generation of the peer that it knows of; 0 for none. Only a peer that is known may count on what was given up.
+    /// The generation of the peer that the process has seen; 0 if none. A newer peer takes over only
+    /// shares that were given up in an announcement that acknowledges that peer.
     pub acknowledged_peer: Generation,
 }
 
 impl Announcement {
-    /// As one line: generation, stage, share, acknowledged peer.
+    /// The announcement as a line: generation, stage, share and acknowledged peer, separated by spaces.
     #[must_use]
     pub fn to_line(self) -> String {
         format!("{} {} {} {}\n", self.generation, self.stage.name(), self.share, self.acknowledged_peer)
     }
 
-    /// Reads a line; `None` for one that is not complete or is none.
+    /// Parses a line. Returns `None` if it is incomplete (without a line feed) or malformed.
     #[must_use]
     pub fn from_line(line: &str) -> Option<Self> {
-        let mut words = line.strip_suffix('\n')?.split(' ');
-        let generation = words.next()?.parse().ok()?;
-        let stage = Stage::from_name(words.next()?)?;
-        let share = words.next()?.parse().ok().filter(|share| *share <= FULL_SHARE)?;
-        let acknowledged_peer = words.next()?.parse().ok()?;
-        let is_end = words.next().is_none();
+        let mut fields = line.strip_suffix('\n')?.split(' ');
+        let generation = fields.next()?.parse().ok()?;
+        let stage = Stage::from_name(fields.next()?)?;
+        let share = fields.next()?.parse().ok().filter(|share| *share <= FULL_SHARE)?;
+        let acknowledged_peer = fields.next()?.parse().ok()?;
+        let is_end = fields.next().is_none();
         is_end.then_some(Self { generation, stage, share, acknowledged_peer })
     }
 }
--- a/crates/hot-restart/src/generation.rs
+++ b/crates/hot-restart/src/generation.rs
@@ -1,4 +1,5 @@
-//! The order in which processes have started.
+//! The generation of a process, which orders processes by their start.
 
-/// The order of starts, as a number that grows. No clock tells it: the machine's may be stepped between two starts.
+/// A number that is higher for a process that started later; 0 stands for none. It is not taken from a clock,
+/// because the machine's clock may be stepped between two starts.
 pub type Generation = u64;
--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -1,13 +1,14 @@
-//! Two processes of one dispatcher, as a new version takes over from the old: which share of the limits each holds at
-//! most, when the new one may serve, and what the old one does on its way out.
+//! The protocol of a hot restart, in which a newer process of a dispatcher replaces an older one: the share of the
+//! limits that each may use, when the newer process may serve, and whether the older one is replaced when it shuts
+//! down.
 //!
-//! Each process announces who it is ([`Announcement`]); the other reads that some time later, or finds that it has ended.
-//! The one that was there first only ever gives shares up while the other lives; the later one only ever takes what the
-//! first has announced to have given up. So whatever is late, and whoever dies, the shares never add up to more than the
-//! limits. Time comes in as an argument, and nothing here does I/O.
+//! Each process publishes an [`Announcement`]; the other one reads it some time later, or finds that the process has
+//! ended. While both live, the share of the older process only shrinks, and the newer process takes only what the
+//! older one has announced to have given up. So the shares never add up to more than the limits, however late an
+//! announcement is read and whichever process dies. The current time is always passed in, and nothing here does I/O.
 //!
 //! [`HotRestart`] is the state of one process; [`next_generation`] orders processes by their start; [`share_of`] and
-//! [`share_used`] turn shares into limits and back.
+//! [`share_used`] convert between shares and absolute limits.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
