--- a/src/edge/hot_restart.rs
+++ b/src/edge/hot_restart.rs
@@ -1,8 +1,9 @@
-//! Hot restart: a new version takes over from this process, or this one from an older process, on the same addresses.
+//! Hot restart: a newer process takes over from this one, or this one from an older process, on the same addresses.
 //!
-//! Where there is a second address and `$TMPDIR`, the two processes know each other by locked files ([`lock_files`]), and
-//! the first one leaves what it has learned for the other ([`state_file`]). Who holds which share of the limits, and when
-//! the later one may serve, is decided by `crates/hot-restart`; here that is watched, written and applied.
+//! Hot restart is on if there is a second address and `$TMPDIR` is set. The two processes find each other by locked
+//! files ([`lock_files`]), and the older one exports the state that its router has learned to a file for the newer
+//! one ([`state_file`]). `crates/hot-restart` decides which share of the limits each process has and when the newer
+//! one may serve; this module reads and writes the files and applies those decisions.
 
 mod lock_files;
 mod state_file;
@@ -29,40 +30,41 @@
 use crate::edge::settings::Config;
 use crate::edge::stats::Figures;
 
-/// Time between two looks while this process is alone.
-const SLOW_POLL: Duration = Duration::from_millis(150);
-/// Time between two looks while there is another process, or something is still to be written.
-const FAST_POLL: Duration = Duration::from_millis(40);
-/// An export that failed is tried again after this.
-const EXPORT_RETRY: Duration = Duration::from_millis(200);
+/// Poll interval while there is no peer process and nothing is left to be written.
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(150);
+/// Poll interval while there is a peer process, this one is shutting down, or an announcement is still to be written.
+const POLL_INTERVAL: Duration = Duration::from_millis(40);
+/// Time between a failed export of the learned state and the next attempt.
+const EXPORT_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// This process's side of a hot restart. See the [module](self).
+/// The task of this process for hot restarts. See the [module](self).
 #[derive(Debug)]
 pub struct HotRestartTask {
-    /// Absent while two other processes hold both locks, or the folder can't be used.
+    /// `None` while two other processes hold both locks, or while the folder can't be used.
     files: Option<LockFiles>,
     folder: PathBuf,
     listen: SocketAddr,
     restart: HotRestart,
     clock: Clock,
-    /// The announcement could not be written yet.
-    is_unannounced: bool,
+    /// Whether the current announcement is still to be written, because writing it failed.
+    announcement_pending: bool,
     export: Export,
-    /// The generation of the peer whose state was imported; 0 for none.
+    /// The generation of the peer whose learned state was imported; 0 if none was.
     imported_from: Generation,
 }
 
-/// How far the export of what was learned has come.
+/// The progress of exporting the learned state.
 #[derive(Debug)]
 struct Export {
-    /// The generation of the peer that it was written for; 0 for none.
-    written_for: Generation,
-    /// One that failed is tried again then.
+    /// The generation of the peer for which the state was exported; 0 if it is still to be exported.
+    exported_for: Generation,
+    /// After a failure, the state is not exported again before this time.
     retry_at: Instant,
 }
 
 impl HotRestartTask {
-    /// Takes a lock, or tries again at each look.
+    /// Creates the task, tries to take a lock and polls the peer process once. If no lock is free, each later poll
+    /// tries again.
     #[must_use]
     pub fn start(config: &Config, folder: &str, clock: Clock) -> Self {
         let mut task = Self {
@@ -71,21 +73,22 @@
             listen: config.listen,
             restart: HotRestart::start(0, clock.now()),
             clock,
-            is_unannounced: false,
-            export: Export { written_for: 0, retry_at: Instant::now() },
+            announcement_pending: false,
+            export: Export { exported_for: 0, retry_at: Instant::now() },
             imported_from: 0,
         };
-        task.look(0);
+        task.poll_peer(0);
         task
     }
 
-    /// Both processes, as this one sees them now.
+    /// The state of both processes, as this one sees it now.
     #[must_use]
     pub fn status(&self) -> RestartStatus {
         self.restart.status()
     }
 
-    /// Follows the other process for ever, and has the limits held to this one's share.
+    /// Polls the peer process, and adjusts the limits to the share of this process; never returns. Publishes the
+    /// status of both processes on `status` after each poll.
     pub async fn run(
         mut self,
         config: Config,
@@ -95,40 +98,41 @@
         mut phase: watch::Receiver<Phase>,
         status: watch::Sender<Option<RestartStatus>>,
     ) {
-        let mut applied = 0;
+        let mut applied_share = 0;
         loop {
             let is_leaving = *phase.borrow_and_update() > Phase::Serving;
             if is_leaving {
                 self.begin_leaving();
             }
-            // The later process has the state before it can count on what is given up for it.
+            // Export before the poll that may give up a share: the newer process has the state before it can serve.
             self.export_if_due(&driver).await;
-            self.look(share_used(limits.held() + figures.open(), config.limits.sockets));
-            self.import_if_there(&driver);
+            self.poll_peer(share_used(limits.held() + figures.open(), config.limits.sockets));
+            self.import_if_available(&driver);
             let share = self.status().own.share;
-            if share != applied {
-                applied = share;
+            if share != applied_share {
+                applied_share = share;
                 apply_share(share, &config, &limits, &driver);
             }
             limits.evict_excess(Instant::now());
             status.send_replace(Some(self.status()));
-            let is_settled = self.status().peer.is_none() && !is_leaving && !self.is_unannounced;
-            let pause = if is_settled { SLOW_POLL } else { FAST_POLL };
+            let is_settled = self.status().peer.is_none() && !is_leaving && !self.announcement_pending;
+            let pause = if is_settled { IDLE_POLL_INTERVAL } else { POLL_INTERVAL };
             let _ = tokio::time::timeout_at(Instant::now() + pause, phase.changed()).await;
         }
     }
 
-    /// This process has been told to end: that is announced, and what it has learned is exported once more.
+    /// At the shutdown of this process: announces that it is leaving, and has its learned state exported once more.
     fn begin_leaving(&mut self) {
         if self.status().own.stage == Stage::Leaving {
             return;
         }
         self.restart.begin_leaving();
         self.announce();
-        self.export.written_for = 0;
+        self.export.exported_for = 0;
     }
 
-    /// Takes a lock, if one is free, and announces this process there: a third process waits for one of the two to end.
+    /// Takes a lock if one is free, and announces this process in its file. A third process has to wait until one of
+    /// the two others ends.
     fn acquire_lock(&mut self) -> io::Result<()> {
         if let Some(files) = LockFiles::acquire(&self.folder, self.listen)? {
             self.restart.set_generation(files.next_generation());
@@ -138,29 +142,31 @@
         Ok(())
     }
 
-    /// Writes the announcement; at the next look again, where that fails.
+    /// Writes the announcement. If that fails, the next poll tries again.
     fn announce(&mut self) {
         let Some(files) = &self.files else { return };
         let written = files.announce(self.restart.announcement());
-        if let (Err(error), false) = (&written, self.is_unannounced) {
+        if let (Err(error), false) = (&written, self.announcement_pending) {
             warn!(reason:% = error; "hot restart: announcement not written");
         }
-        self.is_unannounced = written.is_err();
+        self.announcement_pending = written.is_err();
     }
 
-    /// Looks at the other process and announces what has changed here; `in_use` is the share of the limits in use.
-    fn look(&mut self, in_use: LimitShare) {
+    /// Reads the state of the peer process, and announces what changes here as a result. `in_use` is the share of the
+    /// limits that this process uses now.
+    fn poll_peer(&mut self, in_use: LimitShare) {
         let before = self.restart.peer().map(|peer| peer.stage);
-        let seen = match self.read_peer() {
-            Ok(seen) => seen,
+        let peer_state = match self.read_peer() {
+            Ok(peer_state) => peer_state,
             Err(error) => {
                 debug!(reason:% = error; "hot restart: lock files not readable");
                 None
             }
         };
-        // What is read is acted on and announced in one go.
-        let changed = seen.is_some_and(|peer| self.restart.observe(self.clock.now(), peer, in_use));
-        if changed || self.is_unannounced {
+        // The announcement follows at once, so that the peer sees what this process concluded from the state just
+        // read.
+        let changed = peer_state.is_some_and(|peer| self.restart.observe(self.clock.now(), peer, in_use));
+        if changed || self.announcement_pending {
             self.announce();
         }
         let now = self.restart.peer().map(|peer| peer.stage);
@@ -172,12 +178,12 @@
         }
     }
 
-    /// What is seen of the other process; `None` where nothing has to be concluded from it.
+    /// Reads the state of the peer process; `None` if it is unknown because two other processes hold both locks.
     fn read_peer(&mut self) -> io::Result<Option<Peer>> {
         if self.files.is_none() {
             if let Err(error) = self.acquire_lock() {
-                // A folder that can't be used must not keep a lone process from serving.
-                let peer = if someone_listens(self.listen) { Peer::Unreadable } else { Peer::Absent };
+                // A process that is alone must be able to serve even if the folder can't be used.
+                let peer = if is_address_in_use(self.listen) { Peer::Unreadable } else { Peer::Absent };
                 debug!(reason:% = error, peer:? = peer; "hot restart: no lock file");
                 return Ok(Some(peer));
             }
@@ -185,21 +191,21 @@
         self.files.as_ref().map(LockFiles::peer).transpose()
     }
 
-    /// Writes what has been learned for a later process, once for each, and again where that failed.
+    /// Exports the learned state if there is a newer process: once for each one, and again after a failure.
     async fn export_if_due(&mut self, driver: &DriverHandle) {
         let RestartStatus { own, peer } = self.status();
         let Some(peer) = peer.filter(|peer| peer.generation > own.generation) else { return };
-        if self.export.written_for == peer.generation || Instant::now() < self.export.retry_at {
+        if self.export.exported_for == peer.generation || Instant::now() < self.export.retry_at {
             return;
         }
         if self.export(driver).await {
-            self.export.written_for = peer.generation;
+            self.export.exported_for = peer.generation;
         } else {
-            self.export.retry_at = Instant::now() + EXPORT_RETRY;
+            self.export.retry_at = Instant::now() + EXPORT_RETRY_PAUSE;
         }
     }
 
-    /// Writes what has been learned by now; whether the file is complete.
+    /// Exports the state learned so far. Returns whether the file was written.
     async fn export(&self, driver: &DriverHandle) -> bool {
         let Some(files) = &self.files else { return false };
         let (reply, learned) = oneshot::channel();
@@ -219,9 +225,9 @@
         }
     }
 
-    /// Imports the state that an earlier process has exported, if it is of the one that lives: what lies there otherwise
-    /// means nothing. The file is removed, as it counts as memory.
-    fn import_if_there(&mut self, driver: &DriverHandle) {
+    /// Imports the state that an older process has exported. State from any other process than the current peer is
+    /// discarded: it is out of date. The file is removed either way, because it counts as memory of the program.
+    fn import_if_available(&mut self, driver: &DriverHandle) {
         let RestartStatus { own, peer } = self.status();
         let (Some(files), Some(peer)) = (&self.files, peer) else { return };
         if peer.generation > own.generation || self.imported_from == peer.generation {
@@ -231,7 +237,7 @@
             Ok(state) if state.generation == peer.generation => {
                 info!("hot restart: learned state imported");
                 self.imported_from = peer.generation;
-                driver.send(Message::StateImported(Box::new(state.on_clock(self.clock.now()))));
+                driver.send(Message::StateImported(Box::new(state.with_clock(self.clock.now()))));
             }
             Ok(_) => {}
             Err(ReadError::Absent) => return,
@@ -248,7 +254,7 @@
     }
 }
 
-/// Holds connections and open requests to a share of the limits.
+/// Limits the client connections and open requests to a share of the configured limits.
 fn apply_share(share: LimitShare, config: &Config, limits: &ConnectionLimits, driver: &DriverHandle) {
     limits.set_max_connections(share_of(config.max_client_connections(), share));
     let max_open_requests = share_of(config.max_open_requests(), share);
@@ -256,11 +262,11 @@
     driver.send(Message::LimitShareChanged { part, max_open_requests });
 }
 
-/// Whether any process listens there: tells whether this one is alone where no file can.
-fn someone_listens(at: SocketAddr) -> bool {
+/// Whether any process listens on the address. Stands in for the lock files where they can't be used.
+fn is_address_in_use(at: SocketAddr) -> bool {
     let bind = || {
         let socket = Socket::new(Domain::for_address(at), Type::STREAM, None)?;
-        socket.set_reuse_address(true)?; // connections that have ended do not count
+        socket.set_reuse_address(true)?; // so that connections in TIME_WAIT don't count
         socket.bind(&at.into())
     };
     bind().is_err_and(|error: io::Error| error.kind() == io::ErrorKind::AddrInUse)
--- a/src/edge/hot_restart/state_file.rs
+++ b/src/edge/hot_restart/state_file.rs
@@ -1,4 +1,4 @@
-//! The file in which the first process leaves what it has learned for the one that takes its place.
+//! The file to which the older process of a hot restart exports its router's learned state for the newer one.
 
 use std::io;
 use std::path::Path;
@@ -9,18 +9,21 @@
 
 use crate::interface::Micros;
 
-/// The file is read this soon after it was written; what the writer's clock is further off, the clocks differ by (us).
+/// The file is read at most this long after it was written (us). If the writer's clock is further off, the clocks of
+/// the two processes differ, and the difference is corrected.
 const CLOCK_TOLERANCE: Micros = 5_000_000;
 
-/// What is exported, and by whom. The written names are those that earlier versions read.
+/// The content of the file. The serialized names are those that earlier versions read and write.
 #[derive(Serialize, Deserialize)]
 pub(super) struct StateFile {
     /// The generation of the process that exported it.
     #[serde(rename = "born")]
     pub(super) generation: Generation,
-    /// What the writer's clock said (us). Absent from versions that took all clocks of a machine for one.
+    /// The time of the export on the writer's clock (us). 0 if the file is from a version that did not write it,
+    /// because it assumed that all processes of a machine have the same clock.
     #[serde(default)]
     pub(super) clock: Micros,
+    /// The state that the router has learned.
     #[serde(rename = "learnt")]
     pub(super) learned: Handover,
 }
@@ -28,30 +31,30 @@
 /// Why a state file could not be read.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ReadError {
-    /// There is none.
-    #[error("there is none")]
+    /// The file does not exist.
+    #[error("the file does not exist")]
     Absent,
-    /// The system can't read it just now.
+    /// Reading the file failed; a later attempt may succeed.
     #[error("{0}")]
     Io(io::Error),
-    /// It is not in the form of a state file.
+    /// The content is not that of a state file.
     #[error("{0}")]
     Malformed(#[from] serde_json::Error),
 }
 
 impl StateFile {
-    /// Writes the file, whole or not at all.
+    /// Writes the file atomically: to a temporary file that is then renamed.
     ///
     /// # Errors
-    /// What the system says.
+    /// The temporary file can't be written or renamed.
     pub(super) fn write(&self, path: &Path) -> io::Result<()> {
         let text = serde_json::to_vec(self).map_err(io::Error::other)?;
-        let new = path.with_extension("new");
-        std::fs::write(&new, text)?;
-        std::fs::rename(&new, path)
+        let temporary = path.with_extension("new");
+        std::fs::write(&temporary, text)?;
+        std::fs::rename(&temporary, path)
     }
 
-    /// Reads the file.
+    /// Reads and parses the file.
     ///
     /// # Errors
     /// See [`ReadError`].
@@ -63,11 +66,12 @@
         }
     }
 
-    /// What was learned, on the clock of the process that takes it over now. Both clocks are the machine's wall clock as
-    /// it stood when their process started: it may have been stepped in between.
-    pub(super) fn on_clock(self, now: Micros) -> Handover {
-        let apart = now.abs_diff(self.clock);
-        if self.clock == 0 || apart <= CLOCK_TOLERANCE {
+    /// The learned state, with its times converted to the clock of this process, which shows `now`. The clock of a
+    /// process starts at the machine's wall-clock time and is not stepped with it: if the wall clock was stepped
+    /// between the starts of the two processes, their clocks differ.
+    pub(super) fn with_clock(self, now: Micros) -> Handover {
+        let difference = now.abs_diff(self.clock);
+        if self.clock == 0 || difference <= CLOCK_TOLERANCE {
             return self.learned;
         }
         self.learned.with_clock_shifted(now as i64 - self.clock as i64)
