--- a/crates/router/tests/list_orders.rs
+++ b/crates/router/tests/list_orders.rs
@@ -18,7 +18,7 @@
     let mut late = Vec::new();
     for dispatchers in [1, 4, 40, 100, 300, 100_000] {
         for max_list_age in [0, SECOND / 10, SECOND, 2 * SECOND, 10 * SECOND, 1_000 * SECOND] {
-            // As the watch of the list has it (`LONGEST_WAIT`); the simulator's wire has a rule of its own.
+            // As in `edge::discovery` (`MAX_BACKOFF`); the simulator's wire has a rule of its own.
             let mut asking = ListBackoff::within(2_400_000);
             let waits = (0..200).map(|_| asking.failed(dispatchers, max_list_age, lots.next_u64()));
             let longest = waits.max().unwrap_or(0);
--- a/src/edge/discovery.rs
+++ b/src/edge/discovery.rs
@@ -1,8 +1,8 @@
-//! The watch that follows the list of servers at the discovery agent.
+//! Keeps the list of servers up to date with the discovery agent.
 //!
-//! The list is fetched whole, and changes of it are waited for by long polls. While the agent does not answer the old list
-//! stands, and the agent is asked again: at short intervals where it runs on this machine, with a randomized backoff where
-//! it is one service for all dispatchers.
+//! The whole list is fetched first; long polls then wait for changes. While the agent does not answer, the last list
+//! stays in use and the call is retried: at short intervals if the agent runs on this machine, with a randomized
+//! backoff if it is a service shared by all dispatchers.
 
 mod client;
 pub mod listing;
@@ -23,38 +23,44 @@
 use crate::interface::{ListUpdateKind, Micros};
 use dewladder_router::ListBackoff;
 
-/// The agent is asked to answer after this at the latest. What it has to tell counts as told 6 s after the watch fell
-/// silent, or 2 s after that wait is over, so a short one bounds how long a silent agent goes unnoticed.
+/// The longest time that the agent may hold a long poll open. A change counts as received 6 s after the agent stopped
+/// answering, or 2 s after the end of the poll, so a short poll limits how long an unresponsive agent goes unnoticed.
 const HOLD: Duration = Duration::from_secs(4);
-/// An answer that is this late will not come: the watch is broken and is opened anew after a short pause.
+/// Time limit for an answer, beyond the hold time of a long poll. After that the call has failed, and is repeated
+/// after a short pause.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
-const PAUSE: Duration = Duration::from_millis(100);
-/// An agent that was silent is asked for what it has at once, and given up soon: what it gets as discovery returns counts
-/// as told from that moment, and a call that was lost before must not stand in the way.
-const SILENT_CALL_TIMEOUT: Duration = Duration::from_millis(300);
-/// Each third call waits for longer, for an agent that is slow.
-const LONG_CALL_EACH: u32 = 3;
-/// Where the list is one service for all dispatchers, calls wait there in turn: one that is given up early has
-/// still cost it, and calls are to be few.
+/// Time between a failed call and the next one, where no backoff applies.
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// Time limit for an answer of an agent on this machine after a failed call, when it is asked to answer at once.
+/// Short: once discovery is available again, its changes count as received from that moment, and waiting for a call
+/// that was lost before would delay them.
+const RETRY_CALL_TIMEOUT: Duration = Duration::from_millis(300);
+/// After a failure, each third call to an agent on this machine has the full [`CALL_TIMEOUT`], in case it is slow
+/// rather than unavailable.
+const LONG_CALL_INTERVAL: u32 = 3;
+/// Like [`HOLD`], for a service shared by all dispatchers. It queues calls, and a call that is abandoned early still
+/// costs it time: calls should be few, so both limits are longer.
 const SHARED_HOLD: Duration = Duration::from_secs(20);
+/// Time limit for an answer of a shared service that is asked to answer at once: for the whole list, or after a
+/// failed call.
 const SHARED_CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Whatever else is allowed after calls that failed, a change counts as told 6 s after discovery could be reached: a
-/// lost call, the wait after it and the next call's turn have to fit in (us).
-pub const LONGEST_WAIT: Micros = 2_400_000;
-/// The watch's own row of random numbers.
-const SALT: u64 = 0x6c69_7374;
+/// The longest backoff between calls to a shared service (us). A change counts as received 6 s after discovery became
+/// available again: a lost call, the wait after it and the next call's time in the queue have to fit into that.
+pub const MAX_BACKOFF: Micros = 2_400_000;
+/// Gives this task a random sequence of its own: all generators are derived from one seed.
+const SEED_SALT: u64 = 0x6c69_7374;
 
-/// Follows the list for ever, at the address that `discovery` holds. Another address is turned to at once: the call that
-/// is open at the old one is dropped with its connection, and as versions of the list are the old agent's own, the whole
-/// list is asked for.
+/// Follows the list at the address in `discovery`; never returns. When the address changes, the open call is dropped
+/// with its connection, and the whole list is requested from the new address, because revisions are only comparable
+/// within one agent.
 pub async fn watch(config: Config, mut discovery: watch::Receiver<SocketAddr>, driver: DriverHandle) {
-    // A shared service is spared the whole list where changes since the one that is known will do.
+    // To save a shared service work, only the changes since the known revision are requested.
     let can_resume = config.settings.must_subscribe && !config.known.members.is_empty();
     let mut revision = can_resume.then_some(config.known.revision);
     loop {
         let address = *discovery.borrow_and_update();
         tokio::select! {
-            // Where nobody can name another address any more, the last one is followed for good.
+            // If the sender has been dropped, this branch is disabled and the last address stays.
             Ok(()) = discovery.changed() => {
                 info!(address:% = *discovery.borrow(); "discovery: address changed; the whole list is asked for");
             }
@@ -63,39 +69,39 @@
     }
 }
 
-/// Follows the list at one address: the whole list first, unless a version is known, then a watch that is called again at
-/// once after every answer.
+/// Follows the list at one address; never returns. Requests the whole list first, unless `revision` is known, and
+/// then polls for changes, again as soon as each answer arrives.
 async fn follow(config: &Config, address: SocketAddr, revision: Option<u64>, driver: &DriverHandle) {
     let mut agent = Agent::new(config, address, revision);
     loop {
         match agent.call().await {
             Ok(listing) => {
-                if let Some(update) = agent.accept(&listing, config) {
+                if let Some(update) = agent.record_answer(&listing, config) {
                     driver.send(update);
                 }
             }
             Err(error) => {
-                let pause = agent.fail(&error);
+                let pause = agent.record_failure(&error);
                 tokio::time::sleep(pause).await;
             }
         }
     }
 }
 
-/// The agent at one address, as its calls have gone.
+/// The discovery agent at one address, and how the calls to it have gone.
 struct Agent {
     client: Client,
-    /// It is one service for all dispatchers, not an agent on this machine.
+    /// Whether it is a service shared by all dispatchers, rather than an agent on this machine.
     is_shared: bool,
     dispatchers: u32,
-    /// How often each dispatcher has to ask at the least (us).
+    /// Each dispatcher must ask for the list at least this often (us); 0 if the settings don't say.
     max_list_age: Micros,
-    /// The version of the list that is known.
+    /// The revision of the last list received; `None` if the whole list has to be requested.
     revision: Option<u64>,
-    /// The last call failed.
-    is_silent: bool,
-    /// The last answer was older than the list that is known.
-    was_older: bool,
+    /// Whether the last call failed.
+    last_call_failed: bool,
+    /// Whether the last answer that was received had an older revision than the known list.
+    last_answer_was_older: bool,
     calls: u32,
     backoff: ListBackoff,
     random: Pcg64Mcg,
@@ -109,53 +115,53 @@
             dispatchers: config.settings.dispatcher_count,
             max_list_age: config.settings.max_list_age,
             revision,
-            is_silent: false,
-            was_older: false,
+            last_call_failed: false,
+            last_answer_was_older: false,
             calls: 0,
-            backoff: ListBackoff::within(LONGEST_WAIT),
-            random: Pcg64Mcg::seed_from_u64(config.seed ^ SALT),
+            backoff: ListBackoff::within(MAX_BACKOFF),
+            random: Pcg64Mcg::seed_from_u64(config.seed ^ SEED_SALT),
         }
     }
 
-    /// Asks for changes since the version that is known, or for the whole list.
+    /// Requests the changes since the known revision, or the whole list if none is known.
     async fn call(&mut self) -> Result<Listing, CallError> {
         self.calls = self.calls.wrapping_add(1);
         let hold = self.hold();
-        let wait = if self.revision.is_some() { hold } else { Duration::ZERO };
-        let until = Instant::now() + wait + self.call_timeout();
+        let poll_time = if self.revision.is_some() { hold } else { Duration::ZERO };
+        let until = Instant::now() + poll_time + self.call_timeout();
         let listing = self.client.list(self.revision, hold, until).await?;
         if self.revision.is_some_and(|known| listing.revision < known) {
-            return Err(CallError::Older);
+            return Err(CallError::OlderRevision);
         }
         Ok(listing)
     }
 
-    /// How long the agent may wait for a change.
+    /// How long the agent may hold a long poll open while nothing changes.
     fn hold(&self) -> Duration {
-        match (self.is_silent, self.is_shared) {
+        match (self.last_call_failed, self.is_shared) {
             (true, _) => Duration::ZERO,
             (false, true) => SHARED_HOLD,
             (false, false) => HOLD,
         }
     }
 
-    /// How long an answer may take beyond that.
+    /// Time limit for an answer, in addition to the hold time of a long poll.
     fn call_timeout(&self) -> Duration {
-        match (self.is_shared, self.is_silent) {
+        match (self.is_shared, self.last_call_failed) {
             (true, true) => SHARED_CALL_TIMEOUT,
             (true, false) if self.revision.is_none() => SHARED_CALL_TIMEOUT,
-            (false, true) if !self.calls.is_multiple_of(LONG_CALL_EACH) => SILENT_CALL_TIMEOUT,
+            (false, true) if !self.calls.is_multiple_of(LONG_CALL_INTERVAL) => RETRY_CALL_TIMEOUT,
             _ => CALL_TIMEOUT,
         }
     }
 
-    /// Takes an answer; what the driver is to be told of it, if anything has changed.
-    fn accept(&mut self, listing: &Listing, config: &Config) -> Option<Message> {
-        if std::mem::take(&mut self.is_silent) {
+    /// Records an answer. Returns the message for the driver, or `None` if nothing has changed.
+    fn record_answer(&mut self, listing: &Listing, config: &Config) -> Option<Message> {
+        if std::mem::take(&mut self.last_call_failed) {
             info!("discovery: the agent answers again");
         }
         self.backoff.answered();
-        self.was_older = false;
+        self.last_answer_was_older = false;
         self.revision = Some(listing.revision);
         if !listing.complete && listing.members.is_empty() {
             return None;
@@ -166,23 +172,26 @@
         Some(Message::EndpointsUpdated { how, entries })
     }
 
-    /// Notes a call that failed; how long to wait before the next one. After two answers in a row that are older than the
-    /// list that is known, the whole list is asked for, and taken whatever its version: then the agent has begun anew.
-    fn fail(&mut self, error: &CallError) -> Duration {
+    /// Records a failed call, and returns how long to wait before the next one. Two answers in a row with an older
+    /// revision than the known one mean that the agent was restarted: the whole list is then requested, and accepted
+    /// with any revision.
+    fn record_failure(&mut self, error: &CallError) -> Duration {
         debug!(revision:? = self.revision, reason:% = error; "discovery: call failed");
-        if matches!(error, CallError::Older) && std::mem::replace(&mut self.was_older, true) {
+        if matches!(error, CallError::OlderRevision)
+            && std::mem::replace(&mut self.last_answer_was_older, true)
+        {
             self.revision = None;
         }
-        let is_first = !std::mem::replace(&mut self.is_silent, true);
-        if is_first {
+        let is_first_failure = !std::mem::replace(&mut self.last_call_failed, true);
+        if is_first_failure {
             warn!(reason:% = error; "discovery: no answer from the agent; the old list stands");
         }
-        // The agent on this machine costs nobody anything; what all share must not be worn down by it. A watch that has
-        // just fallen silent is opened anew at once: its time is nearly over.
-        if self.is_shared && !is_first {
+        // Only a shared service must be protected from frequent retries. The first failure is retried soon even
+        // there: a failed long poll has used up most of the time within which a change must be received.
+        if self.is_shared && !is_first_failure {
             let draw = self.random.next_u64();
             return Duration::from_micros(self.backoff.failed(self.dispatchers, self.max_list_age, draw));
         }
-        PAUSE
+        RETRY_PAUSE
     }
 }
--- a/src/edge/discovery/client.rs
+++ b/src/edge/discovery/client.rs
@@ -1,4 +1,4 @@
-//! Calls to the discovery agent.
+//! The HTTP client of the discovery agent.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,39 +13,39 @@
 use crate::edge::discovery::listing::{Answer, Listing, NoReadableEntry};
 use crate::edge::settings::Config;
 
-/// A longer answer is not read.
+/// The maximum length of an answer; a longer one is an error.
 const MAX_ANSWER_BYTES: usize = 4 << 20;
 
-/// Why a call gave no list that can be used.
+/// Why a call did not return a usable list.
 #[derive(Debug, Error)]
 pub(super) enum CallError {
-    /// The address is no part of a request.
+    /// The URI is invalid, so the request could not be built.
     #[error("{0}")]
     Request(#[from] hyper::http::Error),
     /// The agent could not be reached, or the connection broke.
     #[error("{0}")]
     Send(#[from] hyper_util::client::legacy::Error),
-    /// The agent refused.
+    /// The agent answered with a status other than success.
     #[error("status {}", .0.as_u16())]
     Status(StatusCode),
-    /// The answer broke off, or is too long.
+    /// The body of the answer broke off, or exceeds [`MAX_ANSWER_BYTES`].
     #[error("{0}")]
     Body(#[source] Box<dyn std::error::Error + Send + Sync>),
-    /// The answer is not in the form of a list.
+    /// The body is not JSON, or not in the form of [`Answer`].
     #[error("{0}")]
     Malformed(#[from] serde_json::Error),
-    /// No entry of the list can be read.
+    /// The answer has entries, but none of them can be parsed.
     #[error(transparent)]
     NoReadableEntry(#[from] NoReadableEntry),
-    /// The answer is an older list.
-    #[error("an older list than the one that is known")]
-    Older,
-    /// No answer in time.
-    #[error("silence")]
+    /// The revision of the answer is lower than that of the known list.
+    #[error("the answer has an older revision than the known list")]
+    OlderRevision,
+    /// The complete answer did not arrive in time.
+    #[error("no answer in time")]
     Timeout,
 }
 
-/// A client of the agent at one address.
+/// A client of the discovery agent at one address.
 pub(super) struct Client {
     http: Plain<Empty<Bytes>>,
     base: String,
@@ -56,7 +56,8 @@
         Self { http: plain_client(config, 1), base: format!("http://{address}/registry/instances") }
     }
 
-    /// The changes since a version of the list, for which the agent may wait so long; without a version, the whole list.
+    /// Requests the changes since `revision`; the agent may hold the call open for `hold` while there are none.
+    /// Without a revision, requests the whole list. The call fails if it is not complete at `until`.
     pub(super) async fn list(
         &self,
         revision: Option<u64>,
--- a/src/edge/discovery/listing.rs
+++ b/src/edge/discovery/listing.rs
@@ -1,4 +1,4 @@
-//! The list of servers in the discovery agent's form, and what its words stand for.
+//! The list of servers in the discovery agent's format, and its translation to the router's types.
 
 use log::warn;
 use serde::{Deserialize, Deserializer};
@@ -6,30 +6,30 @@
 
 use crate::interface::{CellId, Health, Key, ServerEntry, ServerId, ZoneId};
 
-/// What the list's words stand for.
+/// The configured names of zones and kinds of servers. Their indices are the numbers that the router uses.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
-    /// Zones by number.
+    /// The names of zones, matched with `locality` of an entry.
     pub zones: Vec<String>,
-    /// Kinds of servers by number.
+    /// The names of kinds of servers, matched with `flavor` of an entry.
     pub kinds: Vec<String>,
 }
 
-/// The list, or what has changed in it, as the agent tells it.
+/// The list of servers, or the changes since an earlier revision.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct Listing {
-    /// The list's version.
+    /// The revision of the list. A later list has a higher one.
     #[serde(default)]
     pub revision: u64,
-    /// Whether this is the whole list.
+    /// Whether this is the whole list, rather than only the changed entries.
     #[serde(default)]
     pub complete: bool,
-    /// The entries; one that can't be read is left out.
-    #[serde(default, deserialize_with = "readable")]
+    /// The entries. Those that can't be parsed are left out.
+    #[serde(default, deserialize_with = "deserialize_members")]
     pub members: Vec<Member>,
 }
 
-/// The agent's answer: unlike a list that a file holds, it says of itself what it is, or is not used.
+/// The body of the agent's answer. Unlike in the list of a configuration file, `revision` and `members` are required.
 #[derive(Debug, Deserialize)]
 pub struct Answer {
     revision: u64,
@@ -38,46 +38,47 @@
     members: Vec<Value>,
 }
 
-/// An answer whose entries can't be read, one and all.
+/// None of the entries of an answer can be parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("no entry of members can be read")]
 pub struct NoReadableEntry;
 
 impl Answer {
-    /// The list. An entry that names its server but can't be read otherwise is taken as one that takes no work: it may
-    /// be the word of a drain, which would not be told again.
+    /// Converts the answer to a list. An entry of which only the `id` can be read counts as removed: it may announce
+    /// that the server is draining, and would not be sent again.
     ///
     /// # Errors
-    /// Entries of which none can be read are no list.
+    /// The answer has entries, but none can be parsed. Among changes, an entry with an `id` is enough.
     pub fn listing(self) -> Result<Listing, NoReadableEntry> {
         let Self { revision, complete, members: entries } = self;
         let mut members = Vec::with_capacity(entries.len());
-        let mut is_readable = entries.is_empty();
+        let mut is_usable = entries.is_empty();
         for (number, entry) in entries.iter().enumerate() {
             match Member::deserialize(entry) {
                 Ok(member) if member.health().is_some() => {
-                    is_readable = true;
+                    is_usable = true;
                     members.push(member);
                 }
                 read => {
                     let reason = read.map_or_else(|error| error.to_string(), |member| member.phase);
                     warn!(entry = number, reason = reason.as_str();
                         "discovery: entry of members not readable; nothing is sent to that server");
-                    let named = entry["id"].as_str().map(Member::removed);
-                    // A change in such an entry alone would be told over and over, and never acted on.
-                    is_readable |= !complete && named.is_some();
-                    members.extend(named);
+                    let removed_entry = entry["id"].as_str().map(Member::removed);
+                    // If an answer with only such changes were an error, the agent would send them again and again,
+                    // and they would never be acted on.
+                    is_usable |= !complete && removed_entry.is_some();
+                    members.extend(removed_entry);
                 }
             }
         }
-        if !is_readable {
+        if !is_usable {
             return Err(NoReadableEntry);
         }
         Ok(Listing { revision, complete, members })
     }
 }
 
-/// A server as the agent names it.
+/// An entry of the list: a server.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Member {
     id: String,
@@ -95,8 +96,8 @@
     up_since_ms: u64,
 }
 
-/// Guards the list: one entry that can't be read must not cost all the others.
-fn readable<'de, D: Deserializer<'de>>(input: D) -> Result<Vec<Member>, D::Error> {
+/// Deserializes the entries one by one: one that can't be parsed must not make the whole list unusable.
+fn deserialize_members<'de, D: Deserializer<'de>>(input: D) -> Result<Vec<Member>, D::Error> {
     let entries = Vec::<Value>::deserialize(input)?;
     let mut members = Vec::with_capacity(entries.len());
     for (number, entry) in entries.into_iter().enumerate() {
@@ -115,6 +116,7 @@
 }
 
 impl Member {
+    /// An entry that marks a server as removed.
     fn removed(id: &str) -> Self {
         Self {
             id: id.to_owned(),
@@ -128,6 +130,7 @@
         }
     }
 
+    /// The health that the phase stands for; `None` for an unknown phase.
     fn health(&self) -> Option<Health> {
         match self.phase.as_str() {
             "up" => Some(Health::Ready),
@@ -137,7 +140,8 @@
         }
     }
 
-    /// The entry for the decisions, and the address; `None` if its phase is not known.
+    /// The router's entry for this server, and the server's address; `None` for an unknown phase. A zone or kind
+    /// without a configured name is parsed as a number, or else is `u32::MAX`.
     fn entry(&self, names: &Names) -> Option<(ServerEntry, String)> {
         let number = |list: &[String], name: &str| {
             let at = list.iter().position(|known| known == name);
@@ -156,8 +160,9 @@
     }
 }
 
-/// A server's number, from its id's text alone: the same at every dispatcher. Of an id in the protocol's form, a letter, a
-/// dash and eight hex digits, the digits are the number; any other text is hashed as a whole.
+/// The router's number for a server id. It depends on the id alone, so that all dispatchers use the same one. In the
+/// protocol's form of an id (a letter, a dash and eight hex digits) the digits are the number; any other id is
+/// hashed.
 #[must_use]
 pub fn server_id(id: &str) -> ServerId {
     let digits = id.split_once('-').filter(|(kind, digits)| kind.len() == 1 && digits.len() == 8);
@@ -168,7 +173,7 @@
     }))
 }
 
-/// The entries of a listing with their addresses; one in an unknown phase is left out.
+/// The router's entries for a list, each with the server's address. Entries in an unknown phase are left out.
 #[must_use]
 pub fn entries(listing: &Listing, names: &Names) -> Vec<(ServerEntry, String)> {
     listing.members.iter().filter_map(|member| member.entry(names)).collect()
