--- a/src/edge/dispatcher.rs
+++ b/src/edge/dispatcher.rs
@@ -1,8 +1,9 @@
-//! A dispatcher: its parts are put together and bound to their addresses ([`Dispatcher::bind`]), and run until it is told
-//! to end ([`Dispatcher::run`]).
+//! A dispatcher: [`Dispatcher::bind`] creates its parts and binds their addresses, and [`Dispatcher::run`] serves
+//! until shutdown.
 //!
-//! [`Phase`] tells all parts how far the program has come: it joins while another process still serves, serves, and on
-//! SIGTERM leaves (or yields to the process that replaces it), closes its listeners, and ends once nothing is held.
+//! All parts follow the [`Phase`] of the process: joining while another process still serves, then serving; at
+//! SIGTERM leaving, or yielding if another process replaces this one; then closing the listeners. The process ends
+//! when no request is open and no release is under way.
 
 mod listeners;
 mod running;
@@ -22,7 +23,7 @@
 use crate::edge::cluster::{BindError, Cluster};
 use crate::edge::config_reload::ConfigReloader;
 pub use crate::edge::dispatcher::listeners::ListenError;
-use crate::edge::dispatcher::listeners::{bind_peers, listen};
+use crate::edge::dispatcher::listeners::{bind_gossip, listen};
 pub use crate::edge::dispatcher::running::RunError;
 use crate::edge::driver::{Driver, DriverHandle};
 use crate::edge::gossip_transport::GossipTransport;
@@ -33,29 +34,29 @@
 use crate::edge::transient::{self, is_transient, outlast};
 use dewladder_hot_restart::Stage;
 
-/// Why a dispatcher can't start; one plain line.
+/// Why a dispatcher can't start. The message is a single line.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// An address can't be listened on.
+    /// Listening on an address failed.
     #[error(transparent)]
     Listen(#[from] ListenError),
-    /// The settings of the chat front can't be used.
+    /// A setting of the chat front is invalid.
     #[error(transparent)]
     Chat(#[from] FieldError),
-    /// The cluster table can't be used, or its address is taken.
+    /// The settings in `[cluster]` are invalid, or its address is in use.
     #[error(transparent)]
     Cluster(#[from] BindError),
 }
 
-/// A front: what is served at an address.
+/// An HTTP front: an address and the routes served there.
 struct Front {
     address: SocketAddr,
-    /// Comes later where another process still serves there.
+    /// `None` while another process still serves at the address; the listener is then opened by [`Dispatcher::run`].
     listener: Option<TcpListener>,
     routes: axum::Router,
 }
 
-/// A dispatcher that listens and is ready to run.
+/// A dispatcher whose addresses are bound and that is ready to run.
 pub struct Dispatcher {
     config: Config,
     clock: Clock,
@@ -73,29 +74,31 @@
 }
 
 impl Dispatcher {
-    /// Binds all addresses.
+    /// Creates all parts and binds their addresses. During a hot restart, the addresses of the fronts are bound
+    /// later, when the other process has a share of the limits to spare.
     ///
     /// # Errors
-    /// Settings that can't be used, and addresses that can't be listened on.
+    /// A setting of an optional front is invalid, or listening on an address failed.
     pub fn bind(config: Config, settings: &Fronts) -> Result<Self, StartError> {
         let clock = Clock::start();
-        // Where there is a second address, another process may take over while this one serves.
+        // With a second address, a new process may be started on the same addresses while this one serves.
         let shared = config.admin.is_some();
         let (mut driver, to_driver) = Driver::new(&config, clock);
         let gossip = open_gossip_transport(&config, shared);
         driver.set_gossip_transport(gossip.clone().unwrap_or_default());
         let figures = driver.figures();
-        // Only where there is a second address can another process be told to take over.
+        // Without a second address, no new process can be started beside this one: hot restart is off.
         let folder = std::env::var("TMPDIR").ok().filter(|_| shared);
         let hot_restart = folder.map(|folder| HotRestartTask::start(&config, &folder, clock));
-        let joins = hot_restart.as_ref().is_some_and(|task| task.status().own.stage == Stage::Joining);
-        let (phase, phases) = watch::channel(if joins { Phase::Joining } else { Phase::Serving });
+        let starts_joining =
+            hot_restart.as_ref().is_some_and(|task| task.status().own.stage == Stage::Joining);
+        let (phase, phases) = watch::channel(if starts_joining { Phase::Joining } else { Phase::Serving });
         let health = Health::new(figures.clone(), phases, config.max_open_requests());
         let table = settings.cluster.as_ref().filter(|cluster| cluster.enabled);
         let cluster = table.map(|table| Cluster::bind(table, &config.name, shared, clock, config.seed));
         let cluster = cluster.transpose()?;
         let open_front = |address, routes: axum::Router| -> Result<Front, ListenError> {
-            let listener = if joins { None } else { Some(listen(address, shared)?) };
+            let listener = if starts_joining { None } else { Some(listen(address, shared)?) };
             Ok(Front { address, listener, routes: routes.merge(balancers::routes(health.clone())) })
         };
         let platform = platform::front(clock, to_driver.clone(), figures.clone());
@@ -126,7 +129,8 @@
         })
     }
 
-    /// Where the fronts listen: the platform's, then the chat front, if it is on; last the agent check.
+    /// The addresses of the open listeners, in this order: the platform's front, the chat front and the agent check.
+    /// Those that are off or not open yet are left out.
     #[must_use]
     pub fn addresses(&self) -> Vec<SocketAddr> {
         let fronts = self.fronts.iter().filter_map(|front| front.listener.as_ref());
@@ -134,37 +138,38 @@
         listeners.filter_map(|listener| listener.local_addr().ok()).collect()
     }
 
-    /// What takes over new settings while it runs; `discovery` is told where the list is to be watched.
+    /// Creates the reloader of this dispatcher's configuration. It publishes the address of the discovery agent on
+    /// `discovery`.
     #[must_use]
     pub fn config_reloader(&self, discovery: watch::Sender<SocketAddr>) -> ConfigReloader {
         let (config, driver, figures) = (self.config.clone(), self.to_driver.clone(), self.figures.clone());
         ConfigReloader::new(config, driver, figures, discovery)
     }
 
-    /// The way to the driver.
+    /// A handle that sends messages to the driver.
     #[must_use]
     pub fn driver(&self) -> DriverHandle {
         self.to_driver.clone()
     }
 
-    /// What health answers are told from.
+    /// The state from which health checks are answered.
     #[must_use]
     pub fn health(&self) -> Health {
         self.health.clone()
     }
 
-    /// Where the second address is, if there is one.
+    /// The second address as it was bound; `None` if there is none.
     #[must_use]
     pub fn admin(&self) -> Option<SocketAddr> {
         self.admin.as_ref().map(Admin::address)
     }
 }
 
-/// The socket for load gossip, where the settings allow it. What others know is a help, not a need: without it, each
-/// dispatcher learns by itself.
+/// Opens the socket for load gossip; `None` if the settings don't allow gossip, or if the socket can't be opened.
+/// Gossip is optional: without it, each dispatcher relies on its own observations.
 fn open_gossip_transport(config: &Config, shared: bool) -> Option<GossipTransport> {
     let (address, all) = config.peers?;
-    match bind_peers(address, all, shared) {
+    match bind_gossip(address, all, shared) {
         Ok(peers) => Some(peers),
         Err(error) => {
             warn!(address:% = address, reason:% = error; "gossip: can't listen; load gossip is not received");
@@ -173,6 +178,7 @@
     }
 }
 
+/// Starts answering on the second address; retries for a while if listening fails with a transient error.
 fn start_admin(
     at: SocketAddr,
     health: &Health,
--- a/src/edge/dispatcher/running.rs
+++ b/src/edge/dispatcher/running.rs
@@ -1,4 +1,4 @@
-//! A dispatcher that runs: its tasks from the start to the last request.
+//! Runs a dispatcher: starts its tasks, serves, and shuts down after the last request.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -32,32 +32,33 @@
 use crate::interface::ListUpdateKind;
 use dewladder_hot_restart::{RestartStatus, Stage};
 
-/// Time between two looks at whether anything is still held.
+/// Time between two checks, during shutdown, of whether requests are still open or releases under way.
 const DRAIN_POLL: Duration = Duration::from_millis(20);
 
-/// Why a dispatcher ended by itself; one plain line.
+/// Why a dispatcher stopped without being told to shut down. The message is a single line.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum RunError {
-    /// The driver ended.
+    /// The driver task ended, which it should never do.
     #[error("the driver ended: {0}")]
     DriverEnded(String),
-    /// The watch of the list ended.
+    /// The task that follows the server list ended, which it should never do.
     #[error("the watch of the list ended: {0}")]
     WatchEnded(String),
-    /// An address that another process has left can't be listened on.
+    /// Listening on the address of a front failed after waiting for another process of this dispatcher.
     #[error("{0}")]
     Listen(String),
 }
 
 impl Dispatcher {
-    /// Serves until `end` comes, then finishes what is held. The list is watched at the address that `discovery` holds.
+    /// Serves until `shutdown` completes, then finishes the open requests and releases. The server list is followed
+    /// at the address in `discovery`.
     ///
     /// # Errors
-    /// Which part ended by itself.
+    /// A task ended that should not, or listening on a front's address failed.
     pub async fn run(
         self,
         discovery: watch::Receiver<SocketAddr>,
-        end: impl Future<Output = ()>,
+        shutdown: impl Future<Output = ()>,
     ) -> Result<(), RunError> {
         let Self { config, driver, to_driver, figures, phase, clock, .. } = self;
         let known = listing::entries(&config.known, &config.names);
@@ -69,7 +70,7 @@
         to_driver.send(Message::EndpointsUpdated { how, entries: known });
         let gossip = self.gossip.map(|gossip| receive_gossip(gossip, to_driver.clone()));
         let mut driver = tokio::spawn(driver.run());
-        let mut watching = tokio::spawn(discovery::watch(config.clone(), discovery, to_driver.clone()));
+        let mut list_task = tokio::spawn(discovery::watch(config.clone(), discovery, to_driver.clone()));
         let limits = ConnectionLimits::new(config.max_client_connections());
         let health = self.health;
         let agent = self.agent.map(|listener| tokio::spawn(balancers::agent_check(listener, health)));
@@ -77,44 +78,44 @@
         let shared = Shared { config, limits, to_driver, figures, phase, clock };
         let mut hot_restart = self.hot_restart.map(|task| RestartFollower::spawn(task, &shared));
 
-        let mut end = std::pin::pin!(end);
-        if !wait_for_turn(&shared, hot_restart.as_mut(), end.as_mut()).await {
+        let mut shutdown = std::pin::pin!(shutdown);
+        if !wait_for_limit_share(&shared, hot_restart.as_mut(), shutdown.as_mut()).await {
             return Ok(());
         }
-        let Some(serving) = serve_fronts(self.fronts, &shared, end.as_mut()).await? else { return Ok(()) };
+        let Some(tasks) = serve_fronts(self.fronts, &shared, shutdown.as_mut()).await? else { return Ok(()) };
         shared.phase.send_replace(Phase::Serving);
         let Config { name, listen, .. } = &shared.config;
         info!("{name}: serving on {listen}, {servers_known} servers known");
         tokio::select! {
-            () = &mut end => {}
+            () = &mut shutdown => {}
             ended = &mut driver => return Err(RunError::DriverEnded(format!("{ended:?}"))),
-            ended = &mut watching => return Err(RunError::WatchEnded(format!("{ended:?}"))),
+            ended = &mut list_task => return Err(RunError::WatchEnded(format!("{ended:?}"))),
         }
 
         leave(&shared, hot_restart.as_mut()).await;
-        finish(serving, &shared.figures).await;
+        wait_until_drained(tasks, &shared.figures).await;
         let hot_restart = hot_restart.map(|follower| follower.task);
         for task in [agent, gossip, hot_restart].into_iter().flatten() {
             task.abort();
         }
-        watching.abort();
-        // Told last: to the end this instance may hold something at servers.
+        list_task.abort();
+        // The cluster is left last: until now, this instance may have had state held at servers.
         if let Some(cluster) = cluster {
             cluster.leave().await;
         }
-        drop::<Option<Admin>>(self.admin); // it answers to the end
+        drop::<Option<Admin>>(self.admin); // callers are answered until the end
         info!("nothing is held any more: ending");
         Ok(())
     }
 }
 
-/// Hands what other dispatchers say to the driver, for ever.
+/// Spawns a task that passes gossip messages of other dispatchers to the driver.
 fn receive_gossip(gossip: GossipTransport, driver: DriverHandle) -> JoinHandle<()> {
     let deliver = move |bytes| driver.send(Message::Input(Input::GossipReceived(bytes)));
     tokio::spawn(gossip.receive(deliver))
 }
 
-/// What the tasks of a dispatcher go by.
+/// The state that the tasks of a dispatcher share.
 struct Shared {
     config: Config,
     limits: ConnectionLimits,
@@ -124,7 +125,7 @@
     clock: Clock,
 }
 
-/// The hot restart's task, and both processes as it sees them.
+/// The hot restart task, and the status of both processes that it publishes.
 struct RestartFollower {
     task: JoinHandle<()>,
     status: watch::Receiver<Option<RestartStatus>>,
@@ -139,20 +140,22 @@
         Self { task: tokio::spawn(run), status }
     }
 
-    /// Waits until this process announces that it has left a stage, or reached one; `None` where that is never known.
-    async fn wait_for(&mut self, reached: impl Fn(Stage) -> bool) -> Option<RestartStatus> {
+    /// Waits until this process has announced a stage for which `is_reached` returns true. `None` if the task ended
+    /// before.
+    async fn wait_for(&mut self, is_reached: impl Fn(Stage) -> bool) -> Option<RestartStatus> {
         let has_reached =
-            |status: &Option<RestartStatus>| status.is_some_and(|status| reached(status.own.stage));
+            |status: &Option<RestartStatus>| status.is_some_and(|status| is_reached(status.own.stage));
         let status = self.status.wait_for(has_reached).await.ok()?;
         *status
     }
 }
 
-/// Waits while another process serves and has no share of the limits to spare; `false` where the end comes before.
-async fn wait_for_turn(
+/// Waits while another process serves and has no share of the limits to spare. Returns false if `shutdown` completed
+/// first.
+async fn wait_for_limit_share(
     shared: &Shared,
     follower: Option<&mut RestartFollower>,
-    end: Pin<&mut impl Future<Output = ()>>,
+    shutdown: Pin<&mut impl Future<Output = ()>>,
 ) -> bool {
     if *shared.phase.borrow() != Phase::Joining {
         return true;
@@ -162,23 +165,24 @@
         "dispatcher: another process serves; waiting for a share of its limits");
     let Some(follower) = follower else { return true };
     tokio::select! {
-        () = end => false,
+        () = shutdown => false,
         _ = follower.wait_for(|stage| stage != Stage::Joining) => true,
     }
 }
 
-/// Serves all fronts; `None` where the end comes before another process has left their addresses.
+/// Spawns a task for each front, after opening the listeners that are not open yet. Returns `None` if `shutdown`
+/// completed before all listeners were open.
 async fn serve_fronts(
     fronts: Vec<Front>,
     shared: &Shared,
-    mut end: Pin<&mut impl Future<Output = ()>>,
+    mut shutdown: Pin<&mut impl Future<Output = ()>>,
 ) -> Result<Option<Vec<JoinHandle<()>>>, RunError> {
-    let mut serving = Vec::new();
+    let mut tasks = Vec::new();
     for front in fronts {
         let listener = match front.listener {
             Some(listener) => listener,
             None => tokio::select! {
-                () = end.as_mut() => return Ok(None),
+                () = shutdown.as_mut() => return Ok(None),
                 listener = listen_while_running(front.address) => {
                     listener.map_err(|error| RunError::Listen(error.to_string()))?
                 }
@@ -186,19 +190,21 @@
         };
         let (limits, figures) = (shared.limits.clone(), shared.figures.clone());
         let phases = shared.phase.subscribe();
-        serving.push(tokio::spawn(listener::serve(listener, front.routes, limits, figures, phases)));
+        tasks.push(tokio::spawn(listener::serve(listener, front.routes, limits, figures, phases)));
     }
-    Ok(Some(serving))
+    Ok(Some(tasks))
 }
 
-/// Has clients leave, or leaves new ones to the process that has replaced this one; then listeners close.
+/// Starts the shutdown: asks clients to close their connections, or stops accepting new ones if another process
+/// replaces this one. Then waits until it is time to close the listeners and idle connections.
 async fn leave(shared: &Shared, follower: Option<&mut RestartFollower>) {
     let Shared { clock, to_driver, phase, .. } = shared;
     let times = ShutdownTimes::new(&to_driver.settings(), clock.now());
     let close_at = clock.instant(times.close_at);
     to_driver.send(Message::Input(Input::Leaving(times)));
     phase.send_replace(Phase::Leaving);
-    // The platform tells this one to end as soon as the other says yes: its announcement is looked at once more.
+    // The platform sends SIGTERM as soon as the new process reports ready. The status from before may be older than
+    // that, so wait for one that was published after the peer's announcement was read again.
     let status = match follower {
         Some(follower) => {
             let announced = follower.wait_for(|stage| stage == Stage::Leaving);
@@ -216,9 +222,9 @@
     phase.send_replace(Phase::Closing);
 }
 
-/// Waits until all fronts have ended and nothing is held for requests.
-async fn finish(serving: Vec<JoinHandle<()>>, figures: &Figures) {
-    for front in serving {
+/// Waits until all fronts have ended, no request is open and no release is under way.
+async fn wait_until_drained(tasks: Vec<JoinHandle<()>>, figures: &Figures) {
+    for front in tasks {
         report_panic("front", front.await);
     }
     while !figures.nothing_held() {
@@ -226,7 +232,7 @@
     }
 }
 
-/// The cluster's part, while it runs.
+/// The running task of the cluster.
 struct ClusterTask {
     leave: oneshot::Sender<()>,
     task: JoinHandle<()>,
@@ -234,19 +240,20 @@
 
 impl ClusterTask {
     fn spawn(cluster: Cluster) -> Self {
-        let (leave, left) = oneshot::channel();
-        Self { leave, task: tokio::spawn(cluster.run(left)) }
+        let (leave, leave_requested) = oneshot::channel();
+        Self { leave, task: tokio::spawn(cluster.run(leave_requested)) }
     }
 
-    /// Tells the other instances that this one leaves, and waits until that is done.
+    /// Has the task tell the other instances that this one leaves, and waits until it has ended.
     async fn leave(self) {
-        let _ = self.leave.send(()); // it may have ended
+        let _ = self.leave.send(()); // the task may have ended already
         report_panic("cluster", self.task.await);
     }
 }
 
+/// Logs a task that ended by a panic.
 fn report_panic(part: &str, ended: Result<(), JoinError>) {
-    if let Err(panic) = ended {
-        error!(part, reason:% = panic; "dispatcher: a task panicked");
+    if let Err(join_error) = ended {
+        error!(part, reason:% = join_error; "dispatcher: a task panicked");
     }
 }
