--- a/src/edge/config_reload.rs
+++ b/src/edge/config_reload.rs
@@ -1,4 +1,5 @@
-//! New settings while the dispatcher runs: the configuration file is read again, checked, and taken over in one step.
+//! Reloads the configuration file while the dispatcher runs: the file is read, checked, and applied as a whole or not
+//! at all.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,10 +13,11 @@
 use crate::edge::stats::Figures;
 use crate::edge::transient;
 
-/// A file that the system can't read just now is read again for so long: clients go by it soon.
-const READ_RETRY: Duration = Duration::from_secs(1);
+/// How long reading the file is retried while it fails with a transient error. Short, as clients soon rely on the new
+/// settings.
+const READ_RETRY_TIME: Duration = Duration::from_secs(1);
 
-/// Takes over new settings while the dispatcher runs.
+/// Applies reloaded settings to a running dispatcher.
 pub struct ConfigReloader {
     config: Config,
     driver: DriverHandle,
@@ -24,7 +26,8 @@
 }
 
 impl ConfigReloader {
-    /// A reloader for a dispatcher that runs on `config`; `discovery` is told where the list is to be watched.
+    /// Creates a reloader for a dispatcher that runs with `config`. The address of the discovery agent is published
+    /// on `discovery` after each reload.
     #[must_use]
     pub fn new(
         config: Config,
@@ -35,7 +38,7 @@
         Self { config, driver, figures, discovery }
     }
 
-    /// Reads the file at `path` again and takes it over in one step; one that is broken changes nothing.
+    /// Reloads the file at `path` once. A file that can't be read or used is logged and counted, and changes nothing.
     pub fn reload(&mut self, path: &str, environment: impl Fn(&str) -> Option<String>) {
         match self.config.read_again(path, environment) {
             Ok(reloaded) => self.take_over(reloaded),
@@ -43,13 +46,14 @@
         }
     }
 
-    /// The same, and a file that the system can't read just now is read again for a second.
+    /// Like [`reload`](Self::reload), but retries for up to [`READ_RETRY_TIME`] while reading fails with a transient
+    /// error.
     pub async fn reload_with_retries(&mut self, path: &str, environment: impl Fn(&str) -> Option<String>) {
-        let until = Instant::now() + READ_RETRY;
+        let retry_until = Instant::now() + READ_RETRY_TIME;
         loop {
             match self.config.read_again(path, &environment) {
                 Ok(reloaded) => return self.take_over(reloaded),
-                Err(error) if error.is_transient() && Instant::now() < until => {
+                Err(error) if error.is_transient() && Instant::now() < retry_until => {
                     tokio::time::sleep(transient::PAUSE).await;
                 }
                 Err(error) => return self.reject(&error),
--- a/src/edge/settings.rs
+++ b/src/edge/settings.rs
@@ -1,5 +1,5 @@
-//! What the program is told: the platform's configuration file ([`Config`]), which SIGHUP has read again
-//! ([`ReloadedConfig`]), and the fronts beside the platform's ([`Fronts`]), which only a start reads.
+//! The settings of the program: the platform's configuration file ([`Config`]), which is reloaded at SIGHUP
+//! ([`ReloadedConfig`]), and the settings file of the optional fronts ([`Fronts`]), which is read only at startup.
 
 mod config;
 mod error;
--- a/src/edge/settings/config.rs
+++ b/src/edge/settings/config.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration file, and the limits that follow from it.
+//! The platform's configuration file, and the limits on requests and connections that are derived from it.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,19 +20,22 @@
 const DISCOVERY_VARIABLE: &str = "ROUTER_DISCOVERY";
 const ADMIN_VARIABLE: &str = "ROUTER_ADMIN_ADDR";
 
-/// A client may be left without an event for 5 s. Where it can ask for the rest, a stream is cut in good time before that.
-const STALL_RESUMED: Duration = Duration::from_millis(4_500);
-/// Where it can't, cutting loses the request, so that the last moment is waited for.
-const STALL_LOST: Duration = Duration::from_millis(4_950);
+/// Time without an event after which a stream is cut, if streams may be resumed. A client may be left without an event
+/// for at most 5 s, and the rest of the stream still has to be requested within that time.
+const STALL_TIMEOUT_WITH_RESUME: Duration = Duration::from_millis(4_500);
+/// The same if streams can't be resumed: cutting the stream loses the request, so it is given almost all of the 5 s.
+const STALL_TIMEOUT_WITHOUT_RESUME: Duration = Duration::from_millis(4_950);
 
-/// Where the settings do not tell (seconds).
+/// Default of `limits.keepalive_s` (seconds).
 const DEFAULT_KEEPALIVE_S: f64 = 30.0;
+/// Default of `limits.connect_timeout_s` (seconds).
 const DEFAULT_CONNECT_TIMEOUT_S: f64 = 0.25;
 
-/// Fields of the file that only a start reads: a later file may do without, and the list is long.
-const START_FIELDS: [&str; 2] = ["known", "seed"];
+/// Fields of the file that are read only at startup. A reloaded file may lack them, and the list in `known` is long:
+/// they are left out of [`Config::file`].
+const START_ONLY_FIELDS: [&str; 2] = ["known", "seed"];
 
-/// The file as it is written.
+/// The top-level fields of the configuration file.
 #[derive(Deserialize)]
 struct File {
     name: Option<String>,
@@ -50,18 +53,18 @@
     settings: Value,
 }
 
-/// What the machine gives the program.
+/// The resources that the program may use.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(default)]
 pub struct Limits {
-    /// Memory in megabytes.
+    /// Memory in MiB.
     pub memory_mb: u64,
-    /// File descriptors.
+    /// The maximum number of open file descriptors.
     pub sockets: usize,
 }
 
 impl Limits {
-    /// Whether a program can run within them.
+    /// Checks that no limit is 0.
     fn check(self) -> Result<(), Problem> {
         match self {
             Self { memory_mb: 0, .. } => Err(Problem::ZeroLimit("limits.memory_mb")),
@@ -70,7 +73,7 @@
         }
     }
 
-    /// The memory in bytes.
+    /// `memory_mb` in bytes.
     #[must_use]
     pub fn memory_bytes(&self) -> f64 {
         (self.memory_mb << 20) as f64
@@ -83,54 +86,56 @@
     }
 }
 
-/// The whole configuration.
+/// The checked content of the configuration file, completed from environment variables.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The dispatcher's name.
+    /// The dispatcher's name; empty if it is set neither in the file nor in `ROUTER_NAME`.
     pub name: String,
-    /// Where clients connect.
+    /// The address that the platform's front listens on.
     pub listen: SocketAddr,
-    /// Where discovery is.
+    /// The address of the discovery agent.
     pub discovery: SocketAddr,
-    /// Where messages of other dispatchers arrive, and the address that reaches them all; `None` where the
-    /// settings bar such messages or an address is not told.
+    /// For load gossip: the address that receives datagrams of other dispatchers, and the address that reaches all of
+    /// them. `None` if the settings forbid such messages, or if one of the two is not configured.
     pub peers: Option<(SocketAddr, SocketAddr)>,
-    /// The second address, for staff and platform; without it nothing listens there.
+    /// The second address, for operators and the platform; `None` if there is none.
     pub admin: Option<SocketAddr>,
-    /// For random numbers.
+    /// The seed of the random number generators: the value of a hexadecimal `seed`, a hash of any other text.
     pub seed: u64,
-    /// What the machine gives.
+    /// The resources that the program may use.
     pub limits: Limits,
-    /// The list as it was last held.
+    /// The server list as last known before the start; empty if the file has none.
     pub known: Listing,
-    /// What the decisions are told.
+    /// The settings of the router.
     pub settings: Settings,
-    /// Names of zones and of kinds of servers, by number.
+    /// The names of zones and of kinds of servers; their indices are the numbers that the router uses.
     pub names: Names,
-    /// Idle connections are closed by servers after this.
+    /// Time after which servers close an idle connection.
     pub keepalive: Duration,
-    /// Connections not established by then have failed.
+    /// Time limit for establishing a connection to a server.
     pub connect_timeout: Duration,
-    /// A stream without an event for so long has stalled and is cut.
+    /// Time without an event after which a stream counts as stalled and is cut.
     pub stall: Duration,
-    /// A stream that broke may go on elsewhere.
+    /// `domain.resume`: whether a stream that broke off may be resumed at another server.
     pub resume: bool,
-    /// The file as it was read, without the list: what a later one is held against.
+    /// The content of the file without [`START_ONLY_FIELDS`]: a reloaded file is compared with it.
     pub(super) file: Value,
 }
 
 impl Config {
-    /// Reads the file at `path`; what it leaves out is taken from `environment`.
+    /// Reads the file at `path`. The name and addresses that it lacks are looked up by `environment`, which returns
+    /// the value of an environment variable.
     ///
     /// # Errors
-    /// A file that is absent, malformed or leaves out what nothing else tells.
+    /// The file can't be read or is malformed, a setting is invalid, or a required address is missing in both the
+    /// file and the environment.
     pub fn read(path: &str, environment: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
         let text = std::fs::read_to_string(path)
             .map_err(|error| ConfigError::File { path: path.to_owned(), error })?;
         Self::parse(path, &text, environment)
     }
 
-    /// Reads a configuration's text; `path` is named in errors.
+    /// Parses the text of a configuration file; `path` is used in error messages only.
     ///
     /// # Errors
     /// See [`Config::read`].
@@ -144,14 +149,14 @@
         let input = &mut serde_json::Deserializer::from_str(text);
         let file: File = serde_path_to_error::deserialize(input).map_err(|error| malformed(error.into()))?;
         if let Some(fields) = raw.as_object_mut() {
-            fields.retain(|name, _| !START_FIELDS.contains(&name.as_str()));
+            fields.retain(|name, _| !START_ONLY_FIELDS.contains(&name.as_str()));
         }
         let parsed = ParsedSettings::read(&file.settings).map_err(malformed)?;
         rules::check(&file.settings).map_err(malformed)?;
         file.limits.check().map_err(malformed)?;
         let resume = read_flag(&parsed.values, "domain.resume").map_err(malformed)?;
         let addresses = Addresses::read(path, &file, &environment)?;
-        let times = Times::read(&parsed.values).map_err(malformed)?;
+        let timeouts = Timeouts::read(&parsed.values).map_err(malformed)?;
         let settings = parsed.settings;
         Ok(Self {
             name: file.name.or_else(|| environment(NAME_VARIABLE)).unwrap_or_default(),
@@ -163,34 +168,35 @@
             limits: file.limits,
             known: file.known.unwrap_or_default(),
             names: Names {
-                zones: read_words(&parsed.values, "failure_domains"),
-                kinds: read_words(&parsed.values, "kinds"),
+                zones: read_list(&parsed.values, "failure_domains"),
+                kinds: read_list(&parsed.values, "kinds"),
             },
-            keepalive: times.keepalive,
-            connect_timeout: times.connect_timeout,
-            stall: if resume { STALL_RESUMED } else { STALL_LOST },
+            keepalive: timeouts.keepalive,
+            connect_timeout: timeouts.connect_timeout,
+            stall: if resume { STALL_TIMEOUT_WITH_RESUME } else { STALL_TIMEOUT_WITHOUT_RESUME },
             resume,
             settings,
             file: raw,
         })
     }
 
-    /// Requests that are open at once: each may need a socket on either side.
+    /// The maximum number of open requests. Each may need a socket to its client and one to a server.
     #[must_use]
     pub fn max_open_requests(&self) -> usize {
         (self.limits.sockets / 3).max(4)
     }
 
-    /// Client connections at once, with those that stand idle: together with a server's socket for each open
-    /// request, a sixth for idle connections to servers, and some for releases, the list and clients that are
-    /// told that there is no room, these are all descriptors.
+    /// The maximum number of client connections, idle ones included. They take half of the descriptors. The other
+    /// half is for a server connection per open request (a third of all), idle connections to servers (a sixth), and
+    /// a few for releases, the server list, clients rejected because no connection slot is free, and the second
+    /// address.
     #[must_use]
     pub fn max_client_connections(&self) -> usize {
-        let second = self.admin.map_or(0, |_| DESCRIPTORS);
-        (self.limits.sockets / 2).saturating_sub(16 + second).max(4)
+        let admin_descriptors = self.admin.map_or(0, |_| DESCRIPTORS);
+        (self.limits.sockets / 2).saturating_sub(16 + admin_descriptors).max(4)
     }
 
-    /// Idle connections that are kept to each server.
+    /// The maximum number of idle connections kept to each server. The known servers, at least 10, share the budget.
     #[must_use]
     pub fn max_idle_per_server(&self) -> usize {
         let servers = self.known.members.len().max(10);
@@ -198,7 +204,7 @@
     }
 }
 
-/// The settings as the router reads them, and the pairs that they were read from.
+/// The router's settings, and the `path=value` pairs that they were parsed from.
 struct ParsedSettings {
     settings: Settings,
     values: HashMap<String, String>,
@@ -216,22 +222,22 @@
     }
 }
 
-/// Times of connections to servers.
-struct Times {
+/// Timeouts of connections to servers.
+struct Timeouts {
     keepalive: Duration,
     connect_timeout: Duration,
 }
 
-impl Times {
+impl Timeouts {
     fn read(values: &HashMap<String, String>) -> Result<Self, Problem> {
         Ok(Self {
-            keepalive: read_time(values, "limits.keepalive_s", DEFAULT_KEEPALIVE_S)?,
-            connect_timeout: read_time(values, "limits.connect_timeout_s", DEFAULT_CONNECT_TIMEOUT_S)?,
+            keepalive: read_duration(values, "limits.keepalive_s", DEFAULT_KEEPALIVE_S)?,
+            connect_timeout: read_duration(values, "limits.connect_timeout_s", DEFAULT_CONNECT_TIMEOUT_S)?,
         })
     }
 }
 
-/// Addresses that the file tells, or the environment in its place.
+/// The addresses from the file, or from environment variables if the file lacks them.
 struct Addresses {
     listen: SocketAddr,
     discovery: SocketAddr,
@@ -247,11 +253,11 @@
         let from_environment = |variable| {
             let text = environment(variable).ok_or(ConfigError::Missing(variable))?;
             text.parse().map_err(|_| {
-                let problem = Problem::NoAddress { variable, text };
+                let problem = Problem::InvalidAddress { variable, text };
                 ConfigError::Malformed { path: path.to_owned(), problem }
             })
         };
-        let address = |told: Option<SocketAddr>, variable| match told {
+        let address = |configured: Option<SocketAddr>, variable| match configured {
             Some(address) => Ok(address),
             None => from_environment(variable),
         };
@@ -260,35 +266,38 @@
             discovery: address(file.discovery, DISCOVERY_VARIABLE)?,
             admin: match file.admin_addr {
                 None if environment(ADMIN_VARIABLE).is_some() => Some(from_environment(ADMIN_VARIABLE)?),
-                told => told,
+                configured => configured,
             },
         })
     }
 }
 
-/// A time in seconds above 0; an absent one is `absent_s`.
-fn read_time(values: &HashMap<String, String>, path: &str, absent_s: f64) -> Result<Duration, Problem> {
+/// The duration at `path`, a number of seconds above 0 and below [`MAX_VALUE`]; `default_s` if it is absent, empty or
+/// `-`.
+fn read_duration(values: &HashMap<String, String>, path: &str, default_s: f64) -> Result<Duration, Problem> {
     let text = values.get(path).map_or("", String::as_str);
     if matches!(text, "" | "-") {
-        return Ok(Duration::from_secs_f64(absent_s));
+        return Ok(Duration::from_secs_f64(default_s));
     }
     match text.parse::<f64>() {
         Ok(seconds) if (f64::MIN_POSITIVE..MAX_VALUE).contains(&seconds) => {
             Ok(Duration::from_secs_f64(seconds))
         }
-        _ => Err(Problem::NoTime { path: path.to_owned(), text: text.to_owned() }),
+        _ => Err(Problem::InvalidDuration { path: path.to_owned(), text: text.to_owned() }),
     }
 }
 
+/// The boolean at `path`; false if it is absent, empty or `-`.
 fn read_flag(values: &HashMap<String, String>, path: &'static str) -> Result<bool, Problem> {
     match values.get(path).map_or("", String::as_str) {
         "true" | "1" => Ok(true),
         "false" | "0" | "" | "-" => Ok(false),
-        other => Err(Problem::NoFlag { path, text: other.to_owned() }),
+        other => Err(Problem::InvalidFlag { path, text: other.to_owned() }),
     }
 }
 
-fn read_words(values: &HashMap<String, String>, path: &str) -> Vec<String> {
+/// The comma-separated items at `path`, without empty ones.
+fn read_list(values: &HashMap<String, String>, path: &str) -> Vec<String> {
     let text = values.get(path).map_or("", String::as_str);
-    text.split(',').filter(|word| !word.is_empty()).map(str::to_owned).collect()
+    text.split(',').filter(|item| !item.is_empty()).map(str::to_owned).collect()
 }
--- a/src/edge/settings/error.rs
+++ b/src/edge/settings/error.rs
@@ -1,4 +1,4 @@
-//! Why a configuration can't be used.
+//! Errors of the settings files. Each message is one line for the person who runs the program.
 
 use std::io;
 
@@ -8,196 +8,196 @@
 use crate::edge::transient::is_transient;
 use dewladder_router::settings::SettingsError;
 
-/// Why a configuration can't be used; one plain line.
+/// Why a settings file can't be used. The message is a single line.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// A file that can't be read.
+    /// The file can't be read.
     #[error("can't read {path}: {error}")]
     File {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// What the system says.
+        /// The error of the operating system.
         error: io::Error,
     },
-    /// A file that is not in its format, or holds what can't be used.
+    /// The content of the file is not in its format, or a value in it can't be used.
     #[error("{path}: {problem}")]
     Malformed {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// What is wrong.
+        /// What is wrong with the content.
         #[source]
         problem: Problem,
     },
-    /// Something that has to be told is not.
+    /// A required address is neither in the configuration file nor in this environment variable.
     #[error("{0} is told neither by the configuration file nor by the environment")]
     Missing(&'static str),
 }
 
 impl ConfigError {
-    /// Whether the file may be readable a moment later.
+    /// Whether reading the file failed with an error that may pass within moments, so that a retry makes sense.
     #[must_use]
     pub fn is_transient(&self) -> bool {
         matches!(self, Self::File { error, .. } if is_transient(error))
     }
 }
 
-/// What is wrong with the content of a file.
+/// What is wrong with the content of a settings file.
 #[derive(Debug, Error)]
 pub enum Problem {
-    /// It is no JSON.
+    /// The file is not JSON.
     #[error("{0}")]
     NotJson(#[from] serde_json::Error),
-    /// A field is not of its type.
+    /// A field of the configuration file is missing or has the wrong type.
     #[error("{0}")]
     Field(#[from] serde_path_to_error::Error<serde_json::Error>),
-    /// It is no TOML, or a field is not of its type.
+    /// The file is not TOML, or a field in it is missing or has the wrong type.
     #[error("line {line}: {message}")]
     Toml {
-        /// The line, from 1; 0 where it is not known.
+        /// The line number, counted from 1; 0 if unknown.
         line: usize,
-        /// What the parser says.
+        /// The parser's message.
         message: String,
     },
-    /// A variable of the environment that is no address.
+    /// The value of an environment variable is not a socket address.
     #[error("{variable} '{text}' is no address")]
-    NoAddress {
-        /// The variable.
+    InvalidAddress {
+        /// The name of the variable.
         variable: &'static str,
-        /// What it holds.
+        /// The value found.
         text: String,
     },
-    /// The router can't use a setting.
+    /// The router rejects a value under `settings`.
     #[error("{0}")]
     Settings(#[from] SettingsError),
-    /// Settings without classes or kinds.
+    /// `settings` has no request classes (`lanes`) or no kinds of servers.
     #[error("settings name no lanes or no kinds of servers")]
     NoClassesOrKinds,
-    /// A limit of nothing.
+    /// The limit with this path is 0.
     #[error("{0}: 0 is not a positive number")]
     ZeroLimit(&'static str),
-    /// A setting that is no time.
+    /// The value of a setting is not a positive duration in seconds.
     #[error("settings {path}: '{text}' is no time above 0")]
-    NoTime {
-        /// Its path.
+    InvalidDuration {
+        /// The path of the setting.
         path: String,
-        /// What it holds.
+        /// The value found.
         text: String,
     },
-    /// A setting that is no flag.
+    /// The value of a setting is not a boolean.
     #[error("settings {path}: '{text}' is neither true nor false")]
-    NoFlag {
-        /// Its path.
+    InvalidFlag {
+        /// The path of the setting.
         path: &'static str,
-        /// What it holds.
+        /// The value found.
         text: String,
     },
-    /// A setting by which requests are held to rules.
+    /// A setting that the request rules depend on is invalid.
     #[error("settings {path}: {error}")]
     Rule {
-        /// Its path.
+        /// The path of the setting.
         path: String,
-        /// What is wrong with it.
+        /// What is wrong with the value.
         #[source]
         error: RuleError,
     },
-    /// A setting that is not there, by its path.
+    /// The required setting with this path is missing.
     #[error("settings {0} is missing")]
     MissingSetting(String),
-    /// A key that the running configuration has and a new one lacks.
+    /// A reloaded file lacks the key with this path, which the running configuration has.
     #[error("{0} is missing")]
     MissingKey(String),
 }
 
-/// What is wrong with a setting by which requests are held to rules.
+/// What is wrong with a setting that the request rules depend on.
 #[derive(Debug, Error)]
 pub enum RuleError {
-    /// It is no positive number, or too high.
+    /// The value is not a number above 0, or exceeds the maximum.
     #[error("{value} is not a positive number up to {max}")]
     NotPositive {
-        /// What it holds.
+        /// The value found.
         value: Value,
-        /// The most that it may be.
+        /// The maximum, inclusive.
         max: f64,
     },
-    /// It is no number from 0, or too high.
+    /// The value is not a number, is below 0 or exceeds the maximum.
     #[error("{value} is not a number from 0 to {max}")]
-    NotANumber {
-        /// What it holds.
+    OutOfBounds {
+        /// The value found.
         value: Value,
-        /// The most that it may be.
+        /// The maximum, inclusive.
         max: f64,
     },
-    /// It has decimals.
+    /// The number has a fractional part.
     #[error("{0} is not a whole number")]
     NotWhole(f64),
-    /// It is a list or an object.
+    /// The value is a list or an object where a single value is expected.
     #[error("{0} is no single value")]
-    NotSingle(Value),
-    /// It is no list of words.
+    NotScalar(Value),
+    /// The value is not a list of non-empty strings without commas.
     #[error("{0} is no list of words")]
-    NoWords(Value),
-    /// It is no text, or an empty one.
+    NotStringList(Value),
+    /// The value is not a string, or is empty where that is not allowed.
     #[error("{0} is no text")]
-    NoText(Value),
-    /// It stands twice.
+    NotString(Value),
+    /// Two classes have this name.
     #[error("{0} is there twice")]
     Duplicate(Value),
-    /// It is the number of no failure domain.
+    /// The index is not that of a configured failure domain.
     #[error("{zone} is none of the {count} failure domains")]
     UnknownZone {
-        /// What it holds.
+        /// The value found.
         zone: u64,
-        /// How many failure domains there are.
+        /// The number of configured failure domains.
         count: usize,
     },
 }
 
-/// A field of the fronts' file that can't be used.
+/// Why a field of the fronts' settings file can't be used.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum FieldError {
-    /// It is out of its range.
+    /// The value is out of its range.
     #[error("{field}: {value} is not {min} to {max}")]
     OutOfRange {
-        /// Its path.
+        /// The path of the setting.
         field: String,
-        /// What it holds.
+        /// The value found.
         value: f64,
-        /// The least that it may be.
+        /// The minimum, inclusive.
         min: f64,
-        /// The most that it may be.
+        /// The maximum, inclusive.
         max: f64,
     },
-    /// It is 0 where at least 1 is needed.
+    /// The value is 0 where at least 1 is needed.
     #[error("{field}: at least 1 is needed")]
     Zero {
-        /// Its path.
+        /// The path of the setting.
         field: String,
     },
-    /// It is too high.
+    /// The value exceeds its maximum.
     #[error("{field}: {value} is more than {max}")]
     TooHigh {
-        /// Its path.
+        /// The path of the setting.
         field: String,
-        /// What it holds.
+        /// The value found.
         value: usize,
-        /// The most that it may be.
+        /// The maximum, inclusive.
         max: usize,
     },
-    /// The name of no header.
+    /// An entry of `retry_headers` is not a valid HTTP header name.
     #[error("chat.repeats.retry_headers: '{0}' is no header's name")]
-    NoHeaderName(String),
-    /// No mode of resumption.
+    InvalidHeaderName(String),
+    /// The value of `mode` is unknown.
     #[error("chat.resume.mode: '{0}' is neither continue nor restart")]
     UnknownMode(String),
-    /// A model whose class the configuration does not have.
+    /// A model is mapped to a class that the platform's configuration does not have.
     #[error("chat.models.{model}: no class is named {class}")]
     UnknownClass {
-        /// The model.
+        /// The model's name, the key in `chat.models`.
         model: String,
-        /// Its class.
+        /// The name of the class that does not exist.
         class: String,
     },
-    /// Limits of resumption that are too high.
+    /// `most` or `most_text_kib` exceeds its maximum.
     #[error("chat.resume: most is at most 100, most_text_kib at most 1024")]
     ResumptionTooHigh,
 }
--- a/src/edge/settings/fronts.rs
+++ b/src/edge/settings/fronts.rs
@@ -1,4 +1,5 @@
-//! The fronts beside the platform's, as a file under `deploy/` sets them; without one all are off.
+//! The settings of the fronts that exist in addition to the platform's front: the chat API, HAProxy's agent check and
+//! the cluster of instances. They stand in a TOML file of their own (see `deploy/fronts.toml`).
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,22 +13,22 @@
 use crate::edge::settings::repeats::RepeatSettings;
 use crate::edge::settings::resume::ResumeSettings;
 
-/// The fronts beside the platform's, as a file under `deploy/` sets them; without one all are off.
+/// The settings of the optional fronts. A front without a section is off, and so are all of them if there is no file.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct Fronts {
-    /// The chat API.
+    /// `[chat]`: the chat API.
     pub chat: Option<ChatSettings>,
-    /// HAProxy's agent check.
+    /// `[agent_check]`: the listener for HAProxy's agent check.
     pub agent_check: Option<AgentSettings>,
-    /// Talk among instances.
+    /// `[cluster]`: the messages between the instances of a cluster.
     pub cluster: Option<Table>,
 }
 
 impl Fronts {
-    /// Reads the file at `path`; where it need not be there, an absent one turns everything off.
+    /// Reads the file at `path`. If the file does not exist and `must_exist` is false, all fronts are off.
     ///
     /// # Errors
-    /// A file that can't be read or is malformed.
+    /// The file can't be read, or is malformed.
     pub fn read(path: &str, must_exist: bool) -> Result<Self, ConfigError> {
         match std::fs::read_to_string(path) {
             Ok(text) => Self::parse(path, &text),
@@ -36,10 +37,10 @@
         }
     }
 
-    /// Reads the file's text; `path` is named in errors.
+    /// Parses the text of the file; `path` is used in error messages only.
     ///
     /// # Errors
-    /// Text that is malformed.
+    /// The text is not TOML, or a field has the wrong type or is missing.
     pub fn parse(path: &str, text: &str) -> Result<Self, ConfigError> {
         toml::from_str(text).map_err(|error| {
             let line = error.span().map_or(0, |span| text[..span.start].matches('\n').count() + 1);
@@ -49,54 +50,55 @@
     }
 }
 
-/// The chat front's settings.
+/// The settings of the chat front.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ChatSettings {
-    /// Whether it listens.
+    /// Whether the chat front is on.
     #[serde(default)]
     pub enabled: bool,
-    /// Where.
+    /// The address that the chat front listens on.
     pub listen: SocketAddr,
-    /// The class of each model's requests, by names.
+    /// The class of the requests for each model: model name to class name.
     #[serde(default)]
     pub models: BTreeMap<String, String>,
-    /// Tenants by API key; without any, no key is asked for.
+    /// API key to tenant name. If empty, clients need no key.
     #[serde(default)]
     pub tenants: BTreeMap<String, String>,
-    /// The most tokens of an answer, also where a client names no limit.
+    /// The maximum number of tokens in an answer, and the limit for requests that name none.
     #[serde(default = "default_max_tokens")]
     pub max_tokens: u64,
-    /// Requests that a tenant may have open at once.
+    /// The maximum number of open requests per tenant.
     #[serde(default = "default_most_open")]
     pub most_open: usize,
-    /// The most choices of one request of a class that may repeat.
+    /// The maximum number of choices (`n`) of one request, for classes whose requests may be repeated.
     #[serde(default = "default_most_choices")]
     pub most_choices: u64,
-    /// Origins whose browser apps are let in; `*` for all. Without any, preflights are not answered.
+    /// The origins that are allowed by CORS; `*` allows all. If empty, CORS preflight requests are not answered.
     #[serde(default)]
     pub origins: Vec<String>,
-    /// A comment line keeps a stream alive where nothing has come for so long (seconds); 0 sends none.
+    /// A comment line is sent on a stream after so long without an event, to keep it alive (seconds); 0 sends none.
     #[serde(default)]
     pub keepalive_s: f64,
-    /// The share of the configured memory for responses that others go on from (percent).
+    /// The share of `limits.memory_mb` for stored responses, to which later requests can refer (percent).
     #[serde(default = "default_responses_percent")]
     pub responses_percent: f64,
-    /// The share of that which one tenant may have (percent).
+    /// The share of the memory for stored responses that one tenant may use (percent).
     #[serde(default = "default_tenant_percent")]
     pub responses_tenant_percent: f64,
-    /// What is known of requests that clients repeat.
+    /// `[chat.repeats]`: how requests that clients repeat are recognized.
     #[serde(default)]
     pub repeats: RepeatSettings,
-    /// How answers go on elsewhere whose server broke off.
+    /// `[chat.resume]`: how an answer is resumed at another server after its stream has broken off.
     #[serde(default)]
     pub resume: ResumeSettings,
 }
 
 impl ChatSettings {
-    /// Memory for responses, of all tenants and of one (bytes), where the program may hold so much.
+    /// Checks the ranges of the fields, and returns the memory for stored responses (bytes): of all tenants, and of
+    /// one tenant. Both are shares of the memory in `limits`.
     ///
     /// # Errors
-    /// The field that can't be used, and why.
+    /// The first field that is out of its range.
     pub fn bounds(&self, limits: &Limits) -> Result<(usize, usize), FieldError> {
         for (name, value, min, max) in [
             ("keepalive_s", self.keepalive_s, 0.0, 3_600.0),
@@ -111,17 +113,17 @@
     }
 }
 
-/// The agent check's settings.
+/// The settings of the agent check.
 #[derive(Clone, Debug, Deserialize)]
 pub struct AgentSettings {
-    /// Whether it listens.
+    /// Whether the agent check is on.
     #[serde(default)]
     pub enabled: bool,
-    /// Where.
+    /// The address that the agent check listens on.
     pub listen: SocketAddr,
 }
 
-/// Defaults of `[chat]`.
+/// Default values of the fields of `[chat]`.
 const DEFAULT_MAX_TOKENS: u64 = 800;
 const DEFAULT_MOST_OPEN: usize = 64;
 const DEFAULT_MOST_CHOICES: u64 = 4;
--- a/src/edge/settings/reload.rs
+++ b/src/edge/settings/reload.rs
@@ -1,4 +1,4 @@
-//! The configuration file read again while the program runs: what of it may change, and what takes a restart.
+//! Reloading the configuration file while the program runs: which settings may change, and which need a restart.
 
 use std::net::SocketAddr;
 
@@ -8,26 +8,28 @@
 use crate::edge::settings::error::{ConfigError, Problem};
 use crate::interface::Settings;
 
-/// Keys that the platform may leave out where it had them.
+/// Keys that a reloaded file may lack even if the running configuration has them.
 const OPTIONAL_KEYS: [&str; 2] = ["aim_stretch", "fleet"];
 
-/// What SIGHUP brings.
+/// A configuration file that was reloaded and checked, but is not applied yet.
 #[derive(Clone, Debug)]
 pub struct ReloadedConfig {
-    /// Where discovery is from now on.
+    /// The new address of the discovery agent.
     pub discovery: SocketAddr,
-    /// What the decisions go by from now on.
+    /// The new settings of the router, with the running values of those that can't change before a restart.
     pub settings: Settings,
-    /// What differs too, but is taken over at a restart only.
+    /// Names of changed settings that take effect only at a restart.
     pub needs_restart: Vec<&'static str>,
+    /// The content of the file, see `Config::file`.
     pub(super) file: Value,
 }
 
 impl Config {
-    /// Reads the file at `path` again while the program runs on this configuration, and checks it whole.
+    /// Reads the file at `path` while the program runs with this configuration, and checks all of it. The running
+    /// configuration is not changed; see [`Config::apply`].
     ///
     /// # Errors
-    /// See [`Config::read`]; besides, a file that leaves out a key which the running one has.
+    /// See [`Config::read`]; also, a key that the running configuration has is missing in the file.
     pub fn read_again(
         &self,
         path: &str,
@@ -37,8 +39,8 @@
         if let Some(key) = missing_key(&self.file, &new.file, "") {
             return Err(ConfigError::Malformed { path: path.to_owned(), problem: Problem::MissingKey(key) });
         }
-        let needs_restart = self.differences_that_need_a_restart(&new);
-        // What the list's entries and the open sockets were read by stays as it is.
+        let needs_restart = self.changes_needing_restart(&new);
+        // The known servers were parsed, and the open sockets bound, with these settings: they keep their values.
         let settings = Settings {
             zone: self.settings.zone,
             kinds: self.settings.kinds.clone(),
@@ -50,15 +52,15 @@
         Ok(ReloadedConfig { discovery: new.discovery, settings, needs_restart, file: new.file })
     }
 
-    /// Goes by what was read again from now on.
+    /// Makes a reloaded configuration the running one.
     pub fn apply(&mut self, reloaded: &ReloadedConfig) {
         self.discovery = reloaded.discovery;
         self.settings = reloaded.settings.clone();
         self.file = reloaded.file.clone();
     }
 
-    fn differences_that_need_a_restart(&self, new: &Self) -> Vec<&'static str> {
-        let (ours, theirs) = (&self.settings, &new.settings);
+    fn changes_needing_restart(&self, new: &Self) -> Vec<&'static str> {
+        let (old_settings, new_settings) = (&self.settings, &new.settings);
         let checks = [
             (new.name != self.name, "name"),
             (new.listen != self.listen, "listen"),
@@ -66,25 +68,26 @@
             (new.peers != self.peers, "peer_listen, peers_all or limits.peers"),
             (new.limits != self.limits, "limits.memory_mb or limits.sockets"),
             (new.names != self.names, "failure_domains or kinds"),
-            (theirs.kinds != ours.kinds, "domain.role_by_kind or kind_memory_tokens"),
-            (theirs.zone != ours.zone, "locality"),
-            (theirs.must_subscribe != ours.must_subscribe, "discovery, the way of"),
-            (theirs.max_list_age != ours.max_list_age, "rules.must_ask_in_s"),
+            (new_settings.kinds != old_settings.kinds, "domain.role_by_kind or kind_memory_tokens"),
+            (new_settings.zone != old_settings.zone, "locality"),
+            (new_settings.must_subscribe != old_settings.must_subscribe, "settings.discovery"),
+            (new_settings.max_list_age != old_settings.max_list_age, "rules.must_ask_in_s"),
             (new.keepalive != self.keepalive, "limits.keepalive_s"),
             (new.connect_timeout != self.connect_timeout, "limits.connect_timeout_s"),
             (new.resume != self.resume, "domain.resume"),
         ];
-        let mut differences = Vec::new();
+        let mut changed = Vec::new();
         for (differs, name) in checks {
             if differs {
-                differences.push(name);
+                changed.push(name);
             }
         }
-        differences
+        changed
     }
 }
 
-/// The first key of `old` that `new` lacks. Of a list of objects, what all old ones have is asked of each new one.
+/// The path of the first key of `old` that `new` lacks. In a list of objects, each new object must have the keys that
+/// are common to all old objects.
 fn missing_key(old: &Value, new: &Value, path: &str) -> Option<String> {
     let join = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
     match (old, new) {
@@ -106,7 +109,7 @@
     }
 }
 
-/// An object with the keys that all objects of a list have; `None` where it holds others, or none.
+/// An object with the keys that all objects of the list have; `None` if the list is empty or has other items.
 fn common_keys(list: &[Value]) -> Option<Value> {
     let mut objects = list.iter().map(Value::as_object);
     let mut common = objects.next()??.clone();
--- a/src/edge/settings/repeats.rs
+++ b/src/edge/settings/repeats.rs
@@ -1,4 +1,5 @@
-//! `[chat.repeats]`: how requests that clients repeat are known, and within which bounds.
+//! `[chat.repeats]`: how the chat front recognizes requests that clients repeat, and the limits on the answers that
+//! it remembers for them and on retries.
 
 use axum::http::HeaderName;
 use dewladder_idempotency::{Policy, RetryBudgetPolicy};
@@ -9,39 +10,43 @@
 use crate::edge::settings::ranges::in_range;
 use crate::interface::Micros;
 
-/// How repeats are known, and within which bounds. Off, a repeat is a request like any other.
+/// The settings of `[chat.repeats]`. A repeat is a request that carries the idempotency key of an earlier one, or, in
+/// an at-most-once class, one that has the body of an earlier one and a header in which its library counts retries.
+/// While repeats are not recognized (`enabled` is false), each one runs as a new request.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct RepeatSettings {
-    /// Whether repeats are known at all.
+    /// Whether repeats are recognized.
     pub enabled: bool,
-    /// What has ended is remembered for so long (seconds).
+    /// How long a request is remembered after its end (seconds).
     pub window_s: f64,
-    /// For so long after the start, a repeat that must not run twice, and whose first is not known, is refused (seconds).
+    /// Time after startup (seconds) during which a repeat of an at-most-once request is rejected if its original is
+    /// not known: the original may have run before the startup.
     pub after_start_s: f64,
-    /// A request that must not run twice goes on for so long after its last client has left (seconds).
+    /// How long an at-most-once request goes on after its last client has disconnected (seconds); 0 cancels it at
+    /// once.
     pub linger_s: f64,
-    /// Requests that are remembered.
+    /// The maximum number of remembered requests.
     pub most_entries: usize,
-    /// The share of the configured memory that they may take (percent).
+    /// The share of `limits.memory_mb` that the remembered requests and their answers may take (percent).
     pub memory_percent: f64,
-    /// An answer is kept up to this length (KiB).
+    /// The maximum length of an answer that is kept for replay (KiB). A longer one is streamed but not kept.
     pub most_answer_kib: usize,
-    /// Clients that one request may have at once.
+    /// The maximum number of clients that may read the answer of one request at once, the first one included.
     pub most_readers: u32,
-    /// The share of all remembered requests that one tenant may have (percent).
+    /// The share of `most_entries` that one tenant may have (percent).
     pub tenant_percent: f64,
-    /// Repeats that are let through for each hundred fresh requests of a tenant.
+    /// Retries added to a tenant's retry budget per 100 new requests of that tenant.
     pub budget_percent: f64,
-    /// Repeats a second that are let through whatever was fresh.
+    /// Retries per second added to a tenant's retry budget, however many new requests it sends.
     pub budget_per_s: f64,
-    /// Repeats that a tenant can save up.
+    /// The maximum number of unused retries in a tenant's retry budget.
     pub budget_most_saved: u32,
-    /// Repeats over the budget are asked back after this (seconds).
+    /// The shortest time after which a client whose retry exceeds the budget is told to retry (seconds).
     pub retry_in_s: f64,
-    /// And after this at the latest (seconds).
+    /// The longest time after which a client whose retry exceeds the budget is told to retry (seconds).
     pub most_retry_in_s: f64,
-    /// Headers in which libraries count their retries.
+    /// Names of the headers in which client libraries count their retries.
     pub retry_headers: Vec<String>,
 }
 
@@ -67,20 +72,20 @@
     }
 }
 
-/// Times may be a day at most (seconds).
-const DAY_S: f64 = 86_400.0;
-/// Bounds of the counts.
+/// The maximum of all durations (seconds).
+const MAX_DURATION_S: f64 = 86_400.0;
+/// Upper bounds of the counts.
 const MAX_ENTRIES: usize = 10_000_000;
 const MAX_ANSWER_KIB: usize = 1 << 20;
 const MAX_READERS: usize = 1_000;
-/// The most retries a second that are let through whatever was fresh.
-const MAX_BUDGET_PER_SECOND: f64 = 1e5;
+/// The maximum of `budget_per_s`.
+const MAX_BUDGET_PER_S: f64 = 1e5;
 
 impl RepeatSettings {
-    /// The idempotency store's policy for a program that may hold so much memory.
+    /// The policy of the idempotency store; its memory limit is a share of the memory in `limits`.
     ///
     /// # Errors
-    /// The field that can't be used, and why.
+    /// The first field that is out of its range, and the first name in `retry_headers` that is not a header name.
     pub fn policy(&self, limits: &Limits) -> Result<Policy, FieldError> {
         self.check_headers()?;
         let memory_percent = field("memory_percent", self.memory_percent, 0.1, 50.0)?;
@@ -100,14 +105,14 @@
     fn check_headers(&self) -> Result<(), FieldError> {
         for name in &self.retry_headers {
             if HeaderName::from_bytes(name.as_bytes()).is_err() {
-                return Err(FieldError::NoHeaderName(name.clone()));
+                return Err(FieldError::InvalidHeaderName(name.clone()));
             }
         }
         Ok(())
     }
 
     fn retry_budget(&self) -> Result<RetryBudgetPolicy, FieldError> {
-        let per_second = field("budget_per_s", self.budget_per_s, 0.0, MAX_BUDGET_PER_SECOND)?;
+        let per_second = field("budget_per_s", self.budget_per_s, 0.0, MAX_BUDGET_PER_S)?;
         Ok(RetryBudgetPolicy {
             permille: permille("budget_percent", self.budget_percent)?,
             permille_per_second: (per_second * 1e3) as u32,
@@ -118,28 +123,28 @@
     }
 }
 
-fn path(name: &str) -> String {
+fn field_path(name: &str) -> String {
     format!("chat.repeats.{name}")
 }
 
 fn field(name: &str, value: f64, min: f64, max: f64) -> Result<f64, FieldError> {
-    in_range(path(name), value, min, max)
+    in_range(field_path(name), value, min, max)
 }
 
-/// A time in seconds, a day at most, as microseconds.
+/// Converts a duration between `min` seconds and a day to microseconds.
 fn micros(name: &str, seconds: f64, min: f64) -> Result<Micros, FieldError> {
-    Ok((field(name, seconds, min, DAY_S)? * 1e6) as Micros)
+    Ok((field(name, seconds, min, MAX_DURATION_S)? * 1e6) as Micros)
 }
 
 fn permille(name: &str, percent: f64) -> Result<u32, FieldError> {
     Ok((field(name, percent, 0.0, 100.0)? * 10.0) as u32)
 }
 
-/// A count of at least 1.
+/// Checks that a count is between 1 and `max`.
 fn count(name: &str, value: usize, max: usize) -> Result<usize, FieldError> {
     match value {
-        0 => Err(FieldError::Zero { field: path(name) }),
-        value if value > max => Err(FieldError::TooHigh { field: path(name), value, max }),
+        0 => Err(FieldError::Zero { field: field_path(name) }),
+        value if value > max => Err(FieldError::TooHigh { field: field_path(name), value, max }),
         value => Ok(value),
     }
 }
--- a/src/edge/settings/resume.rs
+++ b/src/edge/settings/resume.rs
@@ -1,4 +1,4 @@
-//! `[chat.resume]`: how answers go on elsewhere whose server broke off.
+//! `[chat.resume]`: how an answer is resumed at another server after its stream has broken off.
 
 use dewladder_resume::{Mode, Policy};
 use serde::Deserialize;
@@ -7,19 +7,20 @@
 use crate::edge::settings::ranges::in_range;
 use crate::interface::Micros;
 
-/// How answers go on elsewhere. Off, a break ends the answer with an error.
+/// The settings of `[chat.resume]`. While `enabled` is false, an answer whose stream breaks off ends with an error.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct ResumeSettings {
-    /// Whether they do, where the platform's settings allow it too.
+    /// Whether answers are resumed. The platform's `domain.resume` must allow it as well.
     pub enabled: bool,
-    /// What servers do with an answer's beginning: `continue` or `restart`.
+    /// `continue`: the next server is given the beginning of the answer and generates the rest. `restart`: it
+    /// generates the same answer again from the start.
     pub mode: String,
-    /// How often one answer goes on.
+    /// The maximum number of resumptions of one answer.
     pub most: u32,
-    /// For how long after its first break (seconds).
+    /// How long after its first break an answer may be resumed (seconds).
     pub within_s: f64,
-    /// Longer answers do not go on (KiB).
+    /// The maximum length of an answer that is resumed (KiB).
     pub most_text_kib: usize,
 }
 
@@ -29,17 +30,17 @@
     }
 }
 
-/// Bounds of the settings.
+/// Bounds of `within_s`, `most` and `most_text_kib`.
 const MIN_DURATION_S: f64 = 0.1;
 const MAX_DURATION_S: f64 = 600.0;
 const MAX_RESUMPTIONS: u32 = 100;
 const MAX_TEXT_KIB: usize = 1_024;
 
 impl ResumeSettings {
-    /// The policy; `None` where it is off.
+    /// The policy for resuming answers; `None` if `enabled` is false. The fields are checked in both cases.
     ///
     /// # Errors
-    /// The field that can't be used, and why.
+    /// The first field that is out of its range, or an unknown `mode`.
     pub fn policy(&self) -> Result<Option<Policy>, FieldError> {
         let mode = match self.mode.as_str() {
             "continue" => Mode::Continue,
--- a/src/edge/settings/rules.rs
+++ b/src/edge/settings/rules.rs
@@ -1,14 +1,16 @@
-//! What requests are held to: each of these settings must be there and make sense, as a guess could break a rule.
+//! Checks of the settings that the request rules depend on (attempts, deadlines, classes and the like). Each of them
+//! must be present and valid: a default or a guess in its place could break a rule.
 
 use serde_json::Value;
 
 use crate::edge::settings::error::{Problem, RuleError};
 
-/// The longest deadline or latency objective (seconds), and the highest weight.
+/// The maximum of deadlines and latency objectives (seconds) and of priority weights.
 pub(super) const MAX_VALUE: f64 = 1e6;
 
-/// Settings that are one value. Read as pairs, a list of one would look like its item.
-const SINGLE_VALUES: [&str; 15] = [
+/// Paths of the settings that must be scalars. Flattened to `path=value` pairs, a list of one item could not be told
+/// apart from the item.
+const SCALARS: [&str; 15] = [
     "balancers",
     "locality",
     "discovery",
@@ -25,16 +27,16 @@
     "rules.cold_s",
     "rules.fall_s",
 ];
-/// Settings that are lists of words.
-const WORD_LISTS: [&str; 3] = ["kinds", "failure_domains", "domain.role_by_kind"];
+/// Paths of the settings that must be lists of strings.
+const STRING_LISTS: [&str; 3] = ["kinds", "failure_domains", "domain.role_by_kind"];
 
-/// Checks the settings.
+/// Checks the `settings` object of the configuration file.
 ///
 /// # Errors
-/// The first one that can't be used, by its path.
+/// The path of the first setting that is missing or invalid, and what is wrong with it.
 pub(super) fn check(settings: &Value) -> Result<(), Problem> {
     check_attempts(settings)?;
-    check_forms(settings)?;
+    check_types(settings)?;
     check_zone(settings)?;
     check_classes(settings)
 }
@@ -43,12 +45,12 @@
     Problem::Rule { path: path.into(), error }
 }
 
-/// The setting at a path with dots.
+/// The setting at a dotted path, such as `limits.cancel`.
 fn at_path<'a>(settings: &'a Value, path: &str) -> Option<&'a Value> {
     settings.pointer(&format!("/{}", path.replace('.', "/")))
 }
 
-/// A key's number, which must be positive; `parent` is the path of `object`.
+/// The positive number at `key` of `object`; `parent` is the path of `object`, for error messages.
 fn positive(object: &Value, parent: &str, key: &str) -> Result<f64, Problem> {
     let path = format!("{parent}.{key}");
     let Some(value) = object.get(key) else { return Err(Problem::MissingSetting(path)) };
@@ -66,24 +68,24 @@
     Ok(())
 }
 
-fn check_forms(settings: &Value) -> Result<(), Problem> {
-    for path in SINGLE_VALUES {
+fn check_types(settings: &Value) -> Result<(), Problem> {
+    for path in SCALARS {
         let Some(value) = at_path(settings, path) else { continue };
         if value.is_array() || value.is_object() {
-            return Err(invalid(path, RuleError::NotSingle(value.clone())));
+            return Err(invalid(path, RuleError::NotScalar(value.clone())));
         }
     }
-    for path in WORD_LISTS {
+    for path in STRING_LISTS {
         let Some(value) = at_path(settings, path) else { continue };
-        if value.as_array().is_none_or(|items| !items.iter().all(is_word)) {
-            return Err(invalid(path, RuleError::NoWords(value.clone())));
+        if value.as_array().is_none_or(|items| !items.iter().all(is_list_item)) {
+            return Err(invalid(path, RuleError::NotStringList(value.clone())));
         }
     }
     Ok(())
 }
 
-/// Whether an item of a list is a word: read as pairs, the items of a list are told apart by commas.
-fn is_word(item: &Value) -> bool {
+/// Whether a list item is a non-empty string without commas: in `path=value` pairs, commas separate the items.
+fn is_list_item(item: &Value) -> bool {
     item.as_str().is_some_and(|text| !text.is_empty() && !text.contains(','))
 }
 
@@ -116,19 +118,19 @@
     for key in ["name", "effect"] {
         let Some(value) = class.get(key) else { return Err(Problem::MissingSetting(path(key))) };
         if value.as_str().is_none_or(str::is_empty) {
-            return Err(invalid(path(key), RuleError::NoText(value.clone())));
+            return Err(invalid(path(key), RuleError::NotString(value.clone())));
         }
     }
     for key in ["aim_s", "give_up_s"] {
         positive(class, parent, key)?;
     }
     if let Some(value) = class.get("group").filter(|value| !value.is_string()) {
-        return Err(invalid(path("group"), RuleError::NoText(value.clone())));
+        return Err(invalid(path("group"), RuleError::NotString(value.clone())));
     }
     for key in ["worth", "late_worth", "dedup_window_s"] {
         let Some(value) = class.get(key) else { continue };
         if value.as_f64().is_none_or(|number| !(0.0..=MAX_VALUE).contains(&number)) {
-            let error = RuleError::NotANumber { value: value.clone(), max: MAX_VALUE };
+            let error = RuleError::OutOfBounds { value: value.clone(), max: MAX_VALUE };
             return Err(invalid(path(key), error));
         }
     }
