--- a/src/edge/core.rs
+++ b/src/edge/core.rs
@@ -20,7 +20,7 @@
 use std::fmt::Write as _;
 
 use crate::edge::core::endpoints::Endpoints;
-pub use crate::edge::core::held_state::CLOSE_SEEN;
+pub use crate::edge::core::held_state::CLOSE_PROPAGATION_TIME;
 pub use crate::edge::core::messages::{AttemptResult, ConnectionKind, Effect, Input};
 use crate::edge::core::request_table::{RequestTable, SendRules};
 use crate::edge::core::step::{Step, Timer};
--- a/src/edge/core/held_state.rs
+++ b/src/edge/core/held_state.rs
@@ -12,7 +12,7 @@
 
 /// Time within which a server notices that a connection was closed (us). A release uses another connection and
 /// may therefore arrive before the server has noticed the close.
-pub const CLOSE_SEEN: Micros = 100_000;
+pub const CLOSE_PROPAGATION_TIME: Micros = 100_000;
 
 /// Progress of the release of held state. State released while its request is still open stays recorded,
 /// because an attempt in flight may have kept it.
@@ -32,8 +32,8 @@
 pub struct ReleaseOrder {
     /// Servers that hold state or may hold it.
     pub holders: Vec<ServerId>,
-    /// Whether to repeat the release after [`CLOSE_SEEN`]: a server may keep the state for a recently abandoned
-    /// attempt until it notices the closed connection.
+    /// Whether to repeat the release after [`CLOSE_PROPAGATION_TIME`]: a server may keep the state for a
+    /// recently abandoned attempt until it notices the closed connection.
     pub again: bool,
     /// How long state has been held (us).
     pub held: Micros,
@@ -158,7 +158,7 @@
         }
         let (held, deadline) = (self.age(now), self.deadline.take());
         let holders = self.holders.clone();
-        let was_recently_abandoned = self.abandoned_at.is_some_and(|at| now < at + CLOSE_SEEN);
+        let was_recently_abandoned = self.abandoned_at.is_some_and(|at| now < at + CLOSE_PROPAGATION_TIME);
         if is_final {
             self.clear();
         } else {
--- a/src/edge/core/messages.rs
+++ b/src/edge/core/messages.rs
@@ -188,8 +188,8 @@
         number: u64,
         /// Servers that hold state or may hold it.
         holders: Vec<ServerId>,
-        /// Whether to repeat the release after [`CLOSE_SEEN`](super::CLOSE_SEEN): a read that was just
-        /// abandoned may complete until its server notices the closed connection.
+        /// Whether to repeat the release after [`CLOSE_PROPAGATION_TIME`](super::CLOSE_PROPAGATION_TIME): a
+        /// read that was just abandoned may complete until its server notices the closed connection.
         again: bool,
         /// Whether the prompt may be read again next; that read waits for this release. The release is then
         /// abandoned early, because a late one would release the state left by that read.
--- a/src/edge/driver/releases.rs
+++ b/src/edge/driver/releases.rs
@@ -8,7 +8,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-use crate::edge::core::{Input, CLOSE_SEEN};
+use crate::edge::core::{Input, CLOSE_PROPAGATION_TIME};
 use crate::edge::driver::addresses::Addresses;
 use crate::edge::driver::handle::DriverHandle;
 use crate::edge::driver::messages::Message;
@@ -37,7 +37,7 @@
     pub(super) id: RequestId,
     /// The number under which the end of the release is reported to the reducer.
     pub(super) number: u64,
-    /// Whether the release is sent a second time after [`CLOSE_SEEN`].
+    /// Whether the release is sent a second time after [`CLOSE_PROPAGATION_TIME`].
     pub(super) again: bool,
     /// Whether the release is aborted after [`BEFORE_READ_TIMEOUT`], as a read waits for it.
     pub(super) before_read: bool,
@@ -133,7 +133,7 @@
             drop(pending_answer);
             driver.send(Message::Input(Input::ReleaseFinished { id, number, answered }));
             if again {
-                sleep(Duration::from_micros(CLOSE_SEEN)).await;
+                sleep(Duration::from_micros(CLOSE_PROPAGATION_TIME)).await;
                 servers.release(&transaction, &targets).await;
             }
             drop(counted);
--- a/tests/held_state.rs
+++ b/tests/held_state.rs
@@ -1,7 +1,7 @@
 //! State that is held for a request, by itself: whatever becomes of attempts and releases, it is never forgotten, and
 //! only a server's answer puts its deadline off.
 
-use dewladder::edge::core::held_state::{HeldState, CLOSE_SEEN};
+use dewladder::edge::core::held_state::{HeldState, CLOSE_PROPAGATION_TIME};
 use dewladder::interface::{HeldStateAfter, Micros, ServerId};
 use proptest::prelude::*;
 
@@ -164,7 +164,10 @@
         assert_eq!(held.write_ended(false, 900_000, MAX_HOLD_TIME), HeldStateAfter::Released);
         assert!(held.needs_release(), "it may be held still");
         let order = held.start_release(2, true, 900_000).expect("it may be held still");
-        assert!(order.again, "its server may see the close of the attempt up to {CLOSE_SEEN} us later");
+        assert!(
+            order.again,
+            "its server may see the close of the attempt up to {CLOSE_PROPAGATION_TIME} us later"
+        );
         assert!(!held.is_held());
     }
 }
