--- a/src/edge/core.rs
+++ b/src/edge/core.rs
@@ -193,9 +193,9 @@
             Input::ClientDisconnected(id) => self.requests.client_disconnected(id, step),
             Input::SettingsReloaded(settings) => self.reload_settings(*settings),
             Input::StateImported(handover) => step.events.push_back(Event::StateImported(handover)),
-            Input::LimitShareChanged { part, max_open_requests } => {
+            Input::LimitShareChanged { share, max_open_requests } => {
                 self.max_open_requests = max_open_requests;
-                step.events.push_back(Event::LimitShareChanged(part));
+                step.events.push_back(Event::LimitShareChanged(share));
             }
             Input::GossipReceived(bytes) => step.events.push_back(Event::GossipReceived(bytes)),
             Input::Leaving(times) => self.start_shutdown(times),
--- a/src/edge/core/messages.rs
+++ b/src/edge/core/messages.rs
@@ -75,7 +75,7 @@
     /// share of the limits that this process may use has changed.
     LimitShareChanged {
         /// Share of the dispatcher's limits, from 0 to 1.
-        part: f64,
+        share: f64,
         /// Limit on the number of requests open at once in this process.
         max_open_requests: usize,
     },
--- a/src/edge/driver.rs
+++ b/src/edge/driver.rs
@@ -151,8 +151,8 @@
                 None
             }
             Message::StateImported(learned) => Some(Input::StateImported(learned)),
-            Message::LimitShareChanged { part, max_open_requests } => {
-                Some(Input::LimitShareChanged { part, max_open_requests })
+            Message::LimitShareChanged { share, max_open_requests } => {
+                Some(Input::LimitShareChanged { share, max_open_requests })
             }
             Message::SettingsReloaded(settings) => {
                 self.reload_settings(settings);
--- a/src/edge/driver/messages.rs
+++ b/src/edge/driver/messages.rs
@@ -57,7 +57,7 @@
     /// this process may use has changed.
     LimitShareChanged {
         /// The limit share of this process, 0 to 1.
-        part: f64,
+        share: f64,
         /// Maximum number of open requests in this process.
         max_open_requests: usize,
     },
--- a/src/edge/hot_restart.rs
+++ b/src/edge/hot_restart.rs
@@ -252,8 +252,8 @@
 fn apply_share(share: LimitShare, config: &Config, limits: &ConnectionLimits, driver: &DriverHandle) {
     limits.set_max_connections(share_of(config.max_client_connections(), share));
     let max_open_requests = share_of(config.max_open_requests(), share);
-    let part = f64::from(share) / f64::from(FULL_SHARE);
-    driver.send(Message::LimitShareChanged { part, max_open_requests });
+    let share = f64::from(share) / f64::from(FULL_SHARE);
+    driver.send(Message::LimitShareChanged { share, max_open_requests });
 }
 
 /// Whether any process listens there: tells whether this one is alone where no file can.
