--- a/src/edge/core/messages.rs
+++ b/src/edge/core/messages.rs
@@ -125,8 +125,8 @@
 /// Something that the driver must do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Send the request to a server. If the attempt has neither ended nor started its stream by `until`, the
-    /// reducer cancels it.
+    /// Send the request to a server. If the attempt has neither ended nor started its stream by
+    /// `attempt_deadline`, the reducer cancels it.
     Send {
         /// The request.
         id: RequestId,
@@ -137,7 +137,7 @@
         /// Whether the server only reads the prompt; otherwise it streams the answer.
         reads: bool,
         /// Time at which the attempt times out.
-        until: Micros,
+        attempt_deadline: Micros,
         /// Time from which on nothing of the attempt may be written any more.
         begin_by: Micros,
         /// Whether a new connection must be used: state is held whose deadline runs until the writer gets the
--- a/src/edge/core/request.rs
+++ b/src/edge/core/request.rs
@@ -28,7 +28,7 @@
     /// Time at which it was sent (us).
     pub sent_at: Micros,
     /// Time at which it times out (us).
-    pub until: Micros,
+    pub attempt_deadline: Micros,
     /// Whether its last byte has been handed to the operating system.
     pub written: bool,
     /// Outcome to report once the requested cancellation has been carried out; `None` unless it is being cancelled.
--- a/src/edge/core/request_table.rs
+++ b/src/edge/core/request_table.rs
@@ -134,10 +134,10 @@
             }
             request.not_after = request.not_after.min(deadline_cap);
             for (&attempt_no, attempt) in &mut request.in_flight {
-                if attempt.until > deadline_cap {
-                    step.timers.stop(attempt.until, Timer::Attempt(id, attempt_no));
+                if attempt.attempt_deadline > deadline_cap {
+                    step.timers.stop(attempt.attempt_deadline, Timer::Attempt(id, attempt_no));
                     step.timers.start(deadline_cap, Timer::Attempt(id, attempt_no));
-                    attempt.until = deadline_cap;
+                    attempt.attempt_deadline = deadline_cap;
                 }
             }
         }
@@ -170,7 +170,8 @@
         if request.client != ClientState::Waiting {
             return self.cancel(id, attempt_no, Outcome::Cancelled, step);
         }
-        let (sent_at, until, label) = (attempt.sent_at, attempt.until, attempt.label(id, attempt_no));
+        let (sent_at, attempt_deadline, label) =
+            (attempt.sent_at, attempt.attempt_deadline, attempt.label(id, attempt_no));
         let is_at_most_once = |class: &Class| class.effect == ClassEffect::AtMostOnce;
         let executed_before = request.first_execution.is_some_and(|first| first != sent_at);
         if executed_before && classes.get(&request.class).is_some_and(is_at_most_once) {
@@ -187,7 +188,7 @@
         request.first_execution.get_or_insert(sent_at);
         request.held.taken();
         request.held.sync_timer(id, &mut step.timers);
-        step.timers.stop(until, Timer::Attempt(id, attempt_no));
+        step.timers.stop(attempt_deadline, Timer::Attempt(id, attempt_no));
         Transitions::log_stream_started(label, step.now - sent_at);
         step.effects.push(Effect::Relay { id, attempt: attempt_no });
         step.events.push_back(Event::FirstToken { id, attempt: attempt_no, taken: step.now - sent_at });
@@ -217,7 +218,7 @@
     ) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(attempt) = request.in_flight.remove(&attempt_no) else { return };
-        step.timers.stop(attempt.until, Timer::Attempt(id, attempt_no));
+        step.timers.stop(attempt.attempt_deadline, Timer::Attempt(id, attempt_no));
         let AttemptResult { outcome, cached_tokens, report } = result;
         let taken = step.now - attempt.sent_at;
         self.transitions.finished(attempt.label(id, attempt_no), outcome, taken);
@@ -345,16 +346,16 @@
         let attempt = request.attempts;
         request.attempts += 1;
         let (now, reads) = (step.now, rules.endpoints.is_reader(server));
-        let until = request.not_after.min(now + attempt_timeout);
+        let attempt_deadline = request.not_after.min(now + attempt_timeout);
         // Held state is for a writer; a read has no use for it and releases it first.
         let hold_deadline = if reads { None } else { request.held.deadline() };
         let rerun_deadline =
-            if reads { None } else { rerun_deadline(request, rules, until, self.resolution) };
+            if reads { None } else { rerun_deadline(request, rules, attempt_deadline, self.resolution) };
         let check = SendCheck {
             now,
             client_waiting: request.client == ClientState::Waiting,
             server_accepts_work: !rules.endpoints.is_draining(server),
-            until,
+            attempt_deadline,
             hold_deadline,
             rerun_deadline,
         };
@@ -365,14 +366,26 @@
             self.release_before_read(id, step);
         }
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let in_flight = InFlight { server, reads, sent_at: now, until, written: false, cancel_outcome: None };
-        Transitions::log_sent(in_flight.label(id, attempt), reads, until - now);
-        request.history.add(now, Transition::Sent { attempt, server, reads, timeout: until - now });
+        let in_flight =
+            InFlight { server, reads, sent_at: now, attempt_deadline, written: false, cancel_outcome: None };
+        Transitions::log_sent(in_flight.label(id, attempt), reads, attempt_deadline - now);
+        request
+            .history
+            .add(now, Transition::Sent { attempt, server, reads, timeout: attempt_deadline - now });
         request.in_flight.insert(attempt, in_flight);
-        step.timers.start(until, Timer::Attempt(id, attempt));
-        let begin_by = [hold_deadline, rerun_deadline].into_iter().flatten().fold(until, Micros::min);
+        step.timers.start(attempt_deadline, Timer::Attempt(id, attempt));
+        let begin_by =
+            [hold_deadline, rerun_deadline].into_iter().flatten().fold(attempt_deadline, Micros::min);
         let new_connection = hold_deadline.is_some();
-        step.effects.push(Effect::Send { id, attempt, server, reads, until, begin_by, new_connection });
+        step.effects.push(Effect::Send {
+            id,
+            attempt,
+            server,
+            reads,
+            attempt_deadline,
+            begin_by,
+            new_connection,
+        });
     }
 
     /// Reports a send that the guard refused as an attempt that ended with [`Outcome::NotSent`].
@@ -393,11 +406,16 @@
 }
 
 /// Time until which the request may be executed again (us); `None` if it has certainly not been executed yet.
-fn rerun_deadline(request: &Request, rules: SendRules, until: Micros, resolution: Micros) -> Option<Micros> {
+fn rerun_deadline(
+    request: &Request,
+    rules: SendRules,
+    attempt_deadline: Micros,
+    resolution: Micros,
+) -> Option<Micros> {
     let first = request.first_execution?;
     let class = rules.classes.get(&request.class)?;
     Some(match class.effect {
-        ClassEffect::Idempotent => until,
+        ClassEffect::Idempotent => attempt_deadline,
         ClassEffect::Deduplicated => (first + class.dedup_window).saturating_sub(resolution),
         ClassEffect::AtMostOnce => 0,
     })
--- a/src/edge/driver.rs
+++ b/src/edge/driver.rs
@@ -292,17 +292,25 @@
     fn execute(&mut self, effect: Effect) -> Option<Input> {
         debug!("driver: effect {effect:?}");
         match effect {
-            Effect::Send { id, attempt, server, reads, until, begin_by, new_connection } => {
+            Effect::Send { id, attempt, server, reads, attempt_deadline, begin_by, new_connection } => {
                 let (Some(address), Some(payload)) = (self.addresses.get(server), self.clients.payload(id))
                 else {
                     let result = Outcome::ConnectFailed.into();
                     return Some(Input::AttemptFinished { id, attempt, result });
                 };
                 let (address, payload) = (address.clone(), payload.clone());
-                let (until, begin_by) = (self.clock.instant(until), self.clock.instant(begin_by));
+                let (attempt_deadline, begin_by) =
+                    (self.clock.instant(attempt_deadline), self.clock.instant(begin_by));
                 let unanswered_releases = reads.then(|| self.releases.unanswered(id));
-                let request =
-                    Attempt { address, payload, reads, until, begin_by, new_connection, unanswered_releases };
+                let request = Attempt {
+                    address,
+                    payload,
+                    reads,
+                    attempt_deadline,
+                    begin_by,
+                    new_connection,
+                    unanswered_releases,
+                };
                 self.attempts.send(id, attempt, request);
             }
             Effect::CancelUnwritten { id, attempt } => return self.attempts.cancel_unwritten(id, attempt),
--- a/src/edge/guard.rs
+++ b/src/edge/guard.rs
@@ -68,7 +68,7 @@
     /// Whether the server takes new work: it is listed as ready, or is not in the list.
     pub server_accepts_work: bool,
     /// Time at which the attempt would time out (us).
-    pub until: Micros,
+    pub attempt_deadline: Micros,
     /// Time by which held state must be taken (us); `None` if no such deadline is running or the attempt only reads.
     pub hold_deadline: Option<Micros>,
     /// Time until which a second execution is allowed (us); `None` if the request has certainly not been
@@ -85,7 +85,7 @@
             (!self.server_accepts_work, Rule::SendToDraining),
             (is_past(self.rerun_deadline), Rule::SecondRun),
             (is_past(self.hold_deadline), Rule::HeldTooLong),
-            (is_past(Some(self.until)), Rule::SendAfterDeadline),
+            (is_past(Some(self.attempt_deadline)), Rule::SendAfterDeadline),
         ];
         checks.into_iter().find(|(broken, _)| *broken).map(|(_, rule)| rule)
     }
--- a/src/edge/servers.rs
+++ b/src/edge/servers.rs
@@ -53,7 +53,7 @@
     /// success status of the other one is an error.
     pub reads: bool,
     /// When the reducer cancels the attempt at the latest. The time left until then is sent to the server.
-    pub until: Instant,
+    pub attempt_deadline: Instant,
     /// Writing must begin before this; a request of which only a part is written by then is given up.
     pub begin_by: Instant,
     /// Whether the attempt must open a new connection, which is closed afterwards instead of being kept.
@@ -186,7 +186,7 @@
 fn request(attempt: &Attempt, progress: &Arc<Progress>) -> Result<Request<AttemptBody>, hyper::http::Error> {
     let payload = &attempt.payload;
     let body = AttemptBody::new(payload.body.clone(), attempt.begin_by, progress.clone());
-    let remaining = attempt.until.saturating_duration_since(Instant::now());
+    let remaining = attempt.attempt_deadline.saturating_duration_since(Instant::now());
     let mut request = Request::builder()
         .method(Method::POST)
         .uri(payload.target.as_str())
--- a/tests/connection_model.rs
+++ b/tests/connection_model.rs
@@ -123,12 +123,16 @@
     /// Holds an effect against the model; a stop is carried out at once.
     fn check(&mut self, effect: Effect) -> Option<Input> {
         match effect {
-            Effect::Send { id, attempt, server, reads: reading, until, begin_by, .. } => {
+            Effect::Send { id, attempt, server, reads: reading, attempt_deadline, begin_by, .. } => {
                 let connection = self.connections.get_mut(&id).expect("a known request");
                 assert_eq!(connection.state, State::Waiting, "sent after the answer");
                 assert!(connection.in_flight.is_empty(), "a second copy");
                 assert!(!(connection.at_most_once && connection.may_have_executed), "a second effect");
-                assert!(until <= connection.not_after && self.now < begin_by && begin_by <= until);
+                assert!(
+                    attempt_deadline <= connection.not_after
+                        && self.now < begin_by
+                        && begin_by <= attempt_deadline
+                );
                 assert_eq!(reading, is_reader(server));
                 assert!(!self.unavailable[&server], "sent to a server that the list has not as ready");
                 connection.in_flight.insert(attempt, Attempt { server, is_streaming: false });
--- a/tests/crossings_handover.rs
+++ b/tests/crossings_handover.rs
@@ -686,11 +686,11 @@
 
     fn check(&mut self, effect: Asks) {
         match effect {
-            Asks::Send { attempt, server, until, .. } => {
+            Asks::Send { attempt, server, attempt_deadline, .. } => {
                 assert!(!self.gone && self.answers == 0, "sent after the end");
                 assert!(self.out.is_none(), "a second copy beside one that is out");
                 assert!(self.ready[&server], "sent to a server that is not up");
-                assert!(self.now < until && until <= self.not_after);
+                assert!(self.now < attempt_deadline && attempt_deadline <= self.not_after);
                 match (self.effect, self.ran) {
                     (Effect::AtMostOnce, Some(_)) => panic!("a second effect"),
                     (Effect::Deduplicated, Some(ran)) => assert!(self.now < ran + SECOND, "after the window"),
--- a/tests/local_connect_failures.rs
+++ b/tests/local_connect_failures.rs
@@ -38,13 +38,13 @@
 /// Sends a request to that address, over a new connection only where that is said; what comes of it.
 async fn attempt(servers: Servers, address: SocketAddr, new_connection: bool) -> Outcome {
     let payload = Payload { txn: "01".to_owned(), target: "/".to_owned(), key: None, body: "{}".into() };
-    let until = Instant::now() + Duration::from_secs(2);
+    let attempt_deadline = Instant::now() + Duration::from_secs(2);
     let attempt = Attempt {
         address: address.to_string(),
         payload: payload.into(),
         reads: true,
-        until,
-        begin_by: until,
+        attempt_deadline,
+        begin_by: attempt_deadline,
         new_connection,
         unanswered_releases: None,
     };
--- a/tests/silent_releases.rs
+++ b/tests/silent_releases.rs
@@ -62,13 +62,13 @@
 
 async fn reads(servers: Servers, address: SocketAddr) {
     let payload = Payload { txn: "01".to_owned(), target: "/".to_owned(), key: None, body: "{}".into() };
-    let until = Instant::now() + Duration::from_secs(2);
+    let attempt_deadline = Instant::now() + Duration::from_secs(2);
     let attempt = Attempt {
         address: address.to_string(),
         payload: payload.into(),
         reads: true,
-        until,
-        begin_by: until,
+        attempt_deadline,
+        begin_by: attempt_deadline,
         new_connection: false,
         unanswered_releases: None,
     };
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -209,14 +209,14 @@
     stop: oneshot::Receiver<()>,
 ) -> impl Future<Output = servers::AttemptOutcome> + use<> {
     let payload = Payload { txn: ID.to_owned(), target: "/".to_owned(), key: None, body: "{}".into() };
-    let until = tokio::time::Instant::now() + Duration::from_secs(1);
+    let attempt_deadline = tokio::time::Instant::now() + Duration::from_secs(1);
     let address = listener.local_addr().unwrap().to_string();
     let attempt = servers::Attempt {
         address,
         payload: payload.into(),
         reads: true,
-        until,
-        begin_by: until,
+        attempt_deadline,
+        begin_by: attempt_deadline,
         new_connection: false,
         unanswered_releases: None,
     };
