--- a/src/edge/core.rs
+++ b/src/edge/core.rs
@@ -130,8 +130,8 @@
 
     /// Metrics of held state since the start and of the state held at `now`, one per line.
     #[must_use]
-    pub fn held_figures(&self, now: Micros) -> String {
-        self.requests.held_figures(now)
+    pub fn held_state_metrics(&self, now: Micros) -> String {
+        self.requests.held_state_metrics(now)
     }
 
     /// Histories of at most `count` open requests, oldest first, one per line.
@@ -154,7 +154,7 @@
 
     /// Number of listed servers that the router currently avoids.
     #[must_use]
-    pub fn avoided(&self) -> usize {
+    pub fn avoided_server_count(&self) -> usize {
         self.router.avoided_servers()
     }
 
--- a/src/edge/core/request_table/held.rs
+++ b/src/edge/core/request_table/held.rs
@@ -119,7 +119,7 @@
 
     /// Metrics of held state since the start and of the state held at `now`, one per line.
     #[must_use]
-    pub fn held_figures(&self, now: Micros) -> String {
+    pub fn held_state_metrics(&self, now: Micros) -> String {
         let held = self.requests.values().filter(|request| request.held.is_held());
         let ages: Vec<Micros> = held.map(|request| request.held.age(now)).collect();
         self.held_statistics.lines(&ages)
--- a/src/edge/driver.rs
+++ b/src/edge/driver.rs
@@ -262,7 +262,7 @@
         let now = self.clock.now();
         if now >= self.avoided_count_due {
             self.avoided_count_due = now + AVOIDED_COUNT_INTERVAL;
-            record.members_unavailable = self.core.avoided();
+            record.members_unavailable = self.core.avoided_server_count();
         }
         if !self.summary.is_due(now) {
             return;
@@ -278,7 +278,7 @@
         match message {
             // The receiver may have gone.
             Message::DescribeRequests(reply) => drop(reply.send(self.core.histories(now, MAX_HISTORIES))),
-            Message::DescribeHeldState(reply) => drop(reply.send(self.core.held_figures(now))),
+            Message::DescribeHeldState(reply) => drop(reply.send(self.core.held_state_metrics(now))),
             _ => {
                 info!(open = self.core.open(); "driver: histories of open requests");
                 for line in self.core.histories(now, MAX_HISTORIES).lines() {
--- a/tests/request_histories.rs
+++ b/tests/request_histories.rs
@@ -115,11 +115,11 @@
     let mut core = core();
     let attempt = read(&mut core, 1, SECOND);
     let id = RequestId(1);
-    let unanswered = |core: &Core| core.held_figures(SECOND).contains("unanswered.00000001:1|c");
+    let unanswered = |core: &Core| core.held_state_metrics(SECOND).contains("unanswered.00000001:1|c");
     core.step(SECOND + 30_000, Input::AttemptWritten { id, attempt, connection: ConnectionKind::New });
     assert!(!unanswered(&core));
     core.step(SECOND + 40_000, Input::AttemptFinished { id, attempt, result: Outcome::Reset.into() });
-    assert!(unanswered(&core), "{}", core.held_figures(SECOND));
+    assert!(unanswered(&core), "{}", core.held_state_metrics(SECOND));
 }
 
 /// The same from outside, at the default log level: the second address and a signal show what is open, the log has why a
