--- a/src/edge/guard.rs
+++ b/src/edge/guard.rs
@@ -55,7 +55,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Guard {
     refused: RuleCounts,
-    broken: RuleCounts,
+    violations: RuleCounts,
 }
 
 /// The facts that decide whether a send is allowed.
@@ -105,7 +105,7 @@
 
     /// Counts and logs a rule that has already been broken; `history` is the history of the request.
     pub fn record_violation(&mut self, rule: Rule, id: RequestId, history: &dyn std::fmt::Display) {
-        self.broken[rule as usize] += 1;
+        self.violations[rule as usize] += 1;
         error!(request_id:% = id, rule = rule.name(), history:% = history; "guard: rule broken");
     }
 
@@ -117,7 +117,7 @@
 
     /// Violations found since the start, by rule.
     #[must_use]
-    pub fn broken(&self) -> RuleCounts {
-        self.broken
+    pub fn violations(&self) -> RuleCounts {
+        self.violations
     }
 }
--- a/src/edge/stats.rs
+++ b/src/edge/stats.rs
@@ -99,7 +99,7 @@
     pub releases: usize,
     /// Messages of other dispatchers that were dropped.
     pub messages_dropped: u64,
-    /// What the guard has refused and found broken.
+    /// The refused sends and the violations that the guard has counted.
     pub guard: Guard,
     /// What became of attempts and requests, by reason.
     pub transitions: Transitions,
@@ -162,7 +162,7 @@
         line("members_unavailable", self.members_unavailable as u64, 'g');
         for (at, rule) in Rule::ALL.into_iter().enumerate() {
             line(&format!("guard_refused.{}", rule.name()), self.guard.refused()[at], 'c');
-            line(&format!("guard_broken.{}", rule.name()), self.guard.broken()[at], 'c');
+            line(&format!("guard_broken.{}", rule.name()), self.guard.violations()[at], 'c');
         }
         self.transitions.counts().for_each(|(name, count)| line(&name, count, 'c'));
         text
--- a/tests/transitions.rs
+++ b/tests/transitions.rs
@@ -85,12 +85,12 @@
     core.step(SECOND, list());
     let sent = core.step(SECOND, call(0, 2 * SECOND));
     let [Effect::Send { attempt, .. }] = sent[..] else { panic!("{sent:?}") };
-    assert_eq!(core.guard().broken().iter().sum::<u64>(), 0);
+    assert_eq!(core.guard().violations().iter().sum::<u64>(), 0);
     // The driver was held up for long: the attempt's end comes with no tick before it.
     let ending = AttemptResult::from(Outcome::ConnectFailed);
     core.step(3 * SECOND, Input::AttemptFinished { id: ID, attempt, result: ending });
     let lines = counted(&core);
     assert_eq!(lines, ["edge_router.attempts.connect_failed:1|c", "edge_router.answered.deadline:1|c"]);
-    assert_eq!(core.guard().broken()[Rule::LateAnswer as usize], 1);
-    assert_eq!(core.guard().broken().iter().sum::<u64>(), 1);
+    assert_eq!(core.guard().violations()[Rule::LateAnswer as usize], 1);
+    assert_eq!(core.guard().violations().iter().sum::<u64>(), 1);
 }
