--- a/src/edge/clients/chat/requests.rs
+++ b/src/edge/clients/chat/requests.rs
@@ -110,7 +110,7 @@
         for choice in 0..accepted.request.choice_count() {
             let permit = self.permit(accepted.tenant)?;
             let (info, payload) = self.server_request(accepted, choice);
-            waiting.push((info.id, permit, Box::pin(self.driver.begin(info, payload).0)));
+            waiting.push((info.id, permit, Box::pin(self.driver.submit(info, payload).0)));
         }
         let id = waiting[0].0;
         let mut sources = Vec::new();
--- a/src/edge/clients/chat/server_request.rs
+++ b/src/edge/clients/chat/server_request.rs
@@ -120,7 +120,7 @@
         let info = self.request_info(id, accepted, &prompt);
         let not_after = info.not_after.min(rest.deadline_us);
         let info = RequestInfo { max_tokens: rest.max_tokens, not_after, ..info };
-        match self.driver.ask(info, payload(id, &body)).await {
+        match self.driver.submit_and_wait(info, payload(id, &body)).await {
             Reply::Stream(relay) => Ok(AnswerSource::Relay { relay: Box::new(relay), _permit: permit }),
             Reply::Rejected { retry_in } => Err(RestError::Refused { retry_after_us: retry_in }),
             Reply::Failed { .. } | Reply::DuplicateId => Err(RestError::Failed),
--- a/src/edge/clients/platform.rs
+++ b/src/edge/clients/platform.rs
@@ -71,7 +71,7 @@
     let target = head.uri.path_and_query().map_or("/", |target| target.as_str()).to_owned();
     let key = head.headers.get(IDEMPOTENCY_KEY).cloned();
     let payload = Arc::new(Payload { txn: headers.txn, target, key, body });
-    let reply = front.driver.ask(info, payload).await;
+    let reply = front.driver.submit_and_wait(info, payload).await;
     if matches!(reply, Reply::DuplicateId) {
         count_failure();
     }
--- a/src/edge/clients/recorder.rs
+++ b/src/edge/clients/recorder.rs
@@ -66,7 +66,7 @@
     }
 
     async fn send(&mut self, run: Run, grant: Option<Grant>) -> Outcome {
-        let (reply, may_have_executed) = self.driver.begin(run.request, run.payload);
+        let (reply, may_have_executed) = self.driver.submit(run.request, run.payload);
         let outcome = self.record(reply, may_have_executed).await;
         if let Some(grant) = grant {
             report_outcome(grant, outcome);
--- a/src/edge/driver/handle.rs
+++ b/src/edge/driver/handle.rs
@@ -46,14 +46,14 @@
 
     /// Submits a request and waits for its reply. Dropping the future before the reply reports that the client
     /// has disconnected.
-    pub async fn ask(&self, info: RequestInfo, payload: Arc<Payload>) -> Reply {
-        self.begin(info, payload).0.await
+    pub async fn submit_and_wait(&self, info: RequestInfo, payload: Arc<Payload>) -> Reply {
+        self.submit(info, payload).0.await
     }
 
-    /// Submits a request. The future resolves to its reply, as that of [`ask`](Self::ask) does. The receiver
-    /// gets whether the request may have run, once none of its attempts is in flight any more, even if the
-    /// client has disconnected before that.
-    pub fn begin(
+    /// Submits a request. The future resolves to its reply, as that of
+    /// [`submit_and_wait`](Self::submit_and_wait) does. The receiver gets whether the request may have run,
+    /// once none of its attempts is in flight any more, even if the client has disconnected before that.
+    pub fn submit(
         &self,
         info: RequestInfo,
         payload: Arc<Payload>,
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -512,7 +512,7 @@
     let payload = Payload { txn: ID.to_owned(), target: "/".to_owned(), key: None, body: "{}".into() };
     let payload = Arc::new(payload);
     let held = Arc::downgrade(&payload);
-    let Reply::Stream(_streams) = sender.ask(call, payload).await else { panic!("it streams") };
+    let Reply::Stream(_streams) = sender.submit_and_wait(call, payload).await else { panic!("it streams") };
     eventually("the prompt has gone", || held.upgrade().is_none()).await;
 }
 
