--- a/src/edge/connections.rs
+++ b/src/edge/connections.rs
@@ -69,11 +69,11 @@
 }
 
 /// An HTTP client that never resends a request by itself.
-pub type Plain<B> = Client<HttpConnector, B>;
+pub type NoRetryClient<B> = Client<HttpConnector, B>;
 
 /// Creates a client that sends each request once. By default, hyper-util resends a request that a closing
 /// connection has returned unsent.
-pub fn plain_client<B>(config: &Config, max_idle: usize) -> Plain<B>
+pub fn no_retry_client<B>(config: &Config, max_idle: usize) -> NoRetryClient<B>
 where
     B: Body + Send + 'static,
     B::Data: Send,
--- a/src/edge/discovery/client.rs
+++ b/src/edge/discovery/client.rs
@@ -9,7 +9,7 @@
 use thiserror::Error;
 use tokio::time::{timeout_at, Instant};
 
-use crate::edge::connections::{plain_client, Plain};
+use crate::edge::connections::{no_retry_client, NoRetryClient};
 use crate::edge::discovery::listing::{Answer, Listing, NoReadableEntry};
 use crate::edge::settings::Config;
 
@@ -47,13 +47,13 @@
 
 /// A client of the agent at one address.
 pub(super) struct Client {
-    http: Plain<Empty<Bytes>>,
+    http: NoRetryClient<Empty<Bytes>>,
     base: String,
 }
 
 impl Client {
     pub(super) fn new(config: &Config, address: SocketAddr) -> Self {
-        Self { http: plain_client(config, 1), base: format!("http://{address}/registry/instances") }
+        Self { http: no_retry_client(config, 1), base: format!("http://{address}/registry/instances") }
     }
 
     /// The changes since a version of the list, for which the agent may wait so long; without a version, the whole list.
