--- a/src/edge/clients/answer_reader.rs
+++ b/src/edge/clients/answer_reader.rs
@@ -97,7 +97,7 @@
             AnswerRead::Data(chunk) => Some(Ok(Frame::data(chunk))),
             AnswerRead::Ended(Outcome::Completed) => None,
             AnswerRead::Ended(Outcome::Interrupted(code)) => Some(Err(cut_from_code(code))),
-            AnswerRead::Overrun => Some(Err(Cut::Behind)),
+            AnswerRead::Overrun => Some(Err(Cut::ClientTooSlow)),
             AnswerRead::Ended(_) | AnswerRead::Gone => Some(Err(Cut::Broken)),
         })
     }
@@ -108,8 +108,8 @@
     match cut {
         Cut::Broken => 0,
         Cut::Stalled => 1,
-        Cut::Spoilt => 2,
-        Cut::Behind => 3,
+        Cut::Malformed => 2,
+        Cut::ClientTooSlow => 3,
     }
 }
 
@@ -117,7 +117,7 @@
     match code {
         0 => Cut::Broken,
         1 => Cut::Stalled,
-        2 => Cut::Spoilt,
-        _ => Cut::Behind,
+        2 => Cut::Malformed,
+        _ => Cut::ClientTooSlow,
     }
 }
--- a/src/edge/servers/relay.rs
+++ b/src/edge/servers/relay.rs
@@ -56,10 +56,10 @@
     Stalled,
     /// The server sent data that is not an event stream.
     #[error("the server's stream is spoilt")]
-    Spoilt,
+    Malformed,
     /// The client read so slowly that data which it had not received yet is no longer kept.
     #[error("the stream went on without this client, which was too slow")]
-    Behind,
+    ClientTooSlow,
 }
 
 impl Relay {
@@ -96,7 +96,7 @@
     /// long.
     fn forward(&mut self, context: &mut Context<'_>, data: Bytes) -> Poll<Option<FrameResult>> {
         let Some(event_ended) = self.opened.shape.take(&data) else {
-            return self.cut(context, Outcome::Reset, Cut::Spoilt);
+            return self.cut(context, Outcome::Reset, Cut::Malformed);
         };
         if event_ended {
             let stall_deadline = Instant::now() + self.stall_timeout;
