--- a/src/edge/clients/connection.rs
+++ b/src/edge/clients/connection.rs
@@ -72,7 +72,7 @@
                 // not passed on, and no bytes behind it are read as a request.
                 plain_response(StatusCode::BAD_REQUEST, "where the request ends can't be told")
             } else if over_capacity {
-                figures.answered_at_the_door(header(request.headers(), "x-lane"), End::Rejected);
+                figures.answered_by_front(header(request.headers(), "x-lane"), End::Rejected);
                 over_capacity_response()
             } else {
                 request.extensions_mut().insert(ReceiveDeadline(receive_deadline));
--- a/src/edge/clients/platform.rs
+++ b/src/edge/clients/platform.rs
@@ -48,7 +48,7 @@
 
 async fn complete(State(front): State<Front>, request: Request<Body>) -> Response<Body> {
     let (head, body) = request.into_parts();
-    let count_failure = || front.figures.answered_at_the_door(header(&head.headers, "x-lane"), End::Failed);
+    let count_failure = || front.figures.answered_by_front(header(&head.headers, "x-lane"), End::Failed);
     let read = RequestHeaders::read(&head.headers, |name| front.driver.class(name));
     let headers = match read {
         Ok(headers) => headers,
--- a/src/edge/stats.rs
+++ b/src/edge/stats.rs
@@ -194,7 +194,7 @@
     }
 
     /// A front has answered a request by itself. Without a class that is known it is not counted.
-    pub fn answered_at_the_door(&self, class: Option<&str>, end: End) {
+    pub fn answered_by_front(&self, class: Option<&str>, end: End) {
         if let Some(class) = class {
             let mut record = self.record();
             record.taken(class);
