--- a/src/edge/event_shape.rs
+++ b/src/edge/event_shape.rs
@@ -7,7 +7,7 @@
 
 /// Checks that a stream consists of server-sent events. The stream may be split into pieces at any byte.
 #[derive(Debug, Default)]
-pub struct EventShape {
+pub struct EventStreamValidator {
     /// The first bytes of the unfinished line, up to the length of the longest prefix and without line
     /// breaks.
     start: Vec<u8>,
@@ -15,11 +15,11 @@
     event_bytes: usize,
 }
 
-impl EventShape {
+impl EventStreamValidator {
     /// Checks the next piece of the stream. Returns whether an event ends in it, or `None` if the stream is
     /// not a valid event stream: a line starts with none of `LINE_PREFIXES`, or an event is too long. The
     /// size limit also stops a faulty server that sends data without end, in chunks of any size.
-    pub fn take(&mut self, data: &[u8]) -> Option<bool> {
+    pub fn push(&mut self, data: &[u8]) -> Option<bool> {
         let mut ends_event = false;
         for line in data.split_inclusive(|&byte| byte == b'\n') {
             let ended = line.ends_with(b"\n");
--- a/src/edge/servers/answer.rs
+++ b/src/edge/servers/answer.rs
@@ -11,7 +11,7 @@
 
 use crate::edge::connections::ConnectionHandle;
 use crate::edge::core::AttemptResult;
-use crate::edge::event_shape::EventShape;
+use crate::edge::event_shape::EventStreamValidator;
 use crate::edge::servers::report::{load_report, number_after, CACHED_TOKENS, LOAD_HEADER};
 use crate::interface::Outcome;
 
@@ -28,7 +28,7 @@
 pub struct OpenedStream {
     pub(super) first: Option<Bytes>,
     pub(super) rest: Incoming,
-    pub(super) shape: EventShape,
+    pub(super) validator: EventStreamValidator,
     handle: ConnectionHandle,
 }
 
@@ -74,11 +74,11 @@
         // end: the head must have been damaged.
         StatusCode::OK | StatusCode::ACCEPTED if !is_framed => Outcome::Reset,
         StatusCode::OK if !reads => match first_event(&mut body).await {
-            Some((first, shape)) => {
+            Some((first, validator)) => {
                 return AttemptOutcome::OpenedStream(Box::new(OpenedStream {
                     first,
                     rest: body,
-                    shape,
+                    validator,
                     handle,
                 }))
             }
@@ -111,15 +111,15 @@
 /// Reads the beginning of a stream, to the end of its first event. Returns no bytes for a stream that ended
 /// properly without any, and `None` if the stream broke or is not one of events: then the attempt may have run,
 /// and nothing of it has been relayed.
-async fn first_event(body: &mut Incoming) -> Option<(Option<Bytes>, EventShape)> {
-    let (mut shape, mut first) = (EventShape::default(), Bytes::new());
+async fn first_event(body: &mut Incoming) -> Option<(Option<Bytes>, EventStreamValidator)> {
+    let (mut validator, mut first) = (EventStreamValidator::default(), Bytes::new());
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame.ok()?.into_data() else { continue };
-        let event_ended = shape.take(&data)?;
+        let event_ended = validator.push(&data)?;
         first = if first.is_empty() { data } else { [first, data].concat().into() };
         if event_ended {
-            return Some((Some(first), shape));
+            return Some((Some(first), validator));
         }
     }
-    Some((None, shape)).filter(|_| first.is_empty())
+    Some((None, validator)).filter(|_| first.is_empty())
 }
--- a/src/edge/servers/relay.rs
+++ b/src/edge/servers/relay.rs
@@ -95,7 +95,7 @@
     /// Relays a piece of the stream, unless it is not part of an event stream, or no event has ended for too
     /// long.
     fn forward(&mut self, context: &mut Context<'_>, data: Bytes) -> Poll<Option<FrameResult>> {
-        let Some(event_ended) = self.opened.shape.take(&data) else {
+        let Some(event_ended) = self.opened.validator.push(&data) else {
             return self.cut(context, Outcome::Reset, Cut::Malformed);
         };
         if event_ended {
