--- a/src/edge/balancers.rs
+++ b/src/edge/balancers.rs
@@ -78,7 +78,7 @@
     /// [`ready`](Self::ready), else `ready up` with the percentage of `max_open_requests` that is free, at
     /// least 1%.
     #[must_use]
-    pub fn line(&self) -> String {
+    pub fn agent_check_line(&self) -> String {
         if self.is_shutting_down() {
             return "drain\n".to_owned();
         }
@@ -111,7 +111,7 @@
 pub async fn agent_check(listener: TcpListener, health: Health) {
     loop {
         match accept(&listener).await {
-            Ok(stream) => write_line(stream, &health.line()).await,
+            Ok(stream) => write_line(stream, &health.agent_check_line()).await,
             Err(error) => {
                 warn!(reason:% = error; "agent check: accept failed");
                 tokio::time::sleep(WRITE_TIMEOUT).await;
--- a/tests/stable_texts.rs
+++ b/tests/stable_texts.rs
@@ -45,7 +45,7 @@
                     text,
                     "{serves} {open}: {:?} {:?}",
                     health.ready().map_err(|why| why.to_string()),
-                    health.line()
+                    health.agent_check_line()
                 )
                 .unwrap();
             }
