--- a/src/edge/admin.rs
+++ b/src/edge/admin.rs
@@ -20,7 +20,7 @@
 use crate::edge::balancers::Health;
 use crate::edge::cluster::View;
 use crate::edge::driver::{DriverHandle, Message};
-use crate::edge::tcp::Uninterrupted;
+use crate::edge::tcp::UninterruptedStream;
 
 /// Callers at once. The oldest that has not sent its line yet makes room for a new one.
 const MAX_CALLERS: usize = 16;
@@ -131,7 +131,7 @@
 }
 
 async fn answer(stream: TcpStream, sources: Sources, by: Instant) {
-    let mut stream = Uninterrupted(stream);
+    let mut stream = UninterruptedStream(stream);
     let response = match timeout_at(by, read_line(&mut stream)).await {
         Ok(Ok(line)) => response(&line, &sources).await,
         Ok(Err(what)) => format!("ERR {what}\n"),
--- a/src/edge/balancers.rs
+++ b/src/edge/balancers.rs
@@ -16,7 +16,7 @@
 use crate::edge::accept::accept;
 use crate::edge::phase::Phase;
 use crate::edge::stats::Figures;
-use crate::edge::tcp::Uninterrupted;
+use crate::edge::tcp::UninterruptedStream;
 
 /// Time a balancer has to read its agent check line; also the pause after an accept that failed.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
@@ -121,7 +121,7 @@
 }
 
 async fn write_line(stream: TcpStream, line: &str) {
-    let mut stream = Uninterrupted(stream);
+    let mut stream = UninterruptedStream(stream);
     let write = async {
         stream.write_all(line.as_bytes()).await?;
         stream.shutdown().await
--- a/src/edge/clients/client_stream.rs
+++ b/src/edge/clients/client_stream.rs
@@ -18,7 +18,7 @@
 use crate::edge::clients::connection_limits::SlotGuard;
 use crate::edge::clients::connection_slot::ConnectionSlot;
 use crate::edge::clients::read_ahead::ReadAhead;
-use crate::edge::tcp::Uninterrupted;
+use crate::edge::tcp::UninterruptedStream;
 
 /// A connection is cut when the client takes in none of the sent data for this long.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
@@ -31,7 +31,7 @@
 /// A client's connection. `stream` and `guard` are present until it is dropped; the drop may hand them to the
 /// task of a lingering close.
 pub struct ClientStream {
-    stream: Option<Uninterrupted>,
+    stream: Option<UninterruptedStream>,
     guard: Option<SlotGuard>,
     read_ahead: ReadAhead,
     /// Whether the socket has been read directly, without waiting for the event queue, since the open request
@@ -58,13 +58,13 @@
     #[must_use]
     pub fn new(stream: TcpStream, guard: SlotGuard, shutdown_complete_tx: mpsc::Sender<()>) -> Self {
         let read_ahead = ReadAhead::new(guard.limits.read_ahead_bytes.clone());
-        let (stream, guard) = (Some(Uninterrupted(stream)), Some(guard));
+        let (stream, guard) = (Some(UninterruptedStream(stream)), Some(guard));
         Self { stream, guard, read_ahead, has_checked_socket: false, shutdown_complete_tx }
     }
 
     /// Sets the socket options. Errors are ignored: the connection works without them.
     pub(crate) fn set_options(&self) {
-        let Some(Uninterrupted(stream)) = &self.stream else { return };
+        let Some(UninterruptedStream(stream)) = &self.stream else { return };
         // Stream events are forwarded as they come; none may wait in the kernel until a segment is full.
         let _ = stream.set_nodelay(true);
         // Without this, a client that vanished on a bad link or no longer reads would hold its stream and its
@@ -72,7 +72,7 @@
         let _ = SockRef::from(stream).set_tcp_user_timeout(Some(WRITE_TIMEOUT));
     }
 
-    fn stream(&mut self) -> io::Result<Pin<&mut Uninterrupted>> {
+    fn stream(&mut self) -> io::Result<Pin<&mut UninterruptedStream>> {
         self.stream.as_mut().map(Pin::new).ok_or_else(|| io::ErrorKind::NotConnected.into())
     }
 
@@ -134,7 +134,7 @@
     fn read_socket_directly(&mut self) -> io::Result<bool> {
         let mut buffer = [0; READ_BUFFER_BYTES];
         while !self.read_ahead.has_overflowed() {
-            let Some(Uninterrupted(stream)) = &self.stream else { return Ok(true) };
+            let Some(UninterruptedStream(stream)) = &self.stream else { return Ok(true) };
             match (&*SockRef::from(stream)).read(&mut buffer) {
                 Ok(0) => return Ok(true),
                 Ok(length) => self.read_ahead.push(&buffer[..length]),
@@ -197,7 +197,7 @@
     }
 }
 
-async fn drain(mut stream: Uninterrupted) -> io::Result<()> {
+async fn drain(mut stream: UninterruptedStream) -> io::Result<()> {
     stream.shutdown().await?;
     tokio::io::copy(&mut stream.take(MAX_LINGER_BYTES), &mut tokio::io::sink()).await.map(drop)
 }
--- a/src/edge/connections/stream.rs
+++ b/src/edge/connections/stream.rs
@@ -12,7 +12,7 @@
 use tokio::sync::watch;
 use tokio::task::AbortHandle;
 
-use crate::edge::tcp::Uninterrupted;
+use crate::edge::tcp::UninterruptedStream;
 
 /// Called for each request whose last byte has been handed to the operating system.
 pub(super) type WriteObserver = Arc<dyn Fn() + Send + Sync>;
@@ -61,7 +61,7 @@
 /// The byte stream of a connection. `_open` must be dropped after `io` is closed, so the order of the fields
 /// matters.
 pub(super) struct Stream {
-    io: TokioIo<Uninterrupted>,
+    io: TokioIo<UninterruptedStream>,
     write_observer: WriteObserver,
     request: Arc<CarriedRequest>,
     _open: watch::Sender<()>,
@@ -83,7 +83,7 @@
     pub(super) fn new(stream: TcpStream, write_observer: WriteObserver) -> (Self, HandleParts) {
         let (sender, open) = watch::channel(());
         let request = Arc::<CarriedRequest>::default();
-        let io = TokioIo::new(Uninterrupted(stream));
+        let io = TokioIo::new(UninterruptedStream(stream));
         (Self { io, write_observer, request: request.clone(), _open: sender }, HandleParts { request, open })
     }
 }
--- a/src/edge/tcp.rs
+++ b/src/edge/tcp.rs
@@ -13,7 +13,7 @@
 
 /// A TCP stream whose calls never fail with [`io::ErrorKind::Interrupted`].
 #[derive(Debug)]
-pub struct Uninterrupted(pub TcpStream);
+pub struct UninterruptedStream(pub TcpStream);
 
 /// Repeats a call while it is interrupted; after [`MAX_INTERRUPTS`] times it wakes the task again and yields.
 fn retry_interrupted<T>(
@@ -30,7 +30,7 @@
     Poll::Pending
 }
 
-impl AsyncRead for Uninterrupted {
+impl AsyncRead for UninterruptedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -40,7 +40,7 @@
     }
 }
 
-impl AsyncWrite for Uninterrupted {
+impl AsyncWrite for UninterruptedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
