--- a/src/edge/balancers.rs
+++ b/src/edge/balancers.rs
@@ -16,7 +16,7 @@
 use crate::edge::accept::accept;
 use crate::edge::phase::Phase;
 use crate::edge::stats::Figures;
-use crate::edge::tcp::Uninterrupted;
+use crate::edge::tcp::UninterruptedStream;
 
 /// Time a balancer has to read its agent check line; also the pause after an accept that failed.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
@@ -78,7 +78,7 @@
     /// [`ready`](Self::ready), else `ready up` with the percentage of `max_open_requests` that is free, at
     /// least 1%.
     #[must_use]
-    pub fn line(&self) -> String {
+    pub fn agent_check_line(&self) -> String {
         if self.is_shutting_down() {
             return "drain\n".to_owned();
         }
@@ -111,7 +111,7 @@
 pub async fn agent_check(listener: TcpListener, health: Health) {
     loop {
         match accept(&listener).await {
-            Ok(stream) => write_line(stream, &health.line()).await,
+            Ok(stream) => write_line(stream, &health.agent_check_line()).await,
             Err(error) => {
                 warn!(reason:% = error; "agent check: accept failed");
                 tokio::time::sleep(WRITE_TIMEOUT).await;
@@ -121,7 +121,7 @@
 }
 
 async fn write_line(stream: TcpStream, line: &str) {
-    let mut stream = Uninterrupted(stream);
+    let mut stream = UninterruptedStream(stream);
     let write = async {
         stream.write_all(line.as_bytes()).await?;
         stream.shutdown().await
--- a/src/edge/clients/platform.rs
+++ b/src/edge/clients/platform.rs
@@ -48,7 +48,7 @@
 
 async fn complete(State(front): State<Front>, request: Request<Body>) -> Response<Body> {
     let (head, body) = request.into_parts();
-    let count_failure = || front.figures.answered_at_the_door(header(&head.headers, "x-lane"), End::Failed);
+    let count_failure = || front.figures.answered_by_front(header(&head.headers, "x-lane"), End::Failed);
     let read = RequestHeaders::read(&head.headers, |name| front.driver.class(name));
     let headers = match read {
         Ok(headers) => headers,
@@ -71,7 +71,7 @@
     let target = head.uri.path_and_query().map_or("/", |target| target.as_str()).to_owned();
     let key = head.headers.get(IDEMPOTENCY_KEY).cloned();
     let payload = Arc::new(Payload { txn: headers.txn, target, key, body });
-    let reply = front.driver.ask(info, payload).await;
+    let reply = front.driver.submit_and_wait(info, payload).await;
     if matches!(reply, Reply::DuplicateId) {
         count_failure();
     }
--- a/src/edge/core.rs
+++ b/src/edge/core.rs
@@ -20,7 +20,7 @@
 use std::fmt::Write as _;
 
 use crate::edge::core::endpoints::Endpoints;
-pub use crate::edge::core::held_state::CLOSE_SEEN;
+pub use crate::edge::core::held_state::CLOSE_PROPAGATION_TIME;
 pub use crate::edge::core::messages::{AttemptResult, ConnectionKind, Effect, Input};
 use crate::edge::core::request_table::{RequestTable, SendRules};
 use crate::edge::core::step::{Step, Timer};
@@ -130,8 +130,8 @@
 
     /// Metrics of held state since the start and of the state held at `now`, one per line.
     #[must_use]
-    pub fn held_figures(&self, now: Micros) -> String {
-        self.requests.held_figures(now)
+    pub fn held_state_metrics(&self, now: Micros) -> String {
+        self.requests.held_state_metrics(now)
     }
 
     /// Histories of at most `count` open requests, oldest first, one per line.
@@ -154,7 +154,7 @@
 
     /// Number of listed servers that the router currently avoids.
     #[must_use]
-    pub fn avoided(&self) -> usize {
+    pub fn avoided_server_count(&self) -> usize {
         self.router.avoided_servers()
     }
 
@@ -193,9 +193,9 @@
             Input::ClientDisconnected(id) => self.requests.client_disconnected(id, step),
             Input::SettingsReloaded(settings) => self.reload_settings(*settings),
             Input::StateImported(handover) => step.events.push_back(Event::StateImported(handover)),
-            Input::LimitShareChanged { part, max_open_requests } => {
+            Input::LimitShareChanged { share, max_open_requests } => {
                 self.max_open_requests = max_open_requests;
-                step.events.push_back(Event::LimitShareChanged(part));
+                step.events.push_back(Event::LimitShareChanged(share));
             }
             Input::GossipReceived(bytes) => step.events.push_back(Event::GossipReceived(bytes)),
             Input::Leaving(times) => self.start_shutdown(times),
--- a/src/edge/core/messages.rs
+++ b/src/edge/core/messages.rs
@@ -75,7 +75,7 @@
     /// share of the limits that this process may use has changed.
     LimitShareChanged {
         /// Share of the dispatcher's limits, from 0 to 1.
-        part: f64,
+        share: f64,
         /// Limit on the number of requests open at once in this process.
         max_open_requests: usize,
     },
@@ -125,8 +125,8 @@
 /// Something that the driver must do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Send the request to a server. If the attempt has neither ended nor started its stream by `until`, the
-    /// reducer cancels it.
+    /// Send the request to a server. If the attempt has neither ended nor started its stream by
+    /// `attempt_deadline`, the reducer cancels it.
     Send {
         /// The request.
         id: RequestId,
@@ -137,7 +137,7 @@
         /// Whether the server only reads the prompt; otherwise it streams the answer.
         reads: bool,
         /// Time at which the attempt times out.
-        until: Micros,
+        attempt_deadline: Micros,
         /// Time from which on nothing of the attempt may be written any more.
         begin_by: Micros,
         /// Whether a new connection must be used: state is held whose deadline runs until the writer gets the
@@ -188,8 +188,8 @@
         number: u64,
         /// Servers that hold state or may hold it.
         holders: Vec<ServerId>,
-        /// Whether to repeat the release after [`CLOSE_SEEN`](super::CLOSE_SEEN): a read that was just
-        /// abandoned may complete until its server notices the closed connection.
+        /// Whether to repeat the release after [`CLOSE_PROPAGATION_TIME`](super::CLOSE_PROPAGATION_TIME): a
+        /// read that was just abandoned may complete until its server notices the closed connection.
         again: bool,
         /// Whether the prompt may be read again next; that read waits for this release. The release is then
         /// abandoned early, because a late one would release the state left by that read.
--- a/src/edge/driver.rs
+++ b/src/edge/driver.rs
@@ -151,8 +151,8 @@
                 None
             }
             Message::StateImported(learned) => Some(Input::StateImported(learned)),
-            Message::LimitShareChanged { part, max_open_requests } => {
-                Some(Input::LimitShareChanged { part, max_open_requests })
+            Message::LimitShareChanged { share, max_open_requests } => {
+                Some(Input::LimitShareChanged { share, max_open_requests })
             }
             Message::SettingsReloaded(settings) => {
                 self.reload_settings(settings);
@@ -262,7 +262,7 @@
         let now = self.clock.now();
         if now >= self.avoided_count_due {
             self.avoided_count_due = now + AVOIDED_COUNT_INTERVAL;
-            record.members_unavailable = self.core.avoided();
+            record.members_unavailable = self.core.avoided_server_count();
         }
         if !self.summary.is_due(now) {
             return;
@@ -278,7 +278,7 @@
         match message {
             // The receiver may have gone.
             Message::DescribeRequests(reply) => drop(reply.send(self.core.histories(now, MAX_HISTORIES))),
-            Message::DescribeHeldState(reply) => drop(reply.send(self.core.held_figures(now))),
+            Message::DescribeHeldState(reply) => drop(reply.send(self.core.held_state_metrics(now))),
             _ => {
                 info!(open = self.core.open(); "driver: histories of open requests");
                 for line in self.core.histories(now, MAX_HISTORIES).lines() {
@@ -292,17 +292,25 @@
     fn execute(&mut self, effect: Effect) -> Option<Input> {
         debug!("driver: effect {effect:?}");
         match effect {
-            Effect::Send { id, attempt, server, reads, until, begin_by, new_connection } => {
+            Effect::Send { id, attempt, server, reads, attempt_deadline, begin_by, new_connection } => {
                 let (Some(address), Some(payload)) = (self.addresses.get(server), self.clients.payload(id))
                 else {
                     let result = Outcome::ConnectFailed.into();
                     return Some(Input::AttemptFinished { id, attempt, result });
                 };
                 let (address, payload) = (address.clone(), payload.clone());
-                let (until, begin_by) = (self.clock.instant(until), self.clock.instant(begin_by));
+                let (attempt_deadline, begin_by) =
+                    (self.clock.instant(attempt_deadline), self.clock.instant(begin_by));
                 let unanswered_releases = reads.then(|| self.releases.unanswered(id));
-                let request =
-                    Attempt { address, payload, reads, until, begin_by, new_connection, unanswered_releases };
+                let request = Attempt {
+                    address,
+                    payload,
+                    reads,
+                    attempt_deadline,
+                    begin_by,
+                    new_connection,
+                    unanswered_releases,
+                };
                 self.attempts.send(id, attempt, request);
             }
             Effect::CancelUnwritten { id, attempt } => return self.attempts.cancel_unwritten(id, attempt),
--- a/src/edge/guard.rs
+++ b/src/edge/guard.rs
@@ -55,7 +55,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Guard {
     refused: RuleCounts,
-    broken: RuleCounts,
+    violations: RuleCounts,
 }
 
 /// The facts that decide whether a send is allowed.
@@ -68,7 +68,7 @@
     /// Whether the server takes new work: it is listed as ready, or is not in the list.
     pub server_accepts_work: bool,
     /// Time at which the attempt would time out (us).
-    pub until: Micros,
+    pub attempt_deadline: Micros,
     /// Time by which held state must be taken (us); `None` if no such deadline is running or the attempt only reads.
     pub hold_deadline: Option<Micros>,
     /// Time until which a second execution is allowed (us); `None` if the request has certainly not been
@@ -85,7 +85,7 @@
             (!self.server_accepts_work, Rule::SendToDraining),
             (is_past(self.rerun_deadline), Rule::SecondRun),
             (is_past(self.hold_deadline), Rule::HeldTooLong),
-            (is_past(Some(self.until)), Rule::SendAfterDeadline),
+            (is_past(Some(self.attempt_deadline)), Rule::SendAfterDeadline),
         ];
         checks.into_iter().find(|(broken, _)| *broken).map(|(_, rule)| rule)
     }
@@ -105,7 +105,7 @@
 
     /// Counts and logs a rule that has already been broken; `history` is the history of the request.
     pub fn record_violation(&mut self, rule: Rule, id: RequestId, history: &dyn std::fmt::Display) {
-        self.broken[rule as usize] += 1;
+        self.violations[rule as usize] += 1;
         error!(request_id:% = id, rule = rule.name(), history:% = history; "guard: rule broken");
     }
 
@@ -117,7 +117,7 @@
 
     /// Violations found since the start, by rule.
     #[must_use]
-    pub fn broken(&self) -> RuleCounts {
-        self.broken
+    pub fn violations(&self) -> RuleCounts {
+        self.violations
     }
 }
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -209,14 +209,14 @@
     stop: oneshot::Receiver<()>,
 ) -> impl Future<Output = servers::AttemptOutcome> + use<> {
     let payload = Payload { txn: ID.to_owned(), target: "/".to_owned(), key: None, body: "{}".into() };
-    let until = tokio::time::Instant::now() + Duration::from_secs(1);
+    let attempt_deadline = tokio::time::Instant::now() + Duration::from_secs(1);
     let address = listener.local_addr().unwrap().to_string();
     let attempt = servers::Attempt {
         address,
         payload: payload.into(),
         reads: true,
-        until,
-        begin_by: until,
+        attempt_deadline,
+        begin_by: attempt_deadline,
         new_connection: false,
         unanswered_releases: None,
     };
@@ -512,7 +512,7 @@
     let payload = Payload { txn: ID.to_owned(), target: "/".to_owned(), key: None, body: "{}".into() };
     let payload = Arc::new(payload);
     let held = Arc::downgrade(&payload);
-    let Reply::Stream(_streams) = sender.ask(call, payload).await else { panic!("it streams") };
+    let Reply::Stream(_streams) = sender.submit_and_wait(call, payload).await else { panic!("it streams") };
     eventually("the prompt has gone", || held.upgrade().is_none()).await;
 }
 
