--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -1,4 +1,5 @@
-//! Dissemination: updates travel along with other messages, each a bounded number of times, the least sent first.
+//! Gossip dissemination: updates are piggybacked on other messages. Each is sent a bounded number of times, and those
+//! sent least often go first.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -6,63 +7,65 @@
 use crate::identity::MemberId;
 use crate::update::Update;
 
-/// More updates than fit into any message.
+/// The number of queued updates considered for one message; fewer than this fit into any message.
 const MAX_UPDATES_IN_MESSAGE: usize = 64;
-/// Updates of so many members wait to be sent; older ones are dropped, as whole states are exchanged besides.
-const MAX_WAITING: usize = 4_096;
+/// The maximum number of queued updates. Beyond it, the one that was sent most often, and the oldest of those, is
+/// dropped; anti-entropy still delivers its content.
+const MAX_QUEUED: usize = 4_096;
 
-/// An update that waits to be sent.
+/// A queued update.
 #[derive(Debug)]
-struct Waiting {
+struct QueuedUpdate {
     update: Update,
-    /// How often it was sent.
-    sent: usize,
-    /// Counts the updates in the order in which they arrived.
-    arrival: u64,
+    /// How many times the update has been sent.
+    times_sent: usize,
+    /// The position in the order in which updates were queued; higher is newer.
+    sequence: u64,
 }
 
-impl Waiting {
+impl QueuedUpdate {
     fn priority(&self) -> Priority {
-        (self.sent, Reverse(self.arrival), self.update.id)
+        (self.times_sent, Reverse(self.sequence), self.update.id)
     }
 }
 
-/// The least sent first, of those the newest.
+/// Sort key of the queue: updates sent fewer times come first, newer ones first among equals.
 type Priority = (usize, Reverse<u64>, MemberId);
 
-/// The updates that wait to be sent: one for each member, the newest.
+/// The updates waiting to be sent: the latest one about each member.
 #[derive(Debug, Default)]
 pub(crate) struct UpdateQueue {
-    waiting: BTreeMap<MemberId, Waiting>,
-    order: BTreeSet<Priority>,
-    arrivals: u64,
+    queued: BTreeMap<MemberId, QueuedUpdate>,
+    by_priority: BTreeSet<Priority>,
+    last_sequence: u64,
 }
 
 impl UpdateQueue {
-    /// Adds an update in place of an older one of that member.
+    /// Queues an update, replacing any queued update about the same member.
     pub(crate) fn add(&mut self, update: Update) {
         self.remove(update.id);
-        self.arrivals += 1;
-        self.insert(Waiting { update, sent: 0, arrival: self.arrivals });
-        if self.waiting.len() > MAX_WAITING {
-            if let Some(&(_, _, id)) = self.order.last() {
+        self.last_sequence += 1;
+        self.insert(QueuedUpdate { update, times_sent: 0, sequence: self.last_sequence });
+        if self.queued.len() > MAX_QUEUED {
+            if let Some(&(_, _, id)) = self.by_priority.last() {
                 self.remove(id);
             }
         }
     }
 
-    fn insert(&mut self, waiting: Waiting) {
-        self.order.insert(waiting.priority());
-        self.waiting.insert(waiting.update.id, waiting);
+    fn insert(&mut self, queued: QueuedUpdate) {
+        self.by_priority.insert(queued.priority());
+        self.queued.insert(queued.update.id, queued);
     }
 
-    fn remove(&mut self, id: MemberId) -> Option<Waiting> {
-        let waiting = self.waiting.remove(&id)?;
-        self.order.remove(&waiting.priority());
-        Some(waiting)
+    fn remove(&mut self, id: MemberId) -> Option<QueuedUpdate> {
+        let queued = self.queued.remove(&id)?;
+        self.by_priority.remove(&queued.priority());
+        Some(queued)
     }
 
-    /// Adds updates to a message while `fits` accepts them. Each is sent `transmit_limit` times at most.
+    /// Appends queued updates to `updates` until `fits` rejects one, skipping members that `updates` already covers.
+    /// Each update is sent at most `transmit_limit` times.
     pub(crate) fn fill(
         &mut self,
         updates: &mut Vec<Update>,
@@ -70,26 +73,26 @@
         mut fits: impl FnMut(&Update) -> bool,
     ) {
         let next: Vec<MemberId> =
-            self.order.iter().take(MAX_UPDATES_IN_MESSAGE).map(|&(_, _, id)| id).collect();
+            self.by_priority.iter().take(MAX_UPDATES_IN_MESSAGE).map(|&(_, _, id)| id).collect();
         for id in next {
             if updates.iter().any(|update| update.id == id) {
                 continue;
             }
-            let Some(waiting) = self.waiting.get(&id) else { continue };
-            if !fits(&waiting.update) {
+            let Some(queued) = self.queued.get(&id) else { continue };
+            if !fits(&queued.update) {
                 break;
             }
-            updates.push(waiting.update.clone());
-            self.count_sent(id, transmit_limit);
+            updates.push(queued.update.clone());
+            self.record_sent(id, transmit_limit);
         }
     }
 
-    /// Counts that an update was sent once more; at the limit it waits no longer.
-    fn count_sent(&mut self, id: MemberId, transmit_limit: usize) {
-        let Some(mut waiting) = self.remove(id) else { return };
-        waiting.sent += 1;
-        if waiting.sent < transmit_limit {
-            self.insert(waiting);
+    /// Records that an update was sent, and removes it from the queue once it has been sent `transmit_limit` times.
+    fn record_sent(&mut self, id: MemberId, transmit_limit: usize) {
+        let Some(mut queued) = self.remove(id) else { return };
+        queued.times_sent += 1;
+        if queued.times_sent < transmit_limit {
+            self.insert(queued);
         }
     }
 }
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -1,27 +1,27 @@
-//! How a member is named and reached.
+//! Member ids and addresses.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// A member, by a stable hash of its name.
+/// Identifies a member: the XXH3 hash of its name, which is the same in every process and version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberId(pub u64);
 
 impl MemberId {
-    /// The id of a name: the same at every instance.
+    /// The id of the member with this name.
     #[must_use]
     pub fn of(name: &str) -> Self {
         Self(xxhash_rust::xxh3::xxh3_64(name.as_bytes()))
     }
 }
 
-/// Where a member receives messages: an IPv4 address and a UDP port.
+/// The IPv4 address and UDP port at which a member receives messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Address {
-    /// The IPv4 address.
+    /// The IPv4 address in network byte order.
     pub ip: [u8; 4],
-    /// The UDP port.
+    /// The UDP port in host byte order.
     pub port: u16,
 }
 
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,4 +1,4 @@
-//! Members, as this instance knows them, and the table of them.
+//! The member table: what this instance knows about the other members.
 
 use std::collections::BTreeMap;
 
@@ -10,30 +10,30 @@
 use crate::update::{MemberState, Update};
 use crate::Micros;
 
-/// Members that are remembered; updates about further strangers are not taken.
+/// The capacity of the member table. Updates about unknown members are ignored when it is full.
 const MAX_MEMBERS: usize = 10_000;
 
-/// A member, as this instance knows it.
+/// What this instance knows about another member.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Its name.
+    /// The member's name.
     pub name: String,
-    /// Where it receives messages.
+    /// The address at which the member receives messages.
     pub address: Address,
-    /// The latest incarnation known.
+    /// The highest incarnation known.
     pub incarnation: u64,
-    /// Its state in that incarnation.
+    /// The member's state in that incarnation.
     pub state: MemberState,
-    /// Since when it is in that state.
+    /// When the member entered that state, on this instance's clock.
     pub since: Micros,
-    /// Who found that state.
+    /// The instance that detected the state; the member itself if it announced the state.
     pub reported_by: MemberId,
-    /// The running time to refute, where it is suspected.
+    /// The running suspicion timeout; `None` unless the member is suspect.
     pub(crate) suspicion: Option<Suspicion>,
 }
 
 impl Member {
-    /// The member that an update describes.
+    /// Creates the entry for the member that an update describes.
     pub(crate) fn new(update: &Update, suspicion: Option<Suspicion>, now: Micros) -> Self {
         Self {
             name: update.name.clone(),
@@ -46,7 +46,7 @@
         }
     }
 
-    /// What this instance says of the member.
+    /// The update that tells other instances of the state recorded here.
     pub(crate) fn update(&self, id: MemberId, now: Micros) -> Update {
         Update {
             id,
@@ -60,7 +60,7 @@
     }
 }
 
-/// The other members that this instance knows, dead ones included.
+/// The other members known to this instance, including those that are dead or have left.
 #[derive(Debug, Default)]
 pub(crate) struct MemberTable {
     members: BTreeMap<MemberId, Member>,
@@ -79,7 +79,7 @@
         self.members.iter().map(|(&id, member)| (id, member))
     }
 
-    /// Adds a member; false where the table is full.
+    /// Inserts a member. Returns false, and changes nothing, if the table is full.
     pub(crate) fn insert(&mut self, id: MemberId, member: Member) -> bool {
         if self.members.len() >= MAX_MEMBERS {
             return false;
@@ -92,34 +92,34 @@
         self.get(id).is_some_and(|member| member.state.is_up())
     }
 
-    /// How many are up.
+    /// The number of members that are up.
     pub(crate) fn count_up(&self) -> usize {
         self.members.values().filter(|member| member.state.is_up()).count()
     }
 
-    /// Those that are up, but for one.
+    /// The members that are up, without `except`.
     pub(crate) fn up_except(&self, except: Option<MemberId>) -> Vec<MemberId> {
-        let up = self.iter().filter(|(id, member)| member.state.is_up() && Some(*id) != except);
-        up.map(|(id, _)| id).collect()
+        let members_up = self.iter().filter(|(id, member)| member.state.is_up() && Some(*id) != except);
+        members_up.map(|(id, _)| id).collect()
     }
 
-    /// So many different ones that are up, but for one, drawn at random; all where there are fewer.
-    pub(crate) fn draw_up(
+    /// Draws up to `count` distinct members at random from those that are up, without `except`.
+    pub(crate) fn sample_up(
         &self,
         count: usize,
         except: Option<MemberId>,
         rng: &mut impl RngCore,
     ) -> Vec<MemberId> {
-        let mut up = self.up_except(except);
-        for at in 0..count.min(up.len()) {
-            let other = at + rng.next_u64() as usize % (up.len() - at);
-            up.swap(at, other);
+        let mut members_up = self.up_except(except);
+        for index in 0..count.min(members_up.len()) {
+            let other = index + rng.next_u64() as usize % (members_up.len() - index);
+            members_up.swap(index, other);
         }
-        up.truncate(count);
-        up
+        members_up.truncate(count);
+        members_up
     }
 
-    /// Gives all suspected members so much more time to refute.
+    /// Extends the suspicion timeout of every suspected member.
     pub(crate) fn extend_suspicions(&mut self, by: Micros) {
         for member in self.members.values_mut() {
             if let Some(suspicion) = &mut member.suspicion {
@@ -128,20 +128,25 @@
         }
     }
 
-    /// Suspected members whose time to refute is over, in a cluster of so many members that are up.
-    pub(crate) fn expired_suspicions(&self, now: Micros, up: usize, settings: &Settings) -> Vec<Update> {
+    /// The members whose suspicion timeout has expired, in a cluster of `members_up` members.
+    pub(crate) fn expired_suspicions(
+        &self,
+        now: Micros,
+        members_up: usize,
+        settings: &Settings,
+    ) -> Vec<Update> {
         let mut expired = Vec::new();
         for (id, member) in self.iter() {
             let Some(suspicion) = &member.suspicion else { continue };
-            if suspicion.ends_at(up, settings) <= now {
+            if suspicion.ends_at(members_up, settings) <= now {
                 expired.push(member.update(id, now));
             }
         }
         expired
     }
 
-    /// Forgets members that have been dead or gone for so long.
-    pub(crate) fn forget_dead(&mut self, now: Micros, retention: Micros) {
+    /// Removes members that have been dead, or have left, for at least `retention`.
+    pub(crate) fn remove_expired(&mut self, now: Micros, retention: Micros) {
         self.members.retain(|_, member| member.state.is_up() || now < member.since + retention);
     }
 }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,5 +1,5 @@
-//! The state machine of one instance. This module owns its state and the order of steps; [`probing`] holds probes,
-//! [`merging`] what becomes of updates, [`anti_entropy`] the exchange of whole states.
+//! The membership state machine of one instance. This module holds its state, dispatches events and sends messages;
+//! [`probing`] tracks probes, [`merging`] applies updates, and [`anti_entropy`] exchanges whole member tables.
 
 mod anti_entropy;
 mod merging;
@@ -20,10 +20,10 @@
 use crate::Micros;
 use probing::{Prober, RelayAnswer, Relays};
 
-/// Members that are told directly that this instance leaves; the others hear it from them.
-const MAX_TOLD_OF_LEAVING: usize = 16;
+/// The maximum number of members that are notified directly when this instance leaves; gossip informs the others.
+const MAX_LEAVE_NOTIFICATIONS: usize = 16;
 
-/// The membership of one instance, see the [crate].
+/// The membership state machine of one instance. See the [crate documentation](crate).
 #[derive(Debug)]
 pub struct Membership {
     settings: Settings,
@@ -43,14 +43,15 @@
 }
 
 impl Membership {
-    /// An instance that has just started and knows nobody.
+    /// Creates the state machine of an instance that has just started and knows no other member. `seed` is that of
+    /// its random number generator, and `now` the current time.
     ///
     /// # Errors
-    /// Settings that are invalid.
+    /// The first setting that is invalid.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Result<Self, InvalidSettings> {
         settings.check()?;
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        // Instances that start together do not probe in step.
+        // A random first delay, so that instances that start together do not probe in lockstep.
         let first_probe_at = now + rng.next_u64() % settings.probe_interval;
         Ok(Self {
             rng,
@@ -70,24 +71,24 @@
         })
     }
 
-    /// The other members that are known, dead ones included.
+    /// The other known members, including those that are dead or have left.
     pub fn others(&self) -> impl Iterator<Item = (MemberId, &Member)> {
         self.members.iter()
     }
 
-    /// The address of a member; `None` for one that is not known.
+    /// The address of another member; `None` if it is not known.
     #[must_use]
     pub fn address_of(&self, id: MemberId) -> Option<Address> {
         self.members.get(id).map(|member| member.address)
     }
 
-    /// The other members that are up.
+    /// The other members that are up (alive or suspect).
     #[must_use]
     pub fn others_up(&self) -> Vec<MemberId> {
         self.members.up_except(None)
     }
 
-    /// What this instance says of itself.
+    /// The update that this instance sends about itself.
     #[must_use]
     pub fn own_update(&self) -> Update {
         Update {
@@ -101,25 +102,26 @@
         }
     }
 
-    /// How unhealthy this instance itself is: 0 where nothing is wrong, 8 at most.
+    /// This instance's local health score (Lifeguard): 0 is healthy, 8 the worst.
     #[must_use]
     pub fn health_score(&self) -> u32 {
         self.health.score()
     }
 
-    /// Counters since the start.
+    /// Counters since this instance started.
     #[must_use]
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// How many members are up, this one included.
+    /// The number of members that are up, including this instance.
     #[must_use]
     pub fn up(&self) -> usize {
         1 + self.members.count_up()
     }
 
-    /// Takes an event at a time, and adds what is to be done to `effects`.
+    /// Handles an event at the time `now`, and appends what the caller has to do to `effects`. A `now` before that of
+    /// an earlier call is treated as the earlier time.
     pub fn handle(&mut self, now: Micros, event: Event, effects: &mut Vec<Effect>) {
         self.now = self.now.max(now);
         match event {
@@ -129,7 +131,7 @@
         }
     }
 
-    // ---- Time passes ----
+    // ---- Timer ----
 
     fn tick(&mut self, effects: &mut Vec<Effect>) {
         let gap = self.now - self.last_tick_at;
@@ -144,10 +146,11 @@
         self.advance_probe(effects);
         self.declare_dead(effects);
         self.sync_if_due(effects);
-        self.members.forget_dead(self.now, self.settings.dead_retention);
+        self.members.remove_expired(self.now, self.settings.dead_retention);
     }
 
-    /// Timeouts that passed meanwhile show nothing: answers may lie unread, and others had no chance to refute.
+    /// Restarts the timeouts after a pause of this process. Those that passed meanwhile show nothing about other
+    /// members: answers may still be unread in the socket's buffer, and refutations could not arrive.
     fn recover_from_pause(&mut self, gap: Micros, effects: &mut Vec<Effect>) {
         self.counters.pauses += 1;
         self.health.worsen(1);
@@ -171,7 +174,7 @@
         if let Some(failed) = self.prober.end(self.now) {
             self.counters.failed_probes += 1;
             self.health.worsen(failed.health_penalty);
-            self.suspect(failed.target, effects);
+            self.mark_suspect(failed.target, effects);
         }
         if self.prober.is_due(self.now) {
             self.begin_probe(effects);
@@ -188,26 +191,26 @@
         self.send_to_member(target, Body::Ping { nonce, target }, effects);
     }
 
-    /// Asks other members to probe the target; how many were asked.
+    /// Asks other members to probe the target, and returns how many were asked.
     fn request_indirect_probes(&mut self, target: MemberId, nonce: u32, effects: &mut Vec<Effect>) -> u32 {
         let Some(address) = self.address_of(target) else { return 0 };
-        let others = self.members.draw_up(self.settings.indirect_probes, Some(target), &mut self.rng);
+        let others = self.members.sample_up(self.settings.indirect_probes, Some(target), &mut self.rng);
         for &other in &others {
             self.send_to_member(other, Body::IndirectPing { nonce, target, address }, effects);
         }
         others.len() as u32
     }
 
-    fn suspect(&mut self, id: MemberId, effects: &mut Vec<Effect>) {
+    fn mark_suspect(&mut self, id: MemberId, effects: &mut Vec<Effect>) {
         let Some(member) = self.members.get(id).filter(|member| member.state.is_up()) else { return };
         let update = member.update(id, self.now);
         self.merge(Update { state: MemberState::Suspect, reported_by: self.id, age_s: 0, ..update }, effects);
-        // The suspected member hears of it first: the sooner it refutes, the better.
+        // The suspected member is notified first, so that it can refute as early as possible.
         self.send_to_member(id, Body::Gossip, effects);
         self.gossip(effects);
     }
 
-    /// Declares those dead that did not refute in time.
+    /// Declares suspected members dead whose suspicion timeout has expired.
     fn declare_dead(&mut self, effects: &mut Vec<Effect>) {
         let expired = self.members.expired_suspicions(self.now, self.up(), &self.settings);
         for update in expired {
@@ -220,7 +223,7 @@
         }
     }
 
-    // ---- Messages arrive ----
+    // ---- Received messages ----
 
     fn receive(&mut self, message: Message, effects: &mut Vec<Effect>) {
         let Message { sender, body, updates } = message;
@@ -250,11 +253,11 @@
             Body::Nack { nonce } => self.prober.count_nack(nonce),
             Body::IndirectPing { nonce, target, address: target_address } => {
                 let requester = RelayAnswer { to: address, nonce };
-                self.probe_for(requester, target, target_address, effects);
+                self.relay_probe(requester, target, target_address, effects);
             }
             Body::Sync { wants_reply } => {
                 if wants_reply {
-                    self.send_state(address, false, effects);
+                    self.send_table(address, false, effects);
                 }
             }
             Body::Gossip => {}
@@ -270,15 +273,15 @@
         }
     }
 
-    /// Probes a member at the request of another one.
-    fn probe_for(
+    /// Serves a request for an indirect probe, unless it targets this instance or too many are open.
+    fn relay_probe(
         &mut self,
         requester: RelayAnswer,
         target: MemberId,
         target_address: Address,
         effects: &mut Vec<Effect>,
     ) {
-        if target == self.id || !self.relays.has_room() {
+        if target == self.id || !self.relays.has_capacity() {
             return;
         }
         let nonce = self.rng.next_u32();
@@ -286,7 +289,7 @@
         self.send(target_address, Some(target), Body::Ping { nonce, target }, effects);
     }
 
-    // ---- This instance leaves ----
+    // ---- Leaving ----
 
     fn leave(&mut self, effects: &mut Vec<Effect>) {
         if self.leaving {
@@ -294,16 +297,16 @@
         }
         self.leaving = true;
         self.queue.add(self.own_update());
-        for id in self.members.draw_up(MAX_TOLD_OF_LEAVING, None, &mut self.rng) {
+        for id in self.members.sample_up(MAX_LEAVE_NOTIFICATIONS, None, &mut self.rng) {
             self.send_to_member(id, Body::Gossip, effects);
         }
     }
 
-    // ---- Messages are sent ----
+    // ---- Sent messages ----
 
-    /// Sends updates to some members at once, beside what probes carry.
+    /// Sends queued updates to a few random members at once, instead of waiting for the next probe to carry them.
     fn gossip(&mut self, effects: &mut Vec<Effect>) {
-        for id in self.members.draw_up(self.settings.indirect_probes, None, &mut self.rng) {
+        for id in self.members.sample_up(self.settings.indirect_probes, None, &mut self.rng) {
             self.send_to_member(id, Body::Gossip, effects);
         }
     }
@@ -314,18 +317,18 @@
         }
     }
 
-    /// Sends a message with as many updates as fit. One to a member that is not held for alive says so first: the
-    /// member can refute it (Lifeguard's buddy system).
+    /// Sends a message with as many queued updates as fit. If the receiver is a member that this instance does not
+    /// hold for alive, the first update says so, so that the member can refute it (Lifeguard's buddy system).
     fn send(&mut self, to: Address, receiver: Option<MemberId>, body: Body, effects: &mut Vec<Effect>) {
         let mut updates = Vec::new();
-        let mut room_bytes = MAX_UPDATES_BYTES;
-        if let Some(update) = receiver.and_then(|id| self.doubt_about(id)) {
-            room_bytes -= update.max_encoded_bytes();
+        let mut remaining_bytes = MAX_UPDATES_BYTES;
+        if let Some(update) = receiver.and_then(|id| self.update_if_not_alive(id)) {
+            remaining_bytes -= update.max_encoded_bytes();
             updates.push(update);
         }
-        let fits = |update: &Update| match room_bytes.checked_sub(update.max_encoded_bytes()) {
-            Some(rest) => {
-                room_bytes = rest;
+        let fits = |update: &Update| match remaining_bytes.checked_sub(update.max_encoded_bytes()) {
+            Some(remaining) => {
+                remaining_bytes = remaining;
                 true
             }
             None => false,
@@ -335,8 +338,8 @@
         effects.push(Effect::Send { to, message });
     }
 
-    /// What this instance says of a member that it does not hold for alive.
-    fn doubt_about(&self, id: MemberId) -> Option<Update> {
+    /// The update about a member that this instance does not hold for alive; `None` if it is alive or unknown.
+    fn update_if_not_alive(&self, id: MemberId) -> Option<Update> {
         let member = self.members.get(id).filter(|member| member.state != MemberState::Alive)?;
         Some(member.update(id, self.now))
     }
--- a/crates/membership/src/membership/probing.rs
+++ b/crates/membership/src/membership/probing.rs
@@ -1,4 +1,5 @@
-//! Probing: one member at a time, first directly, then through others; and probes made for others.
+//! Probing: this instance probes one member at a time, first directly, then through other members, and relays the
+//! probes of others.
 
 use std::collections::BTreeMap;
 
@@ -9,51 +10,53 @@
 use crate::settings::Settings;
 use crate::Micros;
 
-/// Indirect probes made for others at once; further requests are not served, and get no answer.
+/// The maximum number of open indirect probes that are relayed for others. Further requests get no answer.
 const MAX_RELAYS: usize = 256;
 
-/// A probe that waits for its answer.
+/// The probe in progress.
 #[derive(Debug)]
 struct Probe {
     target: MemberId,
     nonce: u32,
-    /// When others are asked to probe the target.
+    /// When indirect probes are requested.
     indirect_at: Micros,
-    /// When it has failed.
+    /// When the probe fails if it has not been answered.
     ends_at: Micros,
-    /// How many others were asked to probe the target.
+    /// How many members were asked to probe the target indirectly.
     requests: u32,
-    /// How many of those said that they got no answer either.
+    /// How many of them reported that the target did not answer them either.
     nacks: u32,
     is_answered: bool,
 }
 
-/// A probe that ended without an answer.
+/// A probe that ended without a direct or indirect answer.
 #[derive(Debug)]
 pub(super) struct FailedProbe {
     pub(super) target: MemberId,
-    /// What it adds to the score of this instance's own health: one for each member that was asked to probe the target
-    /// and did not even answer that it got no answer. Then the fault may be here.
+    /// By how much the failure raises this instance's local health score: one for each member that was asked for an
+    /// indirect probe and did not even send a nack, because the fault may then be at this instance. One as well if no
+    /// member was asked.
     pub(super) health_penalty: u32,
 }
 
-/// The probes of this instance. Members are probed in a random order, each once in a round, so that the time until the
-/// next probe of each is bounded.
+/// Selects the members to probe and tracks the probe in progress. Each round probes every member once in random
+/// order, which bounds the time until any given member is probed next.
 #[derive(Debug)]
 pub(super) struct Prober {
-    /// Still to be probed in this round, the next one last.
+    /// The members still to be probed in this round; the next one is last.
     round: Vec<MemberId>,
     current: Option<Probe>,
     next_at: Micros,
 }
 
 impl Prober {
-    /// A prober whose first probe is due at a time.
+    /// Creates a prober whose first probe is due at `first_at`.
     pub(super) fn new(first_at: Micros) -> Self {
         Self { round: Vec::new(), current: None, next_at: first_at }
     }
 
-    /// Adds a new member at a random position of this round, so that new ones are not all probed at once.
+    /// Inserts a new member at a random position in the current round, so that members that join together are not all
+    /// probed next.
     pub(super) fn add(&mut self, id: MemberId, rng: &mut impl RngCore) {
         let position = rng.next_u64() as usize % (self.round.len() + 1);
         self.round.insert(position, id);
@@ -64,7 +67,8 @@
         self.current.is_none() && now >= self.next_at
     }
 
-    /// Schedules the probe after the one that is due now, and draws whom to probe now. `None` where no member is up.
+    /// Selects the member to probe now, and schedules the probe after this one at `next_at`. `None` if no member is
+    /// up.
     pub(super) fn next_target(
         &mut self,
         next_at: Micros,
@@ -84,7 +88,7 @@
         None
     }
 
-    /// Begins a probe, which lasts until the next one is due.
+    /// Starts a probe, which ends when the next one is due.
     pub(super) fn begin(&mut self, target: MemberId, nonce: u32, indirect_at: Micros) {
         self.current = Some(Probe {
             target,
@@ -97,15 +101,16 @@
         });
     }
 
-    /// The target and nonce of a probe that has to be made through others now.
+    /// The target and nonce of the current probe, if indirect probes have to be requested for it now.
     pub(super) fn indirect_due(&self, now: Micros) -> Option<(MemberId, u32)> {
         let probe = self.current.as_ref()?;
         let is_due = now >= probe.indirect_at && now < probe.ends_at;
-        let is_open = !probe.is_answered && probe.requests == 0;
-        (is_due && is_open).then_some((probe.target, probe.nonce))
+        let is_pending = !probe.is_answered && probe.requests == 0;
+        (is_due && is_pending).then_some((probe.target, probe.nonce))
     }
 
-    /// So many others were asked. Where nobody could be asked, that is not tried again at each tick.
+    /// Records how many indirect probes were requested. Even if there was no member to ask, the request is not
+    /// repeated at the following ticks.
     pub(super) fn indirect_requested(&mut self, requests: u32) {
         if let Some(probe) = &mut self.current {
             probe.requests = requests;
@@ -113,7 +118,7 @@
         }
     }
 
-    /// Ends the probe whose time is over; the result is given where it has failed.
+    /// Ends the current probe if its time is over. Returns its failure unless it was answered.
     pub(super) fn end(&mut self, now: Micros) -> Option<FailedProbe> {
         let probe = self.current.take_if(|probe| now >= probe.ends_at)?;
         if probe.is_answered {
@@ -124,7 +129,7 @@
         Some(FailedProbe { target: probe.target, health_penalty })
     }
 
-    /// Takes an answer; whether it is the first one to the current probe.
+    /// Handles an ack. Returns whether it is the first answer to the current probe.
     pub(super) fn acknowledge(&mut self, nonce: u32) -> bool {
         match &mut self.current {
             Some(probe) if probe.nonce == nonce && !probe.is_answered => {
@@ -135,7 +140,7 @@
         }
     }
 
-    /// Takes the word of one that was asked to probe the target that it got no answer either.
+    /// Counts a nack, by which a relaying member reports that the target did not answer it either.
     pub(super) fn count_nack(&mut self, nonce: u32) {
         if let Some(probe) = &mut self.current {
             if probe.nonce == nonce {
@@ -144,14 +149,14 @@
         }
     }
 
-    /// Drops the current probe without a result.
+    /// Drops the current probe without a result, and schedules the next one at `next_at`.
     pub(super) fn abort(&mut self, next_at: Micros) {
         self.current = None;
         self.next_at = next_at;
     }
 }
 
-/// An indirect probe, made for another member.
+/// An indirect probe that is relayed for another member.
 #[derive(Debug)]
 struct Relay {
     requester: Address,
@@ -161,26 +166,26 @@
     nack_sent: bool,
 }
 
-/// Where the answer to an indirect probe goes, and with which nonce.
+/// The requester of an indirect probe, and the nonce of its request: where an ack or nack goes.
 #[derive(Debug)]
 pub(super) struct RelayAnswer {
     pub(super) to: Address,
     pub(super) nonce: u32,
 }
 
-/// The indirect probes that this instance makes for others, by their own nonces.
+/// The indirect probes that this instance relays for others, by the nonce of the ping that it sent.
 #[derive(Debug, Default)]
 pub(super) struct Relays {
     open: BTreeMap<u32, Relay>,
 }
 
 impl Relays {
-    /// Whether one more is served.
-    pub(super) fn has_room(&self) -> bool {
+    /// Whether another indirect probe can be relayed.
+    pub(super) fn has_capacity(&self) -> bool {
         self.open.len() < MAX_RELAYS
     }
 
-    /// Begins an indirect probe with a nonce of its own.
+    /// Records an indirect probe whose ping has the nonce `own_nonce`.
     pub(super) fn begin(&mut self, own_nonce: u32, answer: RelayAnswer, now: Micros, settings: &Settings) {
         let relay = Relay {
             requester: answer.to,
@@ -192,13 +197,13 @@
         self.open.insert(own_nonce, relay);
     }
 
-    /// Ends an indirect probe that was answered; whom to pass the answer on to.
+    /// Ends an indirect probe that was answered, and returns where to send the ack.
     pub(super) fn acknowledge(&mut self, own_nonce: u32) -> Option<RelayAnswer> {
         let relay = self.open.remove(&own_nonce)?;
         Some(RelayAnswer { to: relay.requester, nonce: relay.requester_nonce })
     }
 
-    /// Drops those that are over; whom to tell now that there was no answer so far.
+    /// Drops expired indirect probes, and returns where to send the nacks that are due now.
     pub(super) fn due_nacks(&mut self, now: Micros) -> Vec<RelayAnswer> {
         self.open.retain(|_, relay| now < relay.ends_at);
         let mut due = Vec::new();
@@ -211,15 +216,15 @@
         due
     }
 
-    /// Drops all of them.
+    /// Drops all relayed probes, without acks or nacks.
     pub(super) fn clear(&mut self) {
         self.open.clear();
     }
 }
 
 fn shuffle(round: &mut [MemberId], rng: &mut impl RngCore) {
-    for at in (1..round.len()).rev() {
-        let other = rng.next_u64() as usize % (at + 1);
-        round.swap(at, other);
+    for index in (1..round.len()).rev() {
+        let other = rng.next_u64() as usize % (index + 1);
+        round.swap(index, other);
     }
 }
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -1,55 +1,57 @@
-//! Messages between instances. The order of fields and variants is the order of encoding: new ones go last.
+//! Messages between instances. Fields and variants are encoded by position, in declaration order: add new ones at the
+//! end.
 
 use serde::{Deserialize, Serialize};
 
 use crate::identity::{Address, MemberId};
 use crate::update::Update;
 
-/// A message between instances.
+/// One datagram's content: a protocol message with gossiped updates piggybacked on it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// The sender's statement about itself.
+    /// The sender's own state and address. Every message carries it, so a new member becomes known by sending one.
     pub sender: Update,
-    /// The purpose of the message.
+    /// What the message asks for or answers.
     pub body: Body,
-    /// Statements about members that travel along.
+    /// Piggybacked updates about members; in a [`Body::Sync`], a part of the sender's member table.
     pub updates: Vec<Update>,
 }
 
-/// The purpose of a message.
+/// The kind of a message, with the fields that only this kind has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// A probe: answered with [`Body::Ack`] and this number by `target`.
+    /// A direct probe. `target` answers with [`Body::Ack`] and the same nonce.
     Ping {
         /// Returned in the answer.
         nonce: u32,
-        /// Whom it is meant for: another process may have its address by now.
+        /// The member that is probed. Any other process that now has its address does not answer.
         target: MemberId,
     },
-    /// The probe with this number was answered.
+    /// The answer to a [`Body::Ping`], or to a [`Body::IndirectPing`] whose target answered.
     Ack {
-        /// Of the ping, or of the request for an indirect probe.
+        /// The nonce of the [`Body::Ping`] or [`Body::IndirectPing`] that this answers.
         nonce: u32,
     },
-    /// The requested indirect probe has had no answer so far; the relaying member itself is reachable.
+    /// The target of an indirect probe has not answered so far. This also shows the requester that the relaying
+    /// member is reachable.
     Nack {
-        /// Of the request for an indirect probe.
+        /// The nonce of the [`Body::IndirectPing`] that this answers.
         nonce: u32,
     },
     /// A request for an indirect probe (SWIM's `ping-req`), answered with [`Body::Ack`] or [`Body::Nack`].
     IndirectPing {
         /// Returned in the answer.
         nonce: u32,
-        /// Whom to probe.
+        /// The member to probe.
         target: MemberId,
         /// The target's address.
         address: Address,
     },
-    /// A part of the sender's whole state, for anti-entropy.
+    /// A part of the sender's member table, for anti-entropy.
     Sync {
-        /// The sender wants the receiver's state in return.
+        /// Whether the receiver sends its own member table in return.
         wants_reply: bool,
     },
-    /// Updates only.
+    /// Carries updates only, and needs no answer.
     Gossip,
 }
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,4 +1,4 @@
-//! Times and counts of the protocol.
+//! Configuration of the membership protocol, and its validation.
 
 use std::ops::RangeInclusive;
 
@@ -7,46 +7,53 @@
 use crate::identity::Address;
 use crate::Micros;
 
-/// A setting that is out of range or contradicts another.
+/// A setting is out of range or conflicts with another one.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("{field}: {reason}")]
 pub struct InvalidSettings {
-    /// The field, by its name in the operator's file.
+    /// The setting's key in the `[cluster]` table of the operator's configuration file.
     pub field: &'static str,
-    /// What is wrong with it.
+    /// What is wrong with the value, for the operator.
     pub reason: String,
 }
 
-/// The configuration of an instance.
+/// The membership configuration of one instance. Times are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// This instance's name, the same after a restart.
+    /// This instance's name, unique in the cluster and unchanged over restarts. Its [`MemberId`](crate::MemberId) is
+    /// derived from the name.
     pub name: String,
-    /// Where others reach this instance.
+    /// The address at which other instances reach this one.
     pub address: Address,
-    /// Its first incarnation; one above that of its last life saves a refutation, correctness does not depend on it.
+    /// The initial incarnation. A value above the last one of the previous run saves a refutation after a restart;
+    /// correctness does not depend on it.
     pub incarnation: u64,
-    /// Addresses to join through.
+    /// Addresses of instances through which this one joins the cluster.
     pub seeds: Vec<Address>,
-    /// One member is probed in each interval.
+    /// The time between two probes; each probes one member.
     pub probe_interval: Micros,
-    /// A member that has not answered by then is probed through others.
+    /// How long to wait for a direct answer before requesting indirect probes.
     pub probe_timeout: Micros,
-    /// How many others are asked to probe it.
+    /// How many members are asked to probe indirectly. Also the number of members to which an urgent update is sent
+    /// at once.
     pub indirect_probes: usize,
-    /// The minimum time to refute, in probe intervals, times the decimal logarithm of the number of members.
+    /// The minimum suspicion timeout is this many probe intervals, times the decimal logarithm of the number of
+    /// members (1 at least).
     pub suspicion_multiplier: f64,
-    /// The maximum time to refute, as a multiple of the minimum.
+    /// The maximum suspicion timeout, as a multiple of the minimum.
     pub max_suspicion_multiplier: f64,
-    /// So many independent confirmations bring the time to refute down to the minimum.
+    /// How many independent confirmations reduce the suspicion timeout to the minimum.
     pub confirmations: usize,
-    /// Each update is sent so many times, times the binary logarithm of the number of members (SWIM's lambda).
+    /// SWIM's lambda: each update is sent this many times the binary logarithm of the number of members.
     pub retransmit_multiplier: usize,
-    /// Whole states are exchanged with one member in each interval, and a lost member or seed is looked for.
+    /// The mean time between two rounds of anti-entropy. Each round exchanges member tables with one member that is
+    /// up, and tries to contact one dead member or seed. While no other member is up, [`Settings::probe_interval`] is
+    /// the mean time instead.
     pub sync_interval: Micros,
-    /// How long dead members are remembered.
+    /// How long members that are dead or have left stay in the member table.
     pub dead_retention: Micros,
-    /// How often [`Event::Tick`](crate::Event::Tick) comes; much later means that this instance was paused.
+    /// The time between two [`Event::Tick`](crate::Event::Tick)s. A much longer gap means that this process was
+    /// paused.
     pub tick_interval: Micros,
 }
 
@@ -71,17 +78,17 @@
     }
 }
 
-/// The longest name in bytes: updates of several members fit into each message.
+/// The maximum length of a name, chosen so that updates about several members fit into one message.
 pub const MAX_NAME_BYTES: usize = 48;
-/// Times under a millisecond or over an hour are mistakes.
+/// The valid range of configurable times: a value below a millisecond or above an hour is taken for a mistake.
 const VALID_TIMES: RangeInclusive<Micros> = 1_000..=3_600_000_000;
-/// Numbers of members to ask, and of confirmations.
+/// The valid range of [`Settings::indirect_probes`] and [`Settings::confirmations`].
 const VALID_COUNTS: RangeInclusive<usize> = 0..=16;
 const VALID_RETRANSMIT_MULTIPLIERS: RangeInclusive<usize> = 1..=16;
 const VALID_SUSPICION_MULTIPLIERS: RangeInclusive<f64> = 1.0..=100.0;
-/// A probe's timeout holds so many ticks at least.
+/// The minimum number of tick intervals in [`Settings::probe_timeout`].
 const MIN_TICKS_IN_TIMEOUT: Micros = 4;
-/// Dead members are remembered over so many exchanges of states at least.
+/// The minimum number of [`Settings::sync_interval`]s in [`Settings::dead_retention`].
 const MIN_SYNCS_IN_RETENTION: Micros = 4;
 
 fn seconds(time: Micros) -> f64 {
@@ -89,10 +96,10 @@
 }
 
 impl Settings {
-    /// Checks all of it.
+    /// Validates all settings.
     ///
     /// # Errors
-    /// The first field that is invalid.
+    /// The first setting that is invalid.
     pub fn check(&self) -> Result<(), InvalidSettings> {
         self.check_identity()?;
         self.check_times()?;
@@ -121,7 +128,7 @@
             }
         }
         if self.probe_timeout * 2 > self.probe_interval {
-            // The second half is for the indirect probes.
+            // The rest of the interval is the time that indirect probes have.
             return invalid("probe_timeout_s", "over half of probe_every_s".to_owned());
         }
         let min_timeout = self.tick_interval * MIN_TICKS_IN_TIMEOUT;
@@ -129,7 +136,7 @@
             return invalid("probe_timeout_s", format!("under {} s", seconds(min_timeout)));
         }
         if self.dead_retention < MIN_SYNCS_IN_RETENTION * self.sync_interval {
-            // A member that forgets sooner could be told of a dead one by one that does not.
+            // An instance that removes a dead member too early would learn of it again from one that still has it.
             return invalid("forget_after_s", "under four times sync_every_s".to_owned());
         }
         Ok(())
@@ -155,21 +162,21 @@
         Ok(())
     }
 
-    /// The minimum and the maximum time to refute a suspicion, in a cluster of so many members that are up.
+    /// The minimum and maximum suspicion timeout, in a cluster of `members_up` members.
     #[must_use]
-    pub fn suspicion_bounds(&self, up: usize) -> (Micros, Micros) {
-        let scale = (up.max(1) as f64).log10().max(1.0);
+    pub fn suspicion_bounds(&self, members_up: usize) -> (Micros, Micros) {
+        let scale = (members_up.max(1) as f64).log10().max(1.0);
         let min = self.suspicion_multiplier * scale * self.probe_interval as f64;
         (min as Micros, (min * self.max_suspicion_multiplier) as Micros)
     }
 
-    /// How often each update is sent, in a cluster of so many members that are up.
+    /// How many times each update is sent, in a cluster of `members_up` members.
     #[must_use]
-    pub fn transmit_limit(&self, up: usize) -> usize {
-        self.retransmit_multiplier * (usize::BITS - up.leading_zeros()) as usize
+    pub fn transmit_limit(&self, members_up: usize) -> usize {
+        self.retransmit_multiplier * (usize::BITS - members_up.leading_zeros()) as usize
     }
 
-    /// A longer time between two ticks means that this instance was paused.
+    /// A gap between two ticks that is longer than this is treated as a pause of the process.
     pub(crate) fn pause_threshold(&self) -> Micros {
         self.tick_interval + self.probe_timeout / 2
     }
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -1,29 +1,30 @@
-//! How long a suspected member has to refute: long while one instance alone suspects it, shorter with each independent
-//! confirmation (Lifeguard's dynamic suspicion timeout).
+//! Lifeguard's dynamic suspicion timeout: a suspected member gets the maximum time to refute while a single instance
+//! suspects it, and less with each independent confirmation.
 
 use crate::identity::MemberId;
 use crate::settings::Settings;
 use crate::Micros;
 
-/// The running time of a suspected member to refute.
+/// The suspicion timeout of one suspected member.
 #[derive(Clone, Debug)]
 pub struct Suspicion {
-    /// When it began.
+    /// When the timeout started. Moved forward by the length of each pause of this process.
     pub(crate) since: Micros,
-    /// Who suspects it independently, the first one included.
+    /// The distinct instances that suspect the member, starting with the first.
     reporters: Vec<MemberId>,
-    /// Another instance declared it dead: it has the minimum time, whoever confirms.
+    /// Another instance declared the member dead: the minimum time applies, without further confirmations.
     pub(crate) declared_dead: bool,
 }
 
 impl Suspicion {
-    /// A suspicion that a member has just reported.
+    /// Starts the timeout of a suspicion that `reported_by` has raised.
     #[must_use]
     pub fn new(reported_by: MemberId, now: Micros) -> Self {
         Self { since: now, reporters: vec![reported_by], declared_dead: false }
     }
 
-    /// Counts one more reporter; false where it is counted already, or further ones make no difference.
+    /// Adds an independent confirmation. Returns false if that instance is already counted, or if there are already
+    /// as many confirmations as [`Settings::confirmations`], so that another one changes nothing.
     pub fn confirm(&mut self, reported_by: MemberId, settings: &Settings) -> bool {
         let is_new = self.reporters.len() <= settings.confirmations && !self.reporters.contains(&reported_by);
         if is_new {
@@ -32,17 +33,18 @@
         is_new
     }
 
-    /// When the member is declared dead, in a cluster of so many members that are up.
+    /// When the member is declared dead unless it refutes, in a cluster of `members_up` members.
     #[must_use]
-    pub fn ends_at(&self, up: usize, settings: &Settings) -> Micros {
-        let (min, max) = settings.suspicion_bounds(up);
-        // As many as there can be: with three members, one other at most can confirm.
-        let wanted = settings.confirmations.min(up.saturating_sub(2));
-        let confirmed = self.reporters.len().saturating_sub(1);
-        if self.declared_dead || wanted == 0 || confirmed >= wanted {
+    pub fn ends_at(&self, members_up: usize, settings: &Settings) -> Micros {
+        let (min, max) = settings.suspicion_bounds(members_up);
+        // Neither the suspected member nor the first reporter confirms: with three members, only one is left that
+        // can.
+        let confirmations_needed = settings.confirmations.min(members_up.saturating_sub(2));
+        let confirmation_count = self.reporters.len().saturating_sub(1);
+        if self.declared_dead || confirmations_needed == 0 || confirmation_count >= confirmations_needed {
             return self.since + min;
         }
-        let progress = ((confirmed + 1) as f64).ln() / ((wanted + 1) as f64).ln();
+        let progress = ((confirmation_count + 1) as f64).ln() / ((confirmations_needed + 1) as f64).ln();
         self.since + max - ((max - min) as f64 * progress) as Micros
     }
 }
--- a/crates/membership/src/update.rs
+++ b/crates/membership/src/update.rs
@@ -1,4 +1,4 @@
-//! Statements about members, as messages carry them, and the rule by which one supersedes another.
+//! Updates about members, as messages carry them, and the rule by which one update supersedes another.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,24 +7,25 @@
 /// The state of a member. Within one incarnation, a later variant supersedes an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It answers probes, directly or through others.
+    /// Not suspected: the member answers probes directly or indirectly.
     Alive,
-    /// It did not answer a probe; it may refute that.
+    /// The member did not answer a probe, and can still refute the suspicion.
     Suspect,
-    /// It did not refute the suspicion in time.
+    /// The member did not refute the suspicion in time.
     Dead,
-    /// It announced that it leaves.
+    /// The member announced its shutdown.
     Left,
 }
 
 impl MemberState {
-    /// Whether the member is probed, and counted in all that depends on the number of members.
+    /// Whether the member is alive or suspect: such members are probed, and counted in every value that depends on
+    /// the number of members.
     #[must_use]
     pub fn is_up(self) -> bool {
         matches!(self, Self::Alive | Self::Suspect)
     }
 
-    /// The name in logs and answers.
+    /// The state's name in logs and in `GET /cluster/members`.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -36,34 +37,37 @@
     }
 }
 
-/// A statement about a member. Field order is the order of encoding.
+/// A member's state as reported by an instance. Fields are encoded in declaration order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
-    /// The member.
+    /// The member that the update is about.
     pub id: MemberId,
-    /// Its name.
+    /// The member's name.
     pub name: String,
-    /// Where it receives messages.
+    /// The address at which the member receives messages.
     pub address: Address,
-    /// Its incarnation: only the member itself starts a new one, to refute statements about the old.
+    /// The member's incarnation. Only the member itself starts a new one, to refute a claim about the old one.
     pub incarnation: u64,
-    /// Its state in that incarnation.
+    /// The member's state in that incarnation.
     pub state: MemberState,
-    /// Who found that state, by which independent findings are counted; the member itself where it says so.
+    /// The instance that detected the state; the member itself if it announced the state. Suspicions count as
+    /// independent confirmations if this differs.
     pub reported_by: MemberId,
-    /// How long it has been in that state (seconds), so that all instances forget a dead member at about the same time.
+    /// How long the member has been in that state, in seconds. It makes all instances remove a dead member at about
+    /// the same time.
     pub age_s: u32,
 }
 
 impl Update {
-    /// Whether this supersedes what was known. A new incarnation supersedes the old, dead or not, and within one
-    /// incarnation only a later state does: the result is the same in whatever order updates arrive.
+    /// Whether this update supersedes a known incarnation and state of the member. A higher incarnation always does,
+    /// even over a dead state; within an incarnation, only a later state does. Hence the result does not depend on
+    /// the order in which updates arrive.
     #[must_use]
     pub fn supersedes(&self, incarnation: u64, state: MemberState) -> bool {
         (self.incarnation, self.state) > (incarnation, state)
     }
 
-    /// An upper bound of its encoded size, with all variable-length integers at their longest.
+    /// An upper bound on the encoded size, with every variable-length integer at its longest.
     pub(crate) fn max_encoded_bytes(&self) -> usize {
         const ID: usize = 10;
         const NAME_LENGTH: usize = 2;
--- a/crates/membership/tests/decisions.rs
+++ b/crates/membership/tests/decisions.rs
@@ -1,5 +1,6 @@
-//! All that five instances decide under loss, a pause, a cut and a death, drawn from fixed seeds: the same messages in
-//! the same order, byte for byte, and the same changes. A change of the code that is to keep its behaviour keeps this.
+//! Everything that five instances decide under message loss, a pause, a network partition and a death, with fixed
+//! seeds, compared with a golden file: a digest of all messages in their order, and the list of state changes. A
+//! refactoring that keeps the behaviour leaves both unchanged.
 
 use std::collections::VecDeque;
 
@@ -13,22 +14,22 @@
 const SECOND: Micros = 1_000_000;
 const INSTANCES: usize = 5;
 
-fn address(at: usize) -> Address {
-    Address { ip: [127, 0, 0, 1], port: 7_000 + at as u16 }
+fn address(index: usize) -> Address {
+    Address { ip: [127, 0, 0, 1], port: 7_000 + index as u16 }
 }
 
-fn settings(at: usize) -> Settings {
-    let seeds = if at == 0 { Vec::new() } else { vec![address(0)] };
+fn settings(index: usize) -> Settings {
+    let seeds = if index == 0 { Vec::new() } else { vec![address(0)] };
     Settings {
-        name: format!("n{at}"),
-        address: address(at),
+        name: format!("n{index}"),
+        address: address(index),
         seeds,
         sync_interval: 5 * SECOND,
         ..Settings::default()
     }
 }
 
-/// What an instance does at a time, as bytes that go into the digest.
+/// Records all effects of a run: a digest of their bytes, the number of messages, and the state changes as text.
 struct Trace {
     hash: Sha256,
     messages: u64,
@@ -36,24 +37,24 @@
 }
 
 impl Trace {
-    fn take(&mut self, now: Micros, at: usize, effect: &Effect) {
+    fn record(&mut self, now: Micros, index: usize, effect: &Effect) {
         self.hash.update(now.to_le_bytes());
-        self.hash.update([at as u8]);
+        self.hash.update([index as u8]);
         match effect {
             Effect::Send { to, message } => {
-                let codec = Codec::new("trace", &[7; 16]).expect("a key");
+                let codec = Codec::new("trace", &[7; 16]).expect("a valid key");
                 self.hash.update(to.port.to_le_bytes());
-                self.hash.update(codec.seal(message).expect("it fits"));
+                self.hash.update(codec.seal(message).expect("fits into a datagram"));
                 self.messages += 1;
             }
             Effect::MemberChanged(change) => {
-                let was = change.previous.map_or("unknown", MemberState::name);
-                self.change(format!("n{at}: {} {was}->{}", change.name, change.state.name()));
+                let previous_state = change.previous.map_or("unknown", MemberState::name);
+                self.change(format!("n{index}: {} {previous_state}->{}", change.name, change.state.name()));
             }
             Effect::Refuted { claimed, incarnation, .. } => {
-                self.change(format!("n{at}: refuted {} in {incarnation}", claimed.name()));
+                self.change(format!("n{index}: refuted {} in {incarnation}", claimed.name()));
             }
-            Effect::Paused(gap) => self.change(format!("n{at}: paused {gap}")),
+            Effect::Paused(gap) => self.change(format!("n{index}: paused {gap}")),
         }
     }
 
@@ -63,39 +64,39 @@
     }
 }
 
-/// Whether a message from one to another is lost at a time: always a twentieth, all between the sides of a cut.
+/// Whether a message is lost: a twentieth at random, and during the partition all between its two sides.
 fn is_lost(rng: &mut Pcg64Mcg, now: Micros, from: usize, to: usize) -> bool {
-    let cut = (60 * SECOND..130 * SECOND).contains(&now) && (from < 2) != (to < 2);
-    rng.next_u64().is_multiple_of(20) || cut
+    let is_partitioned = (60 * SECOND..130 * SECOND).contains(&now) && (from < 2) != (to < 2);
+    rng.next_u64().is_multiple_of(20) || is_partitioned
 }
 
-/// Whether an instance stands still: the third for three seconds, the last for good.
-fn is_still(now: Micros, at: usize) -> bool {
-    (at == 2 && (20 * SECOND..23 * SECOND).contains(&now)) || (at == 4 && now > 250 * SECOND)
+/// Whether an instance does not run: instance 2 is paused for three seconds, instance 4 is dead after 250 s.
+fn is_stopped(now: Micros, index: usize) -> bool {
+    (index == 2 && (20 * SECOND..23 * SECOND).contains(&now)) || (index == 4 && now > 250 * SECOND)
 }
 
-fn play(seed: u64) -> (Trace, Vec<Membership>) {
+fn run_cluster(seed: u64) -> (Trace, Vec<Membership>) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut trace = Trace { hash: Sha256::new(), messages: 0, changes: Vec::new() };
     let mut instances: Vec<Membership> = (0..INSTANCES)
-        .map(|at| Membership::new(settings(at), seed + at as u64, 0).expect("settings that can be"))
+        .map(|index| Membership::new(settings(index), seed + index as u64, 0).expect("valid settings"))
         .collect();
     for now in (0..400 * SECOND).step_by(TICK as usize) {
-        let mut events: VecDeque<(usize, Event)> = (0..INSTANCES).map(|at| (at, Event::Tick)).collect();
+        let mut events: VecDeque<(usize, Event)> = (0..INSTANCES).map(|index| (index, Event::Tick)).collect();
         if now == 390 * SECOND {
             events.push_back((3, Event::Leave));
         }
-        while let Some((at, event)) = events.pop_front() {
-            if is_still(now, at) {
+        while let Some((index, event)) = events.pop_front() {
+            if is_stopped(now, index) {
                 continue;
             }
             let mut effects = Vec::new();
-            instances[at].handle(now, event, &mut effects);
+            instances[index].handle(now, event, &mut effects);
             for effect in effects {
-                trace.take(now, at, &effect);
+                trace.record(now, index, &effect);
                 let Effect::Send { to, message } = effect else { continue };
                 let to = usize::from(to.port) - 7_000;
-                if !is_lost(&mut rng, now, at, to) {
+                if !is_lost(&mut rng, now, index, to) {
                     events.push_back((to, Event::MessageReceived(message)));
                 }
             }
@@ -117,15 +118,15 @@
 }
 
 #[test]
-fn five_instances_decide_as_they_did_when_this_was_recorded() {
+fn five_instances_decide_as_in_the_golden_file() {
     let mut text = String::new();
     for seed in [1, 2, 3] {
-        let (trace, instances) = play(seed);
+        let (trace, instances) = run_cluster(seed);
         let digest: String = trace.hash.finalize().iter().map(|byte| format!("{byte:02x}")).collect();
         text += &format!("seed {seed}: {} messages, {digest}\n", trace.messages);
-        for (at, instance) in instances.iter().enumerate() {
+        for (index, instance) in instances.iter().enumerate() {
             text += &format!(
-                "n{at}: {:?} health {} up {}\n",
+                "n{index}: {:?} health {} up {}\n",
                 counts(instance),
                 instance.health_score(),
                 instance.up()
@@ -137,7 +138,7 @@
 }
 
 #[test]
-fn an_id_is_the_same_at_every_instance() {
+fn member_ids_depend_on_the_name_alone() {
     assert_eq!(MemberId::of("n0"), MemberId::of("n0"));
     assert_ne!(MemberId::of("n0"), MemberId::of("n1"));
 }
--- a/crates/membership/tests/suspicion.rs
+++ b/crates/membership/tests/suspicion.rs
@@ -1,9 +1,9 @@
-//! The time that a suspected member has to refute.
+//! The suspicion timeout: how much time a suspected member has to refute.
 
 use dewladder_membership::{MemberId, Settings, Suspicion};
 
 #[test]
-fn time_to_refute_shortens_with_each_independent_confirmation_down_to_the_minimum() {
+fn suspicion_timeout_shortens_with_each_independent_confirmation_down_to_the_minimum() {
     let settings = Settings::default();
     let (min, max) = settings.suspicion_bounds(9);
     let mut suspicion = Suspicion::new(MemberId(1), 0);
@@ -13,13 +13,13 @@
         ends.push(suspicion.ends_at(9, &settings));
     }
     assert_eq!(ends[0], max);
-    assert_eq!(ends[1], max, "its own reporter confirms nothing");
-    assert!(ends[2] < max && ends[3] == ends[2], "one that reports it twice counts once");
+    assert_eq!(ends[1], max, "the first reporter does not confirm its own suspicion");
+    assert!(ends[2] < max && ends[3] == ends[2], "an instance that confirms twice counts once");
     assert_eq!(&ends[5..], [min, min]);
 }
 
 #[test]
-fn time_to_refute_is_the_minimum_where_nobody_can_confirm() {
+fn suspicion_timeout_is_the_minimum_if_no_other_member_can_confirm() {
     let settings = Settings::default();
     assert_eq!(Suspicion::new(MemberId(1), 7).ends_at(2, &settings), 7 + settings.suspicion_bounds(2).0);
 }
