--- a/crates/membership/src/codec.rs
+++ b/crates/membership/src/codec.rs
@@ -1,11 +1,11 @@
-//! Messages as bytes, in datagrams of at most [`MAX_DATAGRAM_BYTES`].
+//! Datagram encoding: a header, an HMAC and a body, at most [`MAX_DATAGRAM_BYTES`] together.
 //!
 //! ```text
 //! 'D' 'W' | version (1 byte) | channel (1) | cluster (8, little-endian) | HMAC-SHA-256 (32) | body (postcard)
 //! ```
 //!
-//! The HMAC covers everything before and behind it, with the cluster's key. A replayed datagram passes; incarnations,
-//! and the nonces of answers, make it without effect.
+//! The HMAC, keyed with the cluster's key, covers the header and the body. It does not detect replayed datagrams:
+//! incarnations in updates and nonces in answers make those ineffective.
 
 use hmac::{Hmac, KeyInit, Mac};
 use serde::{Deserialize, Serialize};
@@ -15,67 +15,67 @@
 use crate::identity::MemberId;
 use crate::message::Message;
 
-/// The longest datagram, so that it need not be fragmented on its way.
+/// The maximum length of a datagram (header, HMAC and body), chosen to avoid IP fragmentation.
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
-/// The version of the encoding that this program writes, and the only one that it reads.
+/// The encoding version that is written, and the only one that is accepted.
 pub const VERSION: u8 = 1;
-/// The shortest key.
+/// The minimum length of a cluster's key.
 pub const MIN_KEY_BYTES: usize = 16;
 
 const MAGIC: [u8; 2] = *b"DW";
-const VERSION_AT: usize = 2;
-const CHANNEL_AT: usize = 3;
-const CLUSTER_AT: usize = 4;
-const HEADER_BYTES: usize = CLUSTER_AT + 8;
+const VERSION_OFFSET: usize = 2;
+const CHANNEL_OFFSET: usize = 3;
+const CLUSTER_OFFSET: usize = 4;
+const HEADER_BYTES: usize = CLUSTER_OFFSET + 8;
 const HMAC_BYTES: usize = 32;
-/// An upper bound of a message's sender, beside its updates.
+/// An upper bound on the encoded size of [`Message::sender`].
 const MAX_SENDER_BYTES: usize = 100;
-/// An upper bound of a message's body and the count of its updates.
+/// An upper bound on the encoded size of [`Message::body`] and of the number of updates.
 const MAX_BODY_BYTES: usize = 60;
-/// Space for updates in a message.
+/// The space that is left for the updates of a message.
 pub(crate) const MAX_UPDATES_BYTES: usize =
     MAX_DATAGRAM_BYTES - HEADER_BYTES - HMAC_BYTES - MAX_SENDER_BYTES - MAX_BODY_BYTES;
 
-/// Which part of the program a datagram is for.
+/// The protocol that a datagram belongs to. All protocols of an instance share one UDP socket.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Channel {
-    /// Membership: which instances are alive.
+    /// The membership protocol of this crate.
     #[default]
     Membership = 0,
-    /// Replicated records.
+    /// The replication protocol of the crate `dewladder-replica`.
     Replica = 1,
 }
 
-/// Why a datagram was not opened.
+/// Why a datagram was rejected.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq, PartialOrd, Ord)]
 pub enum OpenError {
-    /// Not a message of this protocol, or too long.
-    #[error("no message of this protocol")]
+    /// The magic bytes are missing, the length is out of range, or the channel is a different one.
+    #[error("not a datagram of this protocol")]
     NotThisProtocol,
-    /// A version that this program does not know.
+    /// The version differs from [`VERSION`].
     #[error("unknown version {0}")]
     UnknownVersion(u8),
-    /// A message of another cluster.
-    #[error("another cluster's message")]
+    /// The datagram names another cluster.
+    #[error("datagram of another cluster")]
     OtherCluster,
-    /// Not made with this cluster's key.
+    /// The HMAC does not match: the datagram was altered, or sealed with another key.
     #[error("wrong HMAC")]
     WrongHmac,
-    /// Made with the key, and yet unreadable.
+    /// The HMAC matches, but the body does not decode as the expected type.
     #[error("unreadable body")]
     UnreadableBody,
 }
 
-/// A key that is too short.
+/// The key has fewer than [`MIN_KEY_BYTES`] bytes.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("{length_bytes} bytes, at least {MIN_KEY_BYTES} are needed")]
 pub struct ShortKey {
-    /// The key's length.
+    /// The length of the rejected key.
     pub length_bytes: usize,
 }
 
-/// Seals and opens the messages of one cluster on one channel.
+/// Encodes and authenticates (seals), and verifies and decodes (opens), the datagrams of one cluster on one channel.
 #[derive(Clone)]
 pub struct Codec {
     channel: Channel,
@@ -85,15 +85,15 @@
 
 impl std::fmt::Debug for Codec {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        formatter.debug_struct("Codec").finish_non_exhaustive() // never shows the key
+        formatter.debug_struct("Codec").finish_non_exhaustive() // omits the key
     }
 }
 
 impl Codec {
-    /// The codec of a cluster, by its name and key, on the membership channel.
+    /// Creates the membership channel's codec of the cluster with this name and key.
     ///
     /// # Errors
-    /// A key that is too short.
+    /// The key has fewer than [`MIN_KEY_BYTES`] bytes.
     pub fn new(cluster: &str, key: &[u8]) -> Result<Self, ShortKey> {
         let short_key = ShortKey { length_bytes: key.len() };
         if key.len() < MIN_KEY_BYTES {
@@ -103,19 +103,20 @@
         Ok(Self { channel: Channel::default(), cluster: MemberId::of(cluster).0.to_le_bytes(), hmac })
     }
 
-    /// The same codec for another channel: what is sealed for one is not opened for another.
+    /// Returns the codec of another channel. A datagram sealed on one channel is rejected on every other.
     #[must_use]
-    pub fn on(&self, channel: Channel) -> Self {
+    pub fn for_channel(&self, channel: Channel) -> Self {
         Self { channel, ..self.clone() }
     }
 
-    /// Whether bytes claim to be of this codec's channel; only opening them proves it.
+    /// Whether the channel byte of a datagram names this codec's channel. The byte is not authenticated here;
+    /// [`Codec::open_body`] does that.
     #[must_use]
-    pub fn is_addressed(&self, bytes: &[u8]) -> bool {
-        bytes.get(CHANNEL_AT) == Some(&(self.channel as u8))
+    pub fn matches_channel(&self, bytes: &[u8]) -> bool {
+        bytes.get(CHANNEL_OFFSET) == Some(&(self.channel as u8))
     }
 
-    /// A body as a datagram. `None` where it would be too long.
+    /// Encodes and authenticates a body. `None` if the datagram would exceed [`MAX_DATAGRAM_BYTES`].
     #[must_use]
     pub fn seal_body<T: Serialize>(&self, body: &T) -> Option<Vec<u8>> {
         let body = postcard::to_allocvec(body).ok()?;
@@ -132,18 +133,18 @@
         (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
     }
 
-    /// The body of a datagram.
+    /// Verifies a datagram and decodes its body.
     ///
     /// # Errors
-    /// Why it was not opened.
+    /// The reason for which the datagram is rejected.
     pub fn open_body<T: for<'a> Deserialize<'a>>(&self, bytes: &[u8]) -> Result<T, OpenError> {
         self.check_header(bytes)?;
         let (header, rest) = bytes.split_at(HEADER_BYTES);
-        let (given, body) = rest.split_at(HMAC_BYTES);
+        let (received_hmac, body) = rest.split_at(HMAC_BYTES);
         let mut hmac = self.hmac.clone();
         hmac.update(header);
         hmac.update(body);
-        hmac.verify_slice(given).map_err(|_| OpenError::WrongHmac)?;
+        hmac.verify_slice(received_hmac).map_err(|_| OpenError::WrongHmac)?;
         match postcard::take_from_bytes(body) {
             Ok((message, [])) => Ok(message),
             _ => Err(OpenError::UnreadableBody),
@@ -155,28 +156,28 @@
         if !lengths.contains(&bytes.len()) || !bytes.starts_with(&MAGIC) {
             return Err(OpenError::NotThisProtocol);
         }
-        if bytes[VERSION_AT] != VERSION {
-            return Err(OpenError::UnknownVersion(bytes[VERSION_AT]));
+        if bytes[VERSION_OFFSET] != VERSION {
+            return Err(OpenError::UnknownVersion(bytes[VERSION_OFFSET]));
         }
-        if bytes[CHANNEL_AT] != self.channel as u8 {
+        if bytes[CHANNEL_OFFSET] != self.channel as u8 {
             return Err(OpenError::NotThisProtocol);
         }
-        if bytes[CLUSTER_AT..HEADER_BYTES] != self.cluster {
+        if bytes[CLUSTER_OFFSET..HEADER_BYTES] != self.cluster {
             return Err(OpenError::OtherCluster);
         }
         Ok(())
     }
 
-    /// A message as a datagram. `None` where it would be too long.
+    /// Seals a membership message, as [`Codec::seal_body`] does.
     #[must_use]
     pub fn seal(&self, message: &Message) -> Option<Vec<u8>> {
         self.seal_body(message)
     }
 
-    /// The message in a datagram.
+    /// Opens a membership message, as [`Codec::open_body`] does.
     ///
     /// # Errors
-    /// Why it was not opened.
+    /// The reason for which the datagram is rejected.
     pub fn open(&self, bytes: &[u8]) -> Result<Message, OpenError> {
         self.open_body(bytes)
     }
--- a/crates/membership/src/events.rs
+++ b/crates/membership/src/events.rs
@@ -8,35 +8,35 @@
 /// An input of the state machine.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time has passed; due every [`Settings::tick_interval`](crate::Settings::tick_interval).
+    /// A periodic timer event, expected every [`Settings::tick_interval`](crate::Settings::tick_interval).
     Tick,
-    /// A message has arrived.
+    /// A message was received and its HMAC verified.
     MessageReceived(Message),
-    /// This instance is about to end.
+    /// This instance is about to shut down: it notifies other members, and from then on ignores messages and ticks.
     Leave,
 }
 
-/// A change of the state in which this instance holds another.
+/// A change in the state that this instance records for another member.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Change {
-    /// The member.
+pub struct MemberChange {
+    /// The member whose state changed.
     pub id: MemberId,
-    /// Its name.
+    /// The member's name.
     pub name: String,
-    /// Where it receives messages.
+    /// The address at which the member receives messages.
     pub address: Address,
-    /// Its state before; `None` for one that was not known.
+    /// The previous state; `None` if the member was not known before.
     pub previous: Option<MemberState>,
-    /// Its state now.
+    /// The new state.
     pub state: MemberState,
-    /// The incarnation that the state holds for.
+    /// The member's incarnation to which the new state applies.
     pub incarnation: u64,
-    /// Who found that state.
+    /// The instance that detected the new state; the member itself if it announced the state.
     pub reported_by: MemberId,
 }
 
-impl Change {
-    /// The change that an update made to a member that was in the previous state.
+impl MemberChange {
+    /// The change to the state in `update`, for a member that was in the state `previous`.
     pub(crate) fn new(update: &Update, previous: Option<MemberState>) -> Self {
         Self {
             id: update.id,
@@ -50,44 +50,46 @@
     }
 }
 
-/// An output of the state machine, to be carried out by its owner.
+/// An output of the state machine, to be carried out by the caller of
+/// [`Membership::handle`](crate::Membership::handle).
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Send a message; it may be lost.
+    /// Send a message without confirming delivery: the protocol tolerates its loss.
     Send {
         /// The receiver's address.
         to: Address,
-        /// What to send.
+        /// The message to seal and send.
         message: Message,
     },
-    /// The state of a member has changed: log it and act on it.
-    MemberChanged(Change),
-    /// Others held this instance for suspect or dead; it refutes that in a new incarnation.
+    /// The recorded state of another member has changed.
+    MemberChanged(MemberChange),
+    /// Another instance claimed that this one is suspect, dead or has left; this instance refuted the claim by
+    /// starting a new incarnation.
     Refuted {
         /// The state that was claimed.
         claimed: MemberState,
-        /// Who claimed it.
+        /// The instance that claimed it.
         reported_by: MemberId,
-        /// The new incarnation.
+        /// The new incarnation of this instance.
         incarnation: u64,
     },
-    /// This instance was paused for so long; nobody is suspected for that time.
+    /// This process did not run for the given time. The time does not count towards any probe or suspicion timeout.
     Paused(Micros),
 }
 
-/// Counters since the start.
+/// Counters since this instance started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Probes begun.
+    /// Probes started by this instance for itself; those relayed for others are not counted.
     pub probes: u64,
-    /// Probes that were answered neither directly nor through others.
+    /// Probes that got neither a direct nor an indirect answer.
     pub failed_probes: u64,
-    /// Members that this instance itself declared dead.
+    /// Suspected members that this instance itself declared dead because they did not refute in time.
     pub deaths: u64,
-    /// Claims about this instance that it refuted.
+    /// Claims that this instance is suspect, dead or has left, which it refuted.
     pub refutations: u64,
-    /// Pauses of this instance.
+    /// Detected pauses of this process.
     pub pauses: u64,
-    /// Messages of another instance under this one's name.
+    /// Messages received from another address under this instance's name.
     pub name_conflicts: u64,
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,17 +1,19 @@
-//! Which instances of a cluster are alive, as one instance sees it: failure detection after SWIM, with Lifeguard's
-//! refinements, so that lost messages, one-way network failures and pauses of the observer are not taken for deaths.
+//! Cluster membership as one instance sees it: SWIM failure detection with Lifeguard's refinements, so that lost
+//! messages, one-way network failures and pauses of the observing process are not mistaken for dead members.
 //!
-//! No sockets, clocks or files: [`Membership::handle`] takes an [`Event`] with the time, and adds [`Effect`]s.
-//! `docs/design/membership.md` compares the alternatives, has the bounds that each fault costs, and names the sources.
+//! The crate does no I/O and reads no clock: [`Membership::handle`] takes an [`Event`] and the current time, and
+//! appends [`Effect`]s for its caller to carry out. `docs/design/membership.md` compares the alternatives, states the
+//! bounds on detection and recovery times for each kind of fault, and lists the sources.
 //!
 //! | module | contents |
 //! | --- | --- |
 //! | [`Membership`] | the state machine: probing, suspicion, refutation, joining, leaving, anti-entropy |
-//! | [`Settings`] | times and counts, checked as a whole |
-//! | [`Update`], [`MemberState`] | a statement about a member, and which of two statements supersedes the other |
-//! | [`codec`] | messages as bytes: version, cluster, HMAC |
+//! | [`Settings`] | timeouts, intervals and counts, and their validation |
+//! | [`Update`], [`MemberState`] | a member's reported state, and the rule by which one report supersedes another |
+//! | [`codec`] | datagram encoding: version, channel, cluster, HMAC |
 //!
-//! Modules depend on each other in one direction: `identity` and `update` at the bottom, then `settings`, `suspicion`,
+//! Modules depend on each other in one direction: `identity` and `update` at the bottom, then `settings`,
+//! `suspicion`,
 //! `member`, `message`, `codec`, `dissemination`, and `membership` on top.
 
 pub mod codec;
@@ -26,7 +28,7 @@
 mod suspicion;
 mod update;
 
-pub use events::{Change, Counters, Effect, Event};
+pub use events::{Counters, Effect, Event, MemberChange};
 pub use identity::{Address, MemberId};
 pub use member::Member;
 pub use membership::Membership;
@@ -35,5 +37,5 @@
 pub use suspicion::Suspicion;
 pub use update::{MemberState, Update};
 
-/// A point on the instance's clock, or a length of time, in microseconds.
+/// A reading of the instance's clock, or a duration, in microseconds.
 pub type Micros = u64;
--- a/crates/membership/src/membership/merging.rs
+++ b/crates/membership/src/membership/merging.rs
@@ -1,14 +1,15 @@
-//! Merging: what becomes of an update that arrives, by what this instance knows.
+//! Merging: how updates, received or made by this instance, change the member table.
 
 use super::Membership;
-use crate::events::{Change, Effect};
+use crate::events::{Effect, MemberChange};
 use crate::member::Member;
 use crate::message::Body;
 use crate::suspicion::Suspicion;
 use crate::update::{MemberState, Update};
 
 impl Membership {
-    /// Takes over an update where it supersedes what is known.
+    /// Applies an update if it supersedes the recorded state of the member, counts it if it confirms a suspicion, and
+    /// refutes it if it is a false claim about this instance.
     pub(super) fn merge(&mut self, update: Update, effects: &mut Vec<Effect>) {
         let id = update.id;
         if id == self.id {
@@ -22,17 +23,17 @@
             return;
         }
         let Some(member) = self.members.get_mut(id) else {
-            return self.merge_stranger(update, effects);
+            return self.merge_unknown_member(update, effects);
         };
         if update.supersedes(member.incarnation, member.state) {
             let previous = member.state;
             *member = Member::new(&update, suspicion_of(&update, self.now), self.now);
             if previous != update.state {
-                effects.push(Effect::MemberChanged(Change::new(&update, Some(previous))));
+                effects.push(Effect::MemberChanged(MemberChange::new(&update, Some(previous))));
             }
             self.queue.add(update);
         } else if update.incarnation == member.incarnation && update.state == member.state {
-            // An independent confirmation is disseminated where it shortens the time to refute.
+            // An independent confirmation is disseminated only if it shortens the suspicion timeout.
             let Some(suspicion) = &mut member.suspicion else { return };
             if suspicion.confirm(update.reported_by, &self.settings) {
                 self.queue.add(update);
@@ -40,9 +41,9 @@
         }
     }
 
-    /// Whether another instance declares a member dead that this one has not suspected for the minimum time to refute:
-    /// then this one only suspects it. So two sides of a partition, each of which holds the other for dead, do not
-    /// kill each other by their updates once the partition is over.
+    /// Whether another instance declares a member dead that this one has not yet suspected for the minimum suspicion
+    /// timeout. Such an update is applied as a suspicion. Otherwise, once a partition ends, each side would declare
+    /// its own members dead because the other side did so during the partition.
     fn is_premature_death(&self, update: &Update) -> bool {
         let Some(member) = self.members.get(update.id) else { return false };
         if update.state != MemberState::Dead || update.reported_by == self.id || !member.state.is_up() {
@@ -60,17 +61,18 @@
         }
     }
 
-    fn merge_stranger(&mut self, update: Update, effects: &mut Vec<Effect>) {
+    fn merge_unknown_member(&mut self, update: Update, effects: &mut Vec<Effect>) {
         let member = Member::new(&update, suspicion_of(&update, self.now), self.now);
         if !self.members.insert(update.id, member) || !update.state.is_up() {
             return;
         }
         self.prober.add(update.id, &mut self.rng);
-        effects.push(Effect::MemberChanged(Change::new(&update, None)));
+        effects.push(Effect::MemberChanged(MemberChange::new(&update, None)));
         self.queue.add(update);
     }
 
-    /// Refutes an update about this instance itself, in a new incarnation.
+    /// Refutes a claim about this instance by starting a new incarnation, unless the claim is about an old one or
+    /// this instance is leaving.
     fn refute(&mut self, update: &Update, effects: &mut Vec<Effect>) {
         if self.leaving || !update.supersedes(self.incarnation, MemberState::Alive) {
             return;
@@ -91,7 +93,7 @@
     }
 }
 
-/// The suspicion that an update begins.
+/// The suspicion timeout that an update starts; `None` unless its state is suspect.
 fn suspicion_of(update: &Update, now: crate::Micros) -> Option<Suspicion> {
     (update.state == MemberState::Suspect).then(|| Suspicion::new(update.reported_by, now))
 }
--- a/crates/membership/tests/datagrams.rs
+++ b/crates/membership/tests/datagrams.rs
@@ -1,5 +1,6 @@
-//! The bytes of every message, as other versions of the program send and read them. The body is in postcard: variants
-//! stand as their number in order of declaration, fields in their order, without names.
+//! The encoding of every kind of message, compared with golden bytes, because other versions of the program send and
+//! read it. The body is in postcard: a variant is encoded as its number in declaration order, and fields follow in
+//! declaration order without names.
 
 use std::fmt::Write as _;
 
@@ -9,12 +10,12 @@
 const GOLDEN: &str = include_str!("golden/datagrams.txt");
 
 fn codec() -> Codec {
-    Codec::new("pond", b"0123456789abcdef").expect("a key")
+    Codec::new("pond", b"0123456789abcdef").expect("a valid key")
 }
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().fold(String::new(), |mut text, byte| {
-        write!(text, "{byte:02x}").expect("text takes all");
+        write!(text, "{byte:02x}").expect("writing to a String succeeds");
         text
     })
 }
@@ -22,7 +23,7 @@
 fn bytes(hex: &str) -> Vec<u8> {
     (0..hex.len())
         .step_by(2)
-        .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).expect("hexadecimal"))
+        .map(|index| u8::from_str_radix(&hex[index..index + 2], 16).expect("hexadecimal digits"))
         .collect()
 }
 
@@ -42,11 +43,11 @@
     Message { sender: update("a", MemberState::Alive), body, updates }
 }
 
-/// Each kind of message and each standing of a member, by the name that the golden file has for it.
+/// Every kind of message and every member state, each with its name in the golden file.
 fn messages() -> Vec<(&'static str, Message)> {
     let (nonce, target) = (0x8899_aabb, MemberId::of("b"));
     let address = Address { ip: [192, 168, 0, 1], port: 65_535 };
-    let all = [MemberState::Alive, MemberState::Suspect, MemberState::Dead, MemberState::Left];
+    let states = [MemberState::Alive, MemberState::Suspect, MemberState::Dead, MemberState::Left];
     vec![
         ("ping", message(Body::Ping { nonce, target }, Vec::new())),
         ("ack", message(Body::Ack { nonce }, Vec::new())),
@@ -57,7 +58,7 @@
             "sync-answering",
             message(Body::Sync { wants_reply: false }, vec![update("b", MemberState::Suspect)]),
         ),
-        ("gossip", message(Body::Gossip, all.map(|state| update("b", state)).to_vec())),
+        ("gossip", message(Body::Gossip, states.map(|state| update("b", state)).to_vec())),
     ]
 }
 
@@ -67,27 +68,30 @@
 }
 
 #[test]
-fn each_message_is_sealed_as_the_golden_bytes() {
+fn each_message_is_encoded_as_its_golden_bytes() {
     let mut text = String::new();
     for (name, message) in messages() {
-        writeln!(text, "{name} {}", hex(&codec().seal(&message).expect("it fits"))).expect("text takes all");
+        writeln!(text, "{name} {}", hex(&codec().seal(&message).expect("fits into a datagram")))
+            .expect("writing to a String succeeds");
     }
-    let replica = codec().on(Channel::Replica).seal_body(&(MemberId(1), 2u8)).expect("it fits");
-    writeln!(text, "replica-channel {}", hex(&replica)).expect("text takes all");
+    let replica =
+        codec().for_channel(Channel::Replica).seal_body(&(MemberId(1), 2u8)).expect("fits into a datagram");
+    writeln!(text, "replica-channel {}", hex(&replica)).expect("writing to a String succeeds");
     assert_eq!(text, GOLDEN);
 }
 
 #[test]
-fn each_golden_datagram_is_opened_as_its_message() {
+fn each_golden_datagram_decodes_to_its_message() {
     for (name, message) in messages() {
         assert_eq!(codec().open(&bytes(golden(name))), Ok(message), "{name}");
     }
-    let opened = codec().on(Channel::Replica).open_body::<(MemberId, u8)>(&bytes(golden("replica-channel")));
+    let opened =
+        codec().for_channel(Channel::Replica).open_body::<(MemberId, u8)>(&bytes(golden("replica-channel")));
     assert_eq!(opened, Ok((MemberId(1), 2)));
 }
 
 #[test]
-fn members_are_known_by_the_same_numbers_and_standings_by_the_same_words() {
+fn member_ids_and_state_names_are_stable() {
     let ids = ["n0", "dewladder"].map(|name| MemberId::of(name).0);
     assert_eq!(ids, [16_059_159_448_129_433_833, 8_305_114_003_831_970_156]);
     let names = [MemberState::Alive, MemberState::Suspect, MemberState::Dead, MemberState::Left]
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,29 +1,29 @@
-//! Cluster simulation: many instances of [`Membership`] in virtual time, a network that loses, delays and blocks
-//! messages by a seed, and instances that die, start again, or are paused. A minute of 500 instances takes seconds; the
-//! same seed gives the same run.
+//! Discrete-event simulation of a cluster: many instances of [`Membership`] in virtual time, a network that loses,
+//! delays and blocks messages, and instances that are killed, restarted or paused. Simulating a minute of 500
+//! instances takes seconds. Runs are deterministic: the same seed gives the same run.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use dewladder_membership::codec::Codec;
 use dewladder_membership::{
-    Address, Change, Effect, Event, MemberId, MemberState, Membership, Micros, Settings,
+    Address, Effect, Event, MemberChange, MemberId, MemberState, Membership, Micros, Settings,
 };
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// A second.
+/// One second of virtual time.
 pub const SECOND: Micros = 1_000_000;
-/// [`Simulation::advance_until`] looks this often.
-const LOOK_INTERVAL: Micros = 10_000;
+/// How often [`Simulation::advance_until`] checks its condition, in virtual time.
+const CHECK_INTERVAL: Micros = 10_000;
 
-/// What the network does to messages.
+/// The faults and delays of the simulated network.
 #[derive(Clone, Debug)]
 pub struct Network {
-    /// The share of messages that is lost, 0 to 1.
+    /// The probability that a message is lost, 0 to 1.
     pub loss: f64,
-    /// The shortest and the longest delay.
+    /// The minimum and maximum delay of a message; delays are uniformly distributed in between.
     pub delay: (Micros, Micros),
-    /// Directions, from an instance to another, in which nothing passes.
+    /// Pairs of a sender and a receiver between which all messages are lost, in this direction only.
     pub blocked: BTreeSet<(usize, usize)>,
 }
 
@@ -33,65 +33,66 @@
     }
 }
 
-/// An instance.
+/// A simulated instance, whether it runs or not.
 #[derive(Debug, Default)]
 struct Node {
-    /// `None` where it does not run.
+    /// Its state machine; `None` if it does not run.
     membership: Option<Membership>,
-    /// Counts starts and ends: ticks that were scheduled for an earlier run do not come.
+    /// Incremented by each start and kill, so that ticks scheduled for an earlier run are ignored.
     generation: u32,
-    /// Where it is paused, what has arrived meanwhile.
+    /// The events that have arrived since it was paused; `None` if it is not paused.
     paused: Option<Vec<Event>>,
     bytes_sent: u64,
     messages_sent: u64,
-    changes: Vec<(Micros, Change)>,
+    changes: Vec<(Micros, MemberChange)>,
 }
 
-/// What is scheduled for a time.
+/// A scheduled event.
 #[derive(Debug)]
 enum Scheduled {
     Tick { node: usize, generation: u32 },
     Delivery { node: usize, datagram: Vec<u8> },
 }
 
-/// A simulated cluster. Instances are known by numbers from 0 on.
+/// A simulated cluster. Instances are numbered from 0.
 #[derive(Debug)]
 pub struct Simulation {
-    /// The virtual time.
+    /// The current virtual time.
     pub now: Micros,
-    /// The network, which may be changed between steps.
+    /// The network. Its faults may be changed between two calls that let time pass.
     pub network: Network,
     template: Settings,
     nodes: Vec<Node>,
-    /// By time, and for one time in the order of scheduling.
+    /// Events in the order of their times; those for the same time are in the order in which they were scheduled.
     scheduled: BTreeMap<(Micros, u64), Scheduled>,
     schedule_count: u64,
     rng: Pcg64Mcg,
     codec: Codec,
 }
 
-/// The name of an instance.
+/// The name of the instance with this number.
 #[must_use]
 pub fn name(node: usize) -> String {
     format!("n{node}")
 }
 
-/// The address of an instance has its number in the last two bytes.
+/// The address of the instance with this number, which its last two bytes encode.
 fn address(node: usize) -> Address {
     let [.., high, low] = (node as u32).to_be_bytes();
     Address { ip: [127, 1, high, low], port: 7_946 }
 }
 
+/// The number of the instance with this address.
 fn node_at(address: Address) -> usize {
     usize::from(address.ip[2]) * 256 + usize::from(address.ip[3])
 }
 
 impl Simulation {
-    /// So many instances, all of which join through the first one (and that through the second). Settings are those of
-    /// `template`, but for name, address and seeds.
+    /// Creates and starts `count` instances. All join through instance 0, and that one through instance 1. They have
+    /// the settings of `template`, except for name, address and seeds.
     ///
     /// # Panics
-    /// Settings that are invalid.
+    /// If the settings are invalid.
     #[must_use]
     pub fn new(count: usize, template: Settings, seed: u64) -> Self {
         let codec = Codec::new("lab", &[7; 32]).expect("a key that is long enough");
@@ -112,10 +113,10 @@
         simulation
     }
 
-    /// Starts an instance, or restarts it: it knows its seeds only.
+    /// Starts or restarts an instance, which knows only its seed.
     ///
     /// # Panics
-    /// Settings that are invalid.
+    /// If the settings are invalid.
     pub fn start(&mut self, node: usize) {
         let seed = if node == 0 { address(1) } else { address(0) };
         let settings =
@@ -130,39 +131,39 @@
         self.schedule(first_tick, Scheduled::Tick { node, generation });
     }
 
-    /// Ends an instance without a message.
+    /// Kills an instance: it stops without notifying other members.
     pub fn kill(&mut self, node: usize) {
         let killed = &mut self.nodes[node];
         killed.membership = None;
         killed.generation += 1;
     }
 
-    /// An instance announces that it leaves, and ends.
+    /// Shuts an instance down: it notifies other members that it leaves, and stops.
     pub fn leave(&mut self, node: usize) {
         self.handle(node, Event::Leave);
         self.kill(node);
     }
 
-    /// Pauses an instance: what arrives waits, while time passes.
+    /// Pauses an instance: messages that arrive are queued, and its ticks are skipped.
     pub fn pause(&mut self, node: usize) {
         self.nodes[node].paused = Some(Vec::new());
     }
 
-    /// Resumes a paused instance: first with what has arrived meanwhile.
+    /// Resumes a paused instance: it handles the queued messages first, and then a tick.
     pub fn resume(&mut self, node: usize) {
-        let Some(waiting) = self.nodes[node].paused.take() else { return };
-        for event in waiting {
+        let Some(queued) = self.nodes[node].paused.take() else { return };
+        for event in queued {
             self.handle(node, event);
         }
         self.handle(node, Event::Tick);
     }
 
-    /// Blocks all directions between these instances and the others, or opens them again.
+    /// Blocks all messages between the instances in `side` and the others, in both directions, or unblocks them.
     pub fn partition(&mut self, side: &[usize], blocked: bool) {
         let others: Vec<usize> = (0..self.nodes.len()).filter(|node| !side.contains(node)).collect();
-        for &one in side {
+        for &inside in side {
             for &other in &others {
-                for direction in [(one, other), (other, one)] {
+                for direction in [(inside, other), (other, inside)] {
                     if blocked {
                         self.network.blocked.insert(direction);
                     } else {
@@ -173,7 +174,7 @@
         }
     }
 
-    /// Lets time pass.
+    /// Advances the virtual time by `time`, handling all events that are due.
     pub fn advance(&mut self, time: Micros) {
         let end = self.now + time;
         while let Some(entry) = self.scheduled.first_entry().filter(|entry| entry.key().0 <= end) {
@@ -196,25 +197,26 @@
             return;
         }
         self.schedule(self.now + self.template.tick_interval, Scheduled::Tick { node, generation });
-        // Ticks of a paused instance are not kept: it gets one when it is resumed.
+        // Ticks of a paused instance are not queued: it gets one when it is resumed.
         if self.nodes[node].paused.is_none() {
             self.handle(node, Event::Tick);
         }
     }
 
-    /// Lets time pass until something holds; how long that took, `None` where it does not hold within the limit.
-    pub fn advance_until(&mut self, limit: Micros, holds: impl Fn(&Self) -> bool) -> Option<Micros> {
+    /// Advances the virtual time until a condition holds. Returns how long that took, or `None` if the condition does
+    /// not hold within `limit`.
+    pub fn advance_until(&mut self, limit: Micros, condition: impl Fn(&Self) -> bool) -> Option<Micros> {
         let start = self.now;
-        while !holds(self) {
+        while !condition(self) {
             if self.now >= start + limit {
                 return None;
             }
-            self.advance(LOOK_INTERVAL);
+            self.advance(CHECK_INTERVAL);
         }
         Some(self.now - start)
     }
 
-    /// The state in which an instance holds another; `None` where it does not know it, or does not run.
+    /// The state that `observer` records for `member`; `None` if it does not know that member, or does not run.
     #[must_use]
     pub fn state_of(&self, observer: usize, member: usize) -> Option<MemberState> {
         let id = MemberId::of(&name(member));
@@ -223,13 +225,14 @@
         found.map(|(_, member)| member.state)
     }
 
-    /// The instances that run.
+    /// The numbers of the instances that run, including paused ones.
     #[must_use]
     pub fn running(&self) -> Vec<usize> {
         (0..self.nodes.len()).filter(|&node| self.nodes[node].membership.is_some()).collect()
     }
 
-    /// Whether all instances that run hold each other for alive.
+    /// Whether every running instance records all other running ones as alive. Only the number of alive members is
+    /// compared.
     #[must_use]
     pub fn all_alive(&self) -> bool {
         let running: Vec<&Membership> =
@@ -241,13 +244,13 @@
         })
     }
 
-    /// Every change that instances have seen, with the instance and the time.
-    pub fn changes(&self) -> impl Iterator<Item = (usize, Micros, &Change)> {
+    /// Every state change that an instance has recorded, as the observing instance, the time and the change.
+    pub fn changes(&self) -> impl Iterator<Item = (usize, Micros, &MemberChange)> {
         let nodes = self.nodes.iter().enumerate();
         nodes.flat_map(|(at, node)| node.changes.iter().map(move |(when, change)| (at, *when, change)))
     }
 
-    /// How often an instance declared one dead that runs.
+    /// How many times an instance recorded another one as dead that is running now.
     #[must_use]
     pub fn false_deaths(&self) -> usize {
         let running: BTreeSet<MemberId> =
@@ -256,19 +259,19 @@
         deaths.filter(|(_, _, change)| running.contains(&change.id)).count()
     }
 
-    /// Bytes that an instance has sent.
+    /// The number of bytes that an instance has sent in datagrams.
     #[must_use]
     pub fn bytes_sent(&self, node: usize) -> u64 {
         self.nodes[node].bytes_sent
     }
 
-    /// Messages that an instance has sent.
+    /// The number of messages that an instance has sent, including lost ones.
     #[must_use]
     pub fn messages_sent(&self, node: usize) -> u64 {
         self.nodes[node].messages_sent
     }
 
-    /// The state machine of an instance; `None` where it does not run.
+    /// The state machine of an instance; `None` if it does not run.
     #[must_use]
     pub fn membership(&self, node: usize) -> Option<&Membership> {
         self.nodes[node].membership.as_ref()
@@ -279,11 +282,11 @@
         self.scheduled.insert((at, self.schedule_count), scheduled);
     }
 
-    /// Feeds an instance with an event, and carries out its effects.
+    /// Passes an event to an instance and carries out its effects. If the instance is paused, the event is queued.
     fn handle(&mut self, node: usize, event: Event) {
         let target = &mut self.nodes[node];
-        if let Some(waiting) = &mut target.paused {
-            waiting.push(event);
+        if let Some(queued) = &mut target.paused {
+            queued.push(event);
             return;
         }
         let Some(membership) = &mut target.membership else { return };
--- a/src/edge/cluster/instance.rs
+++ b/src/edge/cluster/instance.rs
@@ -1,10 +1,11 @@
-//! A running instance: feeds [`Membership`] and [`Replica`] with what arrives, and carries out what they decide.
+//! A running instance: feeds the state machines [`Membership`] and [`Replica`] with events, and carries out their
+//! effects.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
 use dewladder_membership::codec::{Codec, OpenError};
-use dewladder_membership::{Change, Effect, Event, MemberId, MemberState, Membership};
+use dewladder_membership::{Effect, Event, MemberChange, MemberId, MemberState, Membership};
 use dewladder_replica::{self as replica, Note, Replica};
 use log::{debug, info, warn};
 use tokio::net::UdpSocket;
@@ -14,11 +15,11 @@
 use super::view::View;
 use crate::edge::clock::Clock;
 
-/// The state of a running instance.
+/// A running instance: its state machines, socket and clock.
 pub(super) struct Instance {
-    /// Seals and opens membership's messages.
+    /// The codec of membership's datagrams.
     pub(super) codec: Codec,
-    /// Seals and opens the replicas' messages.
+    /// The codec of the replica's datagrams.
     pub(super) replica_codec: Codec,
     pub(super) membership: Membership,
     pub(super) replica: Option<Replica>,
@@ -29,15 +30,15 @@
 }
 
 impl Instance {
-    /// Takes a datagram.
+    /// Handles a received datagram. Without a replica, datagrams for it are rejected as foreign ones.
     pub(super) fn receive(&mut self, datagram: &[u8], from: SocketAddr) {
-        let opened = if self.replica.is_some() && self.replica_codec.is_addressed(datagram) {
+        let result = if self.replica.is_some() && self.replica_codec.matches_channel(datagram) {
             self.receive_for_replica(datagram)
         } else {
             self.receive_for_membership(datagram)
         };
-        if let Err(error) = opened {
-            self.count_refused(error, from);
+        if let Err(error) = result {
+            self.count_rejected(error, from);
         }
     }
 
@@ -53,32 +54,32 @@
         Ok(())
     }
 
-    fn count_refused(&self, error: OpenError, from: SocketAddr) {
-        if self.view.count_refused(error) {
+    fn count_rejected(&self, error: OpenError, from: SocketAddr) {
+        if self.view.count_rejected(error) {
             warn!(address:% = from, reason:% = error;
                 "cluster: datagram refused; further ones of this kind are only counted");
         }
     }
 
-    /// Takes what a front asks for.
-    pub(super) fn take_request(&mut self, request: QuorumRequest) {
-        let event = self.pending_offers.take(request);
+    /// Passes a front's message on to the replica.
+    pub(super) fn handle_quorum_request(&mut self, request: QuorumRequest) {
+        let event = self.pending_offers.handle_request(request);
         self.handle_replica_event(event);
     }
 
-    /// Tells the time.
+    /// Passes a timer event to both state machines.
     pub(super) fn tick(&mut self) {
         self.handle_membership_event(Event::Tick);
         self.handle_replica_event(replica::Event::Tick);
     }
 
-    /// Tells the other members that this instance leaves.
+    /// Notifies other members that this instance leaves.
     pub(super) fn leave(&mut self) {
         self.handle_membership_event(Event::Leave);
         info!("cluster: leaving; other members are told");
     }
 
-    /// Updates what the second address shows.
+    /// Updates what the admin address shows.
     pub(super) fn update_view(&self) {
         self.view.update(&self.membership, self.replica.as_ref(), self.clock.now());
     }
@@ -86,19 +87,19 @@
     fn handle_membership_event(&mut self, event: Event) {
         let mut effects = Vec::new();
         self.membership.handle(self.clock.now(), event, &mut effects);
-        let mut changed = false;
+        let mut needs_update = false;
         for effect in effects {
-            changed |= !matches!(effect, Effect::Send { .. });
-            self.carry_out(effect);
+            needs_update |= !matches!(effect, Effect::Send { .. });
+            self.execute_effect(effect);
         }
-        if changed {
+        if needs_update {
             let up: BTreeSet<MemberId> = self.membership.others_up().into_iter().collect();
             self.handle_replica_event(replica::Event::MembersUp(up));
             self.update_view();
         }
     }
 
-    fn carry_out(&self, effect: Effect) {
+    fn execute_effect(&self, effect: Effect) {
         match effect {
             Effect::Send { to, message } => socket::send(&self.socket, to, self.codec.seal(&message)),
             Effect::MemberChanged(change) => log_change(&change, self.membership.up()),
@@ -107,7 +108,7 @@
                     "cluster: claim about this instance refuted");
             }
             Effect::Paused(elapsed_us) => {
-                warn!(elapsed_us; "cluster: this process was paused; nobody is suspected for that time");
+                warn!(elapsed_us; "cluster: this process was paused; timeouts do not count that time");
             }
         }
     }
@@ -117,21 +118,22 @@
         let mut effects = Vec::new();
         replica.handle(self.clock.now(), event, &mut effects);
         for effect in effects {
-            self.carry_out_for_replica(effect);
+            self.execute_replica_effect(effect);
         }
     }
 
-    fn carry_out_for_replica(&mut self, effect: replica::Effect) {
+    fn execute_replica_effect(&mut self, effect: replica::Effect) {
         match effect {
             replica::Effect::Send { to, message } => self.send_for_replica(to, message),
             replica::Effect::Granted(offer) => self.pending_offers.answer(offer, Ok(())),
             replica::Effect::Denied(offer, denial) => self.pending_offers.answer(offer, Err(denial)),
-            replica::Effect::CaughtUp(range) => self.report_caught_up(range),
+            replica::Effect::CaughtUp(range) => self.log_caught_up(range),
             replica::Effect::NoteReceived(note) => log_note(&note),
         }
     }
 
-    /// Sends a message of the replica. A member that was never heard of can't be reached; what is for it is sent again.
+    /// Sends a message of the replica. A message to a member whose address is not known is dropped; the replica sends
+    /// it again.
     fn send_for_replica(&self, to: MemberId, message: replica::Message) {
         let body = (self.membership.own_update().id, message);
         if let Some(address) = self.membership.address_of(to) {
@@ -139,7 +141,7 @@
         }
     }
 
-    fn report_caught_up(&self, range: usize) {
+    fn log_caught_up(&self, range: usize) {
         let ranges_behind = self.replica.as_ref().map_or(0, Replica::ranges_behind);
         debug!(range, ranges_behind; "cluster: range caught up");
         if ranges_behind == 0 {
@@ -153,7 +155,7 @@
     format!("{:016x}", id.0)
 }
 
-fn log_change(change: &Change, members_up: usize) {
+fn log_change(change: &MemberChange, members_up: usize) {
     let previous = change.previous.map_or("unknown", MemberState::name);
     info!(member = change.name.as_str(), state = change.state.name(), previous,
         incarnation = change.incarnation, address:% = change.address,
--- a/src/edge/cluster/mod.rs
+++ b/src/edge/cluster/mod.rs
@@ -1,13 +1,13 @@
-//! The instances of a cluster: carries out what [`Membership`] and [`Replica`] decide, on one UDP socket. Off unless
-//! the operator's file turns it on.
+//! Cluster support: runs the state machines [`Membership`] and [`Replica`] on one UDP socket. Disabled unless the
+//! operator's configuration file enables it.
 //!
 //! | module | contents |
 //! | --- | --- |
-//! | [`table`] | the table `[cluster]` of the operator's file, and its errors |
-//! | `instance` | the running instance: events in, effects out |
+//! | [`table`] | the table `[cluster]` of the operator's configuration file, and its errors |
+//! | `instance` | the running instance: passes events to the state machines and carries out their effects |
 //! | `socket` | the UDP socket |
-//! | [`quorum`] | by which fronts have other instances hold a record of a request |
-//! | `view` | what `GET /cluster/members` shows |
+//! | [`quorum`] | the interface through which fronts have other instances hold a record of a request |
+//! | `view` | the document that `GET /cluster/members` returns |
 
 mod instance;
 pub mod quorum;
@@ -35,30 +35,30 @@
 pub use table::{Table, TableError};
 pub use view::View;
 
-/// How often the state machines are told the time.
+/// The interval between two timer events of the state machines.
 pub const TICK: Duration = Duration::from_millis(25);
-/// How long nothing is received after an error of the socket.
-const PAUSE_AFTER_ERROR: Duration = Duration::from_millis(50);
-/// What [`View`] shows is updated at least once in so many ticks.
+/// How long the event loop waits after a receive error of the socket.
+const RECEIVE_ERROR_DELAY: Duration = Duration::from_millis(50);
+/// The [`View`] is updated at least once in this number of ticks.
 const TICKS_PER_VIEW_UPDATE: u32 = 20;
 
-/// Why an instance could not be set up: one plain line.
+/// Why an instance could not be set up, as one line.
 #[derive(Debug, Error)]
 pub enum BindError {
     /// The table is invalid.
     #[error(transparent)]
     Table(#[from] TableError),
-    /// The address can't be listened on.
+    /// The UDP socket can't be bound to the address.
     #[error("cluster.listen: can't listen on {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddrV4,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
 }
 
-/// Why an instance could not be started.
+/// Why the state machines could not be created.
 #[derive(Debug, Error)]
 enum StartError {
     #[error(transparent)]
@@ -67,15 +67,15 @@
     Replica(#[from] replica::InvalidSettings),
 }
 
-/// An instance of a cluster that does not run yet.
+/// An instance of a cluster that is set up and not running yet; [`Cluster::run`] runs it.
 #[derive(Debug)]
 pub struct Cluster {
     codec: Codec,
     settings: Settings,
     listen: SocketAddrV4,
-    /// The operator has named the address at which others reach this instance; otherwise it is where it listens.
-    is_address_given: bool,
-    /// `None` where another process has the address still.
+    /// Whether the operator has set `advertise`. Otherwise the address that the socket is bound to is advertised.
+    has_advertised_address: bool,
+    /// `None` if another process of this instance still uses the address.
     socket: Option<UdpSocket>,
     clock: Clock,
     seed: u64,
@@ -86,25 +86,26 @@
 }
 
 impl Cluster {
-    /// Listens where the table says; where the address is `shared` and another process of this instance still has
-    /// it, [`Cluster::run`] does so once that process has gone.
+    /// Validates the table and binds its `listen` address. With `shared`, an address that is in use is taken to be
+    /// held by another process of this instance, and [`Cluster::run`] binds it once that process has released it.
     ///
     /// # Errors
-    /// An invalid table, or an address that can't be listened on.
+    /// An invalid table, or an address that can't be bound.
     pub fn bind(table: &Table, name: &str, shared: bool, clock: Clock, seed: u64) -> Result<Self, BindError> {
-        let checked = table.check(name)?;
-        let (mut settings, mut replica) = (checked.membership, checked.replica);
+        let checked_settings = table.check(name)?;
+        let (mut settings, mut replica) = (checked_settings.membership, checked_settings.replica);
         if let Some(replica) = &mut replica {
             replica.incarnation = clock.now();
         }
-        // Above that of the last run; where the clock was set back, it is refuted like any other.
+        // Milliseconds of the wall clock, so above the incarnation of the previous run. If the clock was set back in
+        // between, this instance refutes the claims about its previous run like any others.
         settings.incarnation = clock.now() / 1_000;
-        let (quorum, requests) = quorum::pair();
+        let (quorum, requests) = quorum::request_channel();
         Ok(Self {
-            codec: checked.codec,
+            codec: checked_settings.codec,
             settings,
             listen: table.listen,
-            is_address_given: table.advertise.is_some(),
+            has_advertised_address: table.advertise.is_some(),
             socket: bind_unless_shared(table.listen, shared)?,
             clock,
             seed,
@@ -115,19 +116,20 @@
         })
     }
 
-    /// By which fronts have other instances hold a record of a request; `None` where that is off.
+    /// The fronts' handle for having other instances hold a record of a request; `None` if replication is disabled.
     #[must_use]
     pub fn quorum(&self) -> Option<Quorum> {
         self.replica.as_ref().map(|_| self.quorum.clone())
     }
 
-    /// What the instance knows, for others to read.
+    /// The document that `GET /cluster/members` returns.
     #[must_use]
     pub fn view(&self) -> View {
         self.view.clone()
     }
 
-    /// Runs until `leave` comes, then tells the other members. If it is dropped instead, they find it dead.
+    /// Runs until `leave` resolves, and then notifies the other members. If the future is dropped instead, they
+    /// detect this instance as dead.
     pub async fn run(mut self, leave: oneshot::Receiver<()>) {
         let mut leave = std::pin::pin!(leave);
         let socket = match self.socket.take() {
@@ -137,7 +139,7 @@
                 _ = &mut leave => return,
             },
         };
-        // Its sender is kept, so that the channel stays open where no front has one.
+        // Keeps the channel open if no front holds a handle.
         let _quorum = self.quorum.clone();
         match self.start(socket) {
             Ok((instance, requests)) => run_instance(instance, requests, leave).await,
@@ -145,13 +147,22 @@
         }
     }
 
-    /// Creates the state machines, on a socket.
+    /// Creates the state machines on a bound socket.
     fn start(self, socket: UdpSocket) -> Result<(Instance, QuorumRequests), StartError> {
         let Self {
-            codec, mut settings, listen, is_address_given, clock, seed, view, replica, requests, ..
+            codec,
+            mut settings,
+            listen,
+            has_advertised_address,
+            clock,
+            seed,
+            view,
+            replica,
+            requests,
+            ..
         } = self;
         let own_address = socket.local_addr().unwrap_or(SocketAddr::V4(listen));
-        if let (SocketAddr::V4(own_address), false) = (own_address, is_address_given) {
+        if let (SocketAddr::V4(own_address), false) = (own_address, has_advertised_address) {
             settings.address = table::member_address(own_address);
         }
         info!(member = settings.name.as_str(), address:% = own_address, advertised:% = settings.address;
@@ -161,7 +172,7 @@
             Some(settings) => Some(Replica::new(settings, clock.now())?),
             None => None,
         };
-        let replica_codec = codec.on(Channel::Replica);
+        let replica_codec = codec.for_channel(Channel::Replica);
         let pending_offers = PendingOffers::default();
         let instance =
             Instance { codec, replica_codec, membership, replica, pending_offers, socket, clock, view };
@@ -169,7 +180,7 @@
     }
 }
 
-/// The socket of an address; `None` where it is shared and another process of this instance still has it.
+/// Binds a socket to an address; `None` if the address is shared and another process still uses it.
 fn bind_unless_shared(address: SocketAddrV4, shared: bool) -> Result<Option<UdpSocket>, BindError> {
     match socket::bind(address) {
         Ok(socket) => Ok(Some(socket)),
@@ -181,7 +192,7 @@
     }
 }
 
-/// Feeds an instance with the time, requests of fronts and datagrams, until it is told to leave.
+/// The event loop: passes timer ticks, messages of fronts and datagrams to an instance, until it is told to leave.
 async fn run_instance(
     mut instance: Instance,
     mut requests: QuorumRequests,
@@ -192,7 +203,7 @@
     let mut ticks = 0;
     loop {
         tokio::select! {
-            biased; // a flood of datagrams does not stop the clock
+            biased; // a flood of datagrams does not starve the timer
             _ = &mut leave => return instance.leave(),
             _ = interval.tick() => {
                 instance.tick();
@@ -201,13 +212,13 @@
                     instance.update_view();
                 }
             }
-            Some(request) = requests.recv() => instance.take_request(request),
+            Some(request) = requests.recv() => instance.handle_quorum_request(request),
             received = instance.socket.recv_from(&mut datagram) => match received {
                 Ok((length, from)) => instance.receive(&datagram[..length], from),
-                // This may be about an earlier datagram that could not be delivered.
+                // The error may concern an earlier datagram that was sent and could not be delivered (an ICMP error).
                 Err(error) => {
                     debug!(reason:% = error; "cluster: receive failed");
-                    sleep(PAUSE_AFTER_ERROR).await;
+                    sleep(RECEIVE_ERROR_DELAY).await;
                 }
             },
         }
--- a/src/edge/cluster/socket.rs
+++ b/src/edge/cluster/socket.rs
@@ -9,28 +9,28 @@
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
 
-/// Between tries for an address that another process still uses.
-const RETRY_AFTER: Duration = Duration::from_millis(50);
+/// The delay before binding is retried while another process still uses the address.
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Listens on an address.
+/// Binds a non-blocking UDP socket to an address.
 pub(super) fn bind(address: SocketAddrV4) -> io::Result<UdpSocket> {
     let socket = std::net::UdpSocket::bind(address)?;
     socket.set_nonblocking(true)?;
     UdpSocket::from_std(socket)
 }
 
-/// Listens on an address as soon as no other process does.
+/// Binds to an address that another process of this instance still uses, retrying until that succeeds.
 pub(super) async fn bind_when_free(address: SocketAddrV4) -> UdpSocket {
     loop {
         match bind(address) {
             Ok(socket) => return socket,
-            Err(_) => sleep(RETRY_AFTER).await,
+            Err(_) => sleep(BIND_RETRY_DELAY).await,
         }
     }
 }
 
-/// Sends a sealed message; `None` is one that was too long to be sealed. What can't be sent at once is lost, as any
-/// datagram may be.
+/// Sends a sealed message, where `None` is one that was too long to be sealed. A datagram that cannot be sent without
+/// blocking is dropped: the protocols tolerate the loss of any datagram.
 pub(super) fn send(socket: &UdpSocket, to: Address, datagram: Option<Vec<u8>>) {
     let Some(datagram) = datagram else {
         warn!(address:% = to; "cluster: message too long; not sent");
--- a/src/edge/cluster/view.rs
+++ b/src/edge/cluster/view.rs
@@ -1,5 +1,5 @@
-//! What an instance knows of its cluster, as `GET /cluster/members` at the second address shows it. The names of its
-//! fields are an interface of the program.
+//! The JSON document that `GET /cluster/members` on the admin address returns: what an instance knows about its
+//! cluster. Its field names are a public interface.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,7 +11,7 @@
 
 use crate::interface::Micros;
 
-/// Written by the cluster's loop, and read by the second address.
+/// A shared handle on the document: the cluster's event loop updates it, the admin address reads it.
 #[derive(Clone, Debug)]
 pub struct View {
     cluster: String,
@@ -20,9 +20,10 @@
 
 #[derive(Debug, Default)]
 struct Contents {
-    /// The members, this instance and its counters; `null` until the loop runs.
+    /// The members, this instance, its counters and its replica, as [`View::update`] writes them; `null` until the
+    /// event loop runs.
     members: Value,
-    /// Datagrams that were refused, by kind.
+    /// The number of rejected datagrams by reason.
     refused: BTreeMap<&'static str, u64>,
 }
 
@@ -35,9 +36,9 @@
         self.contents.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Counts a datagram that was refused; whether it is the first of its kind.
-    pub(super) fn count_refused(&self, error: OpenError) -> bool {
-        let kind = match error {
+    /// Counts a rejected datagram. Returns whether it is the first with this reason.
+    pub(super) fn count_rejected(&self, error: OpenError) -> bool {
+        let reason = match error {
             OpenError::NotThisProtocol => "foreign",
             OpenError::UnknownVersion(_) => "version",
             OpenError::OtherCluster => "cluster",
@@ -45,20 +46,20 @@
             OpenError::UnreadableBody => "body",
         };
         let mut contents = self.contents();
-        let count = contents.refused.entry(kind).or_default();
+        let count = contents.refused.entry(reason).or_default();
         *count += 1;
         *count == 1
     }
 
-    /// Shows the present state.
+    /// Replaces the contents with the present state.
     pub(super) fn update(&self, membership: &Membership, replica: Option<&Replica>, now: Micros) {
-        let me = membership.own_update();
+        let own = membership.own_update();
         let members: Vec<Value> = membership.others().map(|(_, member)| member_json(member, now)).collect();
         let counters = membership.counters();
         self.contents().members = json!({
             "replica": replica.map(replica_json),
-            "me": {"name": me.name, "address": me.address.to_string(), "state": me.state.name(),
-                "incarnation": me.incarnation, "health": membership.health_score()},
+            "me": {"name": own.name, "address": own.address.to_string(), "state": own.state.name(),
+                "incarnation": own.incarnation, "health": membership.health_score()},
             "members": members,
             "counts": {"probes": counters.probes, "failed_probes": counters.failed_probes,
                 "deaths": counters.deaths, "refuted": counters.refutations, "pauses": counters.pauses,
@@ -66,15 +67,15 @@
         });
     }
 
-    /// All of it, as JSON.
+    /// The whole document.
     #[must_use]
     pub fn json(&self) -> Value {
         let contents = self.contents();
-        let mut all = json!({"cluster": self.cluster, "refused": contents.refused});
-        if let (Value::Object(all), Value::Object(members)) = (&mut all, contents.members.clone()) {
-            all.extend(members);
+        let mut document = json!({"cluster": self.cluster, "refused": contents.refused});
+        if let (Value::Object(document), Value::Object(members)) = (&mut document, contents.members.clone()) {
+            document.extend(members);
         }
-        all
+        document
     }
 }
 
