--- a/src/edge/cluster/table.rs
+++ b/src/edge/cluster/table.rs
@@ -1,4 +1,4 @@
-//! The table `[cluster]` of the operator's file: whether instances talk, where, and with which times.
+//! The table `[cluster]` of the operator's configuration file, and its conversion into checked settings.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
@@ -12,23 +12,23 @@
 use crate::edge::cluster::TICK;
 use crate::interface::Micros;
 
-/// See `deploy/fronts.toml` for each field. Times are in seconds.
+/// The table `[cluster]`; `deploy/fronts.toml` documents each key. Times are in seconds.
 #[derive(Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Table {
-    /// Where it is off, nothing is listened on and nothing is sent.
+    /// Whether this instance takes part in a cluster. If false, it neither binds a socket nor sends anything.
     pub enabled: bool,
-    /// This instance's name; where it is empty, the configuration's name.
+    /// This instance's name; if empty, the configuration's name is used.
     pub name: String,
-    /// The cluster's name: messages of other clusters are refused.
+    /// The cluster's name. Messages of other clusters are rejected.
     pub cluster: String,
     /// The UDP address that this instance listens on.
     pub listen: SocketAddrV4,
-    /// Where others reach it, if that is another address.
+    /// The address at which other instances reach this one, if it differs from `listen`.
     pub advertise: Option<SocketAddrV4>,
-    /// The key in hexadecimal, the same at all instances.
+    /// The HMAC key in hexadecimal, the same at all instances.
     pub key: String,
-    /// Addresses to join through: any instances that run.
+    /// Addresses of running instances through which this one joins; any one that answers suffices.
     pub seeds: Vec<SocketAddrV4>,
     /// [`Settings::probe_interval`].
     pub probe_every_s: f64,
@@ -52,30 +52,30 @@
     pub sync_every_s: f64,
     /// [`Settings::dead_retention`].
     pub forget_after_s: f64,
-    /// Replicated records of requests that must not run twice.
+    /// The table `[cluster.replica]`: replicated records of requests that must not run twice.
     pub replica: ReplicaTable,
 }
 
-/// See `deploy/fronts.toml` for each field. Times are in seconds.
+/// The table `[cluster.replica]`; `deploy/fronts.toml` documents each key. Times are in seconds.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ReplicaTable {
-    /// Where it is off, each instance knows its own requests only.
+    /// Whether records are replicated. If false, each instance knows its own requests only.
     pub enabled: bool,
-    /// Names of all instances that hold records, whether they run or not; the same at all.
+    /// The names of all instances that hold records, whether they run or not. The list is the same at all of them.
     pub members: Vec<String>,
-    /// Copies of each record.
+    /// The number of copies of each record.
     pub copies: usize,
-    /// Copies that must exist before a request is sent on.
+    /// How many copies must exist before a request is sent on.
     pub quorum: usize,
-    /// How long a record is kept after its last change.
+    /// How long a record is kept after its last change ([`replica::Settings::retention`]).
     pub window_s: f64,
     /// [`replica::Settings::settle_time`].
     pub settle_s: f64,
-    /// Records held at most.
+    /// The maximum number of records that this instance holds.
     #[serde(rename = "most_records")]
     pub max_records: usize,
-    /// Records kept at most for holders that are away.
+    /// The maximum number of records that this instance keeps for holders that are down (hinted handoff).
     #[serde(rename = "most_hints")]
     pub max_hints: usize,
 }
@@ -96,7 +96,7 @@
 }
 
 impl ReplicaTable {
-    /// Checks all of it, as an instance of that name would run with it.
+    /// Validates the table, and converts it into the settings of the instance with this name.
     fn check(&self, name: &str) -> Result<replica::Settings, TableError> {
         let settings = replica::Settings {
             own_id: MemberId::of(name),
@@ -116,14 +116,15 @@
     }
 }
 
-/// What another instance has not answered is sent again after this.
+/// [`replica::Settings::retry_after`]: how long to wait for another instance's answer before sending again.
 const RETRY_AFTER: Micros = 100_000;
-/// How often copies are compared with another holder.
+/// [`replica::Settings::compare_interval`]: how often copies are compared with another holder.
 const COMPARE_INTERVAL: Micros = 500_000;
-/// Stands for the port that the system will pick, which is not known before the socket is there.
-const UNKNOWN_PORT: u16 = u16::MAX;
+/// Replaces port 0 in the check of the settings: the system picks the actual port when the socket is bound.
+const PLACEHOLDER_PORT: u16 = u16::MAX;
 
-/// What is not a time becomes 0, which is refused with the field's name.
+/// Converts seconds to microseconds. A number that is no valid duration becomes 0, which the settings' check rejects
+/// with the key's name.
 fn micros(seconds: f64) -> Micros {
     Duration::try_from_secs_f64(seconds).map_or(0, crate::edge::clock::micros)
 }
@@ -132,7 +133,7 @@
     time as f64 / 1e6
 }
 
-/// Why a table can't be used: one plain line that names the field.
+/// Why a table is invalid, as one line that names the key.
 #[derive(Debug, Error)]
 pub enum TableError {
     /// The key is not hexadecimal.
@@ -141,34 +142,34 @@
     /// The key is too short.
     #[error("cluster.key: {0}")]
     ShortKey(#[from] ShortKey),
-    /// The cluster has no name.
-    #[error("cluster.cluster: a cluster has a name")]
+    /// The cluster's name is empty.
+    #[error("cluster.cluster: the name is empty")]
     NoClusterName,
-    /// Other instances can't reach this one.
+    /// The advertised address is the unspecified one, at which other instances can't reach this one.
     #[error("cluster.advertise: others can't reach {0}")]
     Unreachable(Ipv4Addr),
-    /// A setting of membership is invalid.
+    /// A membership setting is invalid.
     #[error("cluster.{0}")]
     Membership(#[from] dewladder_membership::InvalidSettings),
-    /// A setting of the replicas is invalid.
+    /// A replication setting is invalid.
     #[error("cluster.replica.{0}")]
     Replica(#[from] replica::InvalidSettings),
 }
 
-/// The checked settings of an instance.
+/// The validated settings of an instance.
 #[derive(Debug)]
 pub struct CheckedSettings {
-    /// Seals and opens messages.
+    /// The codec of membership's datagrams, with the cluster's name and key.
     pub codec: Codec,
-    /// The settings of membership.
+    /// The membership settings.
     pub membership: Settings,
-    /// The settings of the replica, where it is on.
+    /// The replica's settings; `None` if replication is disabled.
     pub replica: Option<replica::Settings>,
 }
 
 impl std::fmt::Debug for Table {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        // Without the key.
+        // Omits the key, so that it doesn't get into logs.
         formatter
             .debug_struct("Table")
             .field("enabled", &self.enabled)
@@ -203,10 +204,11 @@
 }
 
 impl Table {
-    /// Checks all of it, as an instance of that name would run with it.
+    /// Validates the table, and converts it into the settings of an instance. `name` is the configuration's name,
+    /// which is used if the table's own is empty.
     ///
     /// # Errors
-    /// The first field that is invalid.
+    /// The first key that is invalid.
     pub fn check(&self, name: &str) -> Result<CheckedSettings, TableError> {
         let key = hex::decode(&self.key)?;
         if self.cluster.is_empty() {
@@ -226,11 +228,11 @@
         Ok(CheckedSettings { codec, membership, replica })
     }
 
-    /// Where others reach this instance, as far as it is known before the socket is there.
+    /// The address at which other instances reach this one, with a placeholder for a port that the system will pick.
     fn advertised(&self) -> SocketAddrV4 {
         let mut address = self.advertise.unwrap_or(self.listen);
         if self.advertise.is_none() && address.port() == 0 {
-            address.set_port(UNKNOWN_PORT);
+            address.set_port(PLACEHOLDER_PORT);
         }
         address
     }
@@ -255,7 +257,7 @@
     }
 }
 
-/// A socket's address as messages carry it.
+/// Converts a socket address to the form that messages carry.
 #[must_use]
 pub fn member_address(address: SocketAddrV4) -> Address {
     Address { ip: address.ip().octets(), port: address.port() }
