--- a/crates/router/tests/classes.rs
+++ b/crates/router/tests/classes.rs
@@ -72,20 +72,23 @@
 #[test]
 fn what_is_known_of_a_class_stays_with_its_name_and_attempts_with_the_request() {
     let mut world = World::new(settings(), fleet(false));
-    let id = world.simple(1);
+    let id = world.send_default_request(1);
     let mut settings = world.settings.clone();
     let mut changed = settings.classes[&0].clone();
     settings.classes.get_mut(&0).unwrap().retired = true;
     changed.max_attempts = 1;
     settings.classes.insert(4, changed);
     world.settings = settings.clone();
-    world.tell(Event::SettingsReloaded { settings: Box::new(settings), class_renumbering: [(4, 0)].into() });
+    world.handle_event(Event::SettingsReloaded {
+        settings: Box::new(settings),
+        class_renumbering: [(4, 0)].into(),
+    });
     world.end(id, Outcome::ConnectFailed);
-    assert_eq!(world.known[&id].attempts, 2, "the old number may be sent five times");
+    assert_eq!(world.requests[&id].attempts, 2, "the old number may be sent five times");
     let mut new = request_info(2, world.now);
     new.class = 4;
-    world.ask(new);
+    world.send_request(new);
     world.end(RequestId(2), Outcome::ConnectFailed);
-    assert_eq!(world.known[&RequestId(2)].attempts, 1, "the new one once");
-    assert!(world.known[&RequestId(2)].ended);
+    assert_eq!(world.requests[&RequestId(2)].attempts, 1, "the new one once");
+    assert!(world.requests[&RequestId(2)].ended);
 }
--- a/crates/router/tests/common/decision_hash.rs
+++ b/crates/router/tests/common/decision_hash.rs
@@ -40,7 +40,13 @@
     }
 
     /// Adds the actions and end reasons that follow from one event at one dispatcher.
-    pub fn decided(&mut self, dispatcher: usize, now: Micros, actions: &[Action], reasons: &EndReasons) {
+    pub fn record_decisions(
+        &mut self,
+        dispatcher: usize,
+        now: Micros,
+        actions: &[Action],
+        reasons: &EndReasons,
+    ) {
         self.record(0, &[dispatcher as u64, now]);
         actions.iter().for_each(|action| self.action(action));
         for &(id, reason) in reasons {
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -118,7 +118,7 @@
     /// When it times out, unless it streams by then.
     pub until: Micros,
     /// The first token has come.
-    pub begun: bool,
+    pub is_streaming: bool,
     /// The server is a reader.
     pub reads: bool,
 }
@@ -130,7 +130,7 @@
     /// Number of attempts sent.
     pub attempts: u32,
     /// The attempt in flight.
-    pub out: Option<SentAttempt>,
+    pub in_flight: Option<SentAttempt>,
     /// The final answer has been given, or the client has disconnected.
     pub ended: bool,
     /// The server and the send time of the first attempt that may have run.
@@ -146,7 +146,7 @@
     pub now: Micros,
     pub list: BTreeMap<ServerId, ServerEntry>,
     /// All requests since the dispatcher's last restart.
-    pub known: BTreeMap<RequestId, RequestRecord>,
+    pub requests: BTreeMap<RequestId, RequestRecord>,
     /// Expiry time and token of each timer.
     pub timers: BTreeSet<(Micros, u64)>,
     /// All actions so far.
@@ -170,18 +170,18 @@
             router,
             now: 1_000 * SECOND,
             list: BTreeMap::new(),
-            known: BTreeMap::new(),
+            requests: BTreeMap::new(),
             timers: BTreeSet::new(),
             log: Vec::new(),
             sends: Vec::new(),
             subscribes: Vec::new(),
         };
-        world.roster(ListUpdateKind::StaleCopy, list);
+        world.update_list(ListUpdateKind::StaleCopy, list);
         world
     }
 
     /// Updates the list of servers, or reports that a call for it failed.
-    pub fn roster(&mut self, how: ListUpdateKind, entries: Vec<ServerEntry>) {
+    pub fn update_list(&mut self, how: ListUpdateKind, entries: Vec<ServerEntry>) {
         if how != ListUpdateKind::Failed {
             if how != ListUpdateKind::Patch {
                 self.list.clear();
@@ -190,50 +190,50 @@
                 self.list.insert(entry.server, entry.clone());
             }
         }
-        self.tell(Event::EndpointsUpdated { how, entries });
+        self.handle_event(Event::EndpointsUpdated { how, entries });
     }
 
     /// Changes one entry of the list and reports the change to the router.
     pub fn change(&mut self, server: u32, change: impl FnOnce(&mut ServerEntry)) {
         let mut entry = self.list[&ServerId(server)].clone();
         change(&mut entry);
-        self.roster(ListUpdateKind::Patch, vec![entry]);
+        self.update_list(ListUpdateKind::Patch, vec![entry]);
     }
 
     /// The dispatcher is killed and restarts with its last list. Its open requests are lost.
     pub fn restart(&mut self, seed: u64) {
         self.router = Router::new(self.settings.clone(), seed, self.now);
-        self.known.clear();
+        self.requests.clear();
         self.timers.clear();
         let list = self.list.values().cloned().collect();
-        self.roster(ListUpdateKind::StaleCopy, list);
+        self.update_list(ListUpdateKind::StaleCopy, list);
     }
 
     /// A request arrives.
-    pub fn ask(&mut self, info: RequestInfo) {
+    pub fn send_request(&mut self, info: RequestInfo) {
         let id = info.id;
-        let known = RequestRecord {
+        let requests = RequestRecord {
             info: info.clone(),
             attempts: 0,
-            out: None,
+            in_flight: None,
             ended: false,
             may_have_run: None,
             held_by: None,
         };
-        self.known.insert(id, known);
-        self.tell(Event::RequestArrived(info));
+        self.requests.insert(id, requests);
+        self.handle_event(Event::RequestArrived(info));
     }
 
     /// A request with the properties of [`request_info`] arrives.
-    pub fn simple(&mut self, id: u64) -> RequestId {
+    pub fn send_default_request(&mut self, id: u64) -> RequestId {
         let info = request_info(id, self.now);
-        self.ask(info);
+        self.send_request(info);
         RequestId(id)
     }
 
     /// The request's attempt in flight.
-    pub fn out(&self, id: RequestId) -> Option<SentAttempt> {
-        self.known.get(&id).and_then(|known| known.out.clone())
+    pub fn in_flight(&self, id: RequestId) -> Option<SentAttempt> {
+        self.requests.get(&id).and_then(|requests| requests.in_flight.clone())
     }
 
     pub fn is_reader(&self, server: ServerId) -> bool {
@@ -243,13 +243,13 @@
     }
 
     /// The request's attempt in flight streams its first token.
-    pub fn begin(&mut self, id: RequestId) {
-        let Some(known) = self.known.get_mut(&id) else { return };
-        let Some(out) = known.out.as_mut() else { return };
-        out.begun = true;
-        known.held_by = None;
-        let event = Event::FirstToken { id, attempt: out.number, taken: self.now - out.at };
-        self.tell(event);
+    pub fn stream_first_token(&mut self, id: RequestId) {
+        let Some(requests) = self.requests.get_mut(&id) else { return };
+        let Some(in_flight) = requests.in_flight.as_mut() else { return };
+        in_flight.is_streaming = true;
+        requests.held_by = None;
+        let event = Event::FirstToken { id, attempt: in_flight.number, taken: self.now - in_flight.at };
+        self.handle_event(event);
     }
 
     /// Ends the request's attempt in flight.
@@ -270,43 +270,43 @@
         held_state: HeldStateAfter,
         cached_tokens: u64,
     ) {
-        let Some(known) = self.known.get_mut(&id) else { return };
-        let Some(out) = known.out.take() else { return };
-        let last = known.ended || outcome == Outcome::Served || out.begun;
+        let Some(requests) = self.requests.get_mut(&id) else { return };
+        let Some(in_flight) = requests.in_flight.take() else { return };
+        let last = requests.ended || outcome == Outcome::Served || in_flight.is_streaming;
         match outcome {
-            Outcome::Read => known.held_by = Some((out.server, self.now)),
+            Outcome::Read => requests.held_by = Some((in_flight.server, self.now)),
             // A reader that the writer cannot reach still holds the state.
-            _ if held_state == HeldStateAfter::Released => known.held_by = None,
-            _ => known.held_by = known.held_by.map(|(server, _)| (server, self.now)),
+            _ if held_state == HeldStateAfter::Released => requests.held_by = None,
+            _ => requests.held_by = requests.held_by.map(|(server, _)| (server, self.now)),
         }
         let never_ran = matches!(
             outcome,
             Outcome::Full | Outcome::NoState | Outcome::ConnectFailed | Outcome::NotSent | Outcome::Read
         );
-        if !never_ran && !out.reads && known.may_have_run.is_none() {
-            known.may_have_run = Some((out.server, out.at));
+        if !never_ran && !in_flight.reads && requests.may_have_run.is_none() {
+            requests.may_have_run = Some((in_flight.server, in_flight.at));
         }
-        known.ended = last;
+        requests.ended = last;
         let event = Event::AttemptFinished(AttemptFinished {
             id,
-            attempt: out.number,
-            server: out.server,
-            taken: self.now - out.at,
+            attempt: in_flight.number,
+            server: in_flight.server,
+            taken: self.now - in_flight.at,
             outcome,
             held_state,
             cached_tokens,
             last,
             report: None,
         });
-        self.tell(event);
+        self.handle_event(event);
     }
 
     /// The client of a request disconnects.
-    pub fn hangup(&mut self, id: RequestId) {
-        if let Some(known) = self.known.get_mut(&id) {
-            known.ended = true;
+    pub fn disconnect(&mut self, id: RequestId) {
+        if let Some(requests) = self.requests.get_mut(&id) {
+            requests.ended = true;
         }
-        self.tell(Event::ClientDisconnected(id));
+        self.handle_event(Event::ClientDisconnected(id));
     }
 
     /// Lets time pass in small steps. Timers expire, attempts time out, and the rules on time are checked.
@@ -319,13 +319,16 @@
                     break;
                 }
                 self.timers.pop_first();
-                self.tell(Event::TimerFired(TimerToken(token)));
+                self.handle_event(Event::TimerFired(TimerToken(token)));
             }
             let timed_out: Vec<RequestId> = self
-                .known
+                .requests
                 .iter()
-                .filter(|(_, known)| {
-                    known.out.as_ref().is_some_and(|out| !out.begun && out.until <= self.now)
+                .filter(|(_, requests)| {
+                    requests
+                        .in_flight
+                        .as_ref()
+                        .is_some_and(|in_flight| !in_flight.is_streaming && in_flight.until <= self.now)
                 })
                 .map(|(&id, _)| id)
                 .collect();
@@ -339,14 +342,14 @@
     /// Rules 1 and 5: no request is open past its deadline, with a tolerance of four times the resolution, and no
     /// state is held for too long without an attempt in flight.
     fn check_deadlines(&self) {
-        for (id, known) in &self.known {
-            let begun = known.out.as_ref().is_some_and(|out| out.begun);
+        for (id, requests) in &self.requests {
+            let is_streaming = requests.in_flight.as_ref().is_some_and(|in_flight| in_flight.is_streaming);
             let slack = 4 * self.settings.resolution;
             assert!(
-                known.ended || begun || self.now <= known.info.not_after + slack,
+                requests.ended || is_streaming || self.now <= requests.info.not_after + slack,
                 "rule 1: {id:?} was not answered by its deadline"
             );
-            if let (None, Some((_, since))) = (&known.out, known.held_by) {
+            if let (None, Some((_, since))) = (&requests.in_flight, requests.held_by) {
                 assert!(
                     self.now <= since + self.settings.max_hold_time,
                     "rule 5: the state of {id:?} was held for too long"
@@ -356,7 +359,7 @@
     }
 
     /// Passes an event to the router, checks its actions and carries them out.
-    pub fn tell(&mut self, event: Event) {
+    pub fn handle_event(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.router.handle(self.now, event, &mut actions);
         for action in actions {
@@ -368,29 +371,29 @@
         match &action {
             Action::Assign { id, server, attempt_timeout } => self.add_send(*id, *server, *attempt_timeout),
             Action::Reject { id, .. } => {
-                let known = self.known.get_mut(id).expect("a known request");
-                assert!(!known.ended, "rule 1: {id:?} answered twice");
-                assert!(known.out.is_none(), "rejected while an attempt is in flight");
-                let class = &self.settings.classes[&known.info.class];
-                let is_retry_safe = known.may_have_run.is_none()
+                let requests = self.requests.get_mut(id).expect("a known request");
+                assert!(!requests.ended, "rule 1: {id:?} answered twice");
+                assert!(requests.in_flight.is_none(), "rejected while an attempt is in flight");
+                let class = &self.settings.classes[&requests.info.class];
+                let is_retry_safe = requests.may_have_run.is_none()
                     || class.effect == Effect::Idempotent
                     || (class.effect == Effect::Deduplicated && class.dedup_group == DedupGroup::All);
                 assert!(is_retry_safe, "rule 2: {id:?} was rejected although it may have run");
-                known.ended = true;
+                requests.ended = true;
             }
             Action::Fail(id) => {
-                let known = self.known.get_mut(id).expect("a known request");
-                assert!(!known.ended, "rule 1: {id:?} answered twice");
-                known.ended = true;
+                let requests = self.requests.get_mut(id).expect("a known request");
+                assert!(!requests.ended, "rule 1: {id:?} answered twice");
+                requests.ended = true;
             }
             Action::ReleaseHeldState(id) => {
-                if let Some(known) = self.known.get_mut(id) {
-                    known.held_by = None;
+                if let Some(requests) = self.requests.get_mut(id) {
+                    requests.held_by = None;
                 }
             }
             Action::CancelAttempt { id, attempt } => {
-                let known = self.known.get(id).expect("a known request");
-                assert!(*attempt < known.attempts, "a cancelled attempt must have been sent");
+                let requests = self.requests.get(id).expect("a known request");
+                assert!(*attempt < requests.attempts, "a cancelled attempt must have been sent");
             }
             Action::StartTimer { delay, token } => {
                 self.timers.insert((self.now + delay, token.0));
@@ -405,19 +408,19 @@
     fn add_send(&mut self, id: RequestId, server: ServerId, attempt_timeout: Micros) {
         let entry = self.list.get(&server).expect("a listed server").clone();
         let reads = self.is_reader(server);
-        let known = self.known.get_mut(&id).expect("a known request");
+        let requests = self.requests.get_mut(&id).expect("a known request");
         assert!(
-            !known.ended && self.now <= known.info.not_after,
+            !requests.ended && self.now <= requests.info.not_after,
             "rule 1: {id:?} was sent after its end or deadline"
         );
-        assert!(known.out.is_none(), "rule 2: {id:?} has two attempts in flight");
+        assert!(requests.in_flight.is_none(), "rule 2: {id:?} has two attempts in flight");
         assert_eq!(
             entry.health,
             Health::Ready,
             "rule 3: {id:?} was sent to a server that is draining or gone"
         );
-        if let Some((first, sent)) = known.may_have_run {
-            let class = &self.settings.classes[&known.info.class];
+        if let Some((first, sent)) = requests.may_have_run {
+            let class = &self.settings.classes[&requests.info.class];
             assert_ne!(
                 class.effect,
                 Effect::AtMostOnce,
@@ -435,12 +438,13 @@
                 );
             }
         }
-        let until = (self.now + attempt_timeout.max(1)).min(known.info.not_after);
-        let number = known.attempts;
-        known.out = Some(SentAttempt { number, server, at: self.now, until, begun: false, reads });
-        known.attempts += 1;
+        let until = (self.now + attempt_timeout.max(1)).min(requests.info.not_after);
+        let number = requests.attempts;
+        requests.in_flight =
+            Some(SentAttempt { number, server, at: self.now, until, is_streaming: false, reads });
+        requests.attempts += 1;
         assert!(
-            known.attempts <= self.settings.classes[&known.info.class].max_attempts,
+            requests.attempts <= self.settings.classes[&requests.info.class].max_attempts,
             "{id:?} was sent more often than its class allows"
         );
         let in_slow_start = entry.started.is_some_and(|at| self.now < at + self.settings.slow_start_window);
--- a/crates/router/tests/common/serving.rs
+++ b/crates/router/tests/common/serving.rs
@@ -8,12 +8,12 @@
 pub fn serve(world: &mut World, id: u64, session: u64) -> ServerId {
     let mut info = request_info(id, world.now);
     info.session = Some(Key(session));
-    world.ask(info);
-    let reader = world.out(RequestId(id)).expect("sent to a reader").server;
+    world.send_request(info);
+    let reader = world.in_flight(RequestId(id)).expect("sent to a reader").server;
     world.pass(40_000);
     world.end_with(RequestId(id), Outcome::Read, 1_000);
     world.pass(12_000);
-    world.begin(RequestId(id));
+    world.stream_first_token(RequestId(id));
     world.end(RequestId(id), Outcome::Served);
     reader
 }
--- a/crates/router/tests/decisions.rs
+++ b/crates/router/tests/decisions.rs
@@ -26,7 +26,7 @@
     rate: f64,
     peers: bool,
     memory_tokens: u64,
-    first_ones: Option<Behavior>,
+    first_attempt_behavior: Option<Behavior>,
 }
 
 const QUIET: Scenario = Scenario {
@@ -38,7 +38,7 @@
     rate: 12.0,
     peers: false,
     memory_tokens: 2_000_000,
-    first_ones: None,
+    first_attempt_behavior: None,
 };
 
 fn settings(of: Scenario) -> Settings {
@@ -57,7 +57,7 @@
 fn fleet(of: Scenario) -> Model {
     let zones = (0..of.dispatchers).map(|at| ZoneId(at % 2)).collect();
     let mut model = Model::new(settings(of), zones, of.seed);
-    model.first_ones = of.first_ones;
+    model.first_attempt_behavior = of.first_attempt_behavior;
     let servers = [(0, of.readers, 0), (100, of.writers, 1), (200, of.mixed, 2)];
     for (first, count, kind) in servers {
         for id in first..first + count {
@@ -69,7 +69,7 @@
             model.add_server(entry, tokens * slower, attempt, 800_000);
         }
     }
-    model.list();
+    model.send_list();
     model
 }
 
@@ -106,7 +106,7 @@
     model.run_until(end + 8 * S);
     let mut decisions: DecisionHash = model.decisions.clone();
     for dispatcher in 0..model.dispatchers() {
-        decisions.bytes(model.learnt(dispatcher).as_bytes());
+        decisions.bytes(model.exported_state_json(dispatcher).as_bytes());
     }
     decisions.value()
 }
@@ -133,8 +133,14 @@
 
 #[test]
 fn a_fleet_where_servers_hang_or_refuse_is_decided_as_recorded() {
-    let hang =
-        Scenario { seed: 10, readers: 9, writers: 9, rate: 25.0, first_ones: Some(Behavior::Hang), ..QUIET };
-    let refuse = Scenario { seed: 11, first_ones: Some(Behavior::Refuse), ..hang };
+    let hang = Scenario {
+        seed: 10,
+        readers: 9,
+        writers: 9,
+        rate: 25.0,
+        first_attempt_behavior: Some(Behavior::Hang),
+        ..QUIET
+    };
+    let refuse = Scenario { seed: 11, first_attempt_behavior: Some(Behavior::Refuse), ..hang };
     assert_eq!([hang, refuse].map(decided), [12542187064425795264, 921226354763836565]);
 }
--- a/crates/router/tests/failures.rs
+++ b/crates/router/tests/failures.rs
@@ -12,8 +12,8 @@
     let silent = serve(&mut world, 1, 5);
     let mut info = request_info(2, world.now);
     info.session = Some(Key(5));
-    world.ask(info);
-    assert_eq!(world.out(RequestId(2)).unwrap().server, silent);
+    world.send_request(info);
+    assert_eq!(world.in_flight(RequestId(2)).unwrap().server, silent);
     world.pass(600_000);
     assert_ne!(serve(&mut world, 3, 5), silent, "the oldest attempt there has been silent for too long");
 }
@@ -21,24 +21,24 @@
 #[test]
 fn failed_connections_eject_a_server_and_one_request_at_a_time_tries_it() {
     let mut world = World::new(settings(), fleet(false));
-    let id = world.simple(1);
-    let dead = world.out(id).unwrap().server;
+    let id = world.send_default_request(1);
+    let dead = world.in_flight(id).unwrap().server;
     world.end(id, Outcome::ConnectFailed);
-    assert_ne!(world.out(id).unwrap().server, dead);
-    let mut again = (2..10).map(|other| world.simple(other)).collect::<Vec<_>>();
-    again.retain(|&id| world.out(id).unwrap().server == dead);
+    assert_ne!(world.in_flight(id).unwrap().server, dead);
+    let mut again = (2..10).map(|other| world.send_default_request(other)).collect::<Vec<_>>();
+    again.retain(|&id| world.in_flight(id).unwrap().server == dead);
     world.end(again[0], Outcome::ConnectFailed);
     // Those that had gone there before the second failure are all that it gets.
     let before = 1 + again.len();
     let sent_to_dead = |world: &World| world.sends.iter().filter(|&&(_, to, _)| to == dead).count();
     for other in 10..30 {
-        world.simple(other);
+        world.send_default_request(other);
         world.pass(5_000);
     }
     assert_eq!(sent_to_dead(&world), before);
     world.pass(SECOND);
     for other in 40..60 {
-        world.simple(other);
+        world.send_default_request(other);
     }
     assert!(sent_to_dead(&world) <= before + 1, "one trial at a time");
 }
@@ -58,8 +58,8 @@
     let shared = (500..599)
         .find(|&shared| {
             let id = RequestId(shared);
-            world.ask(with_shared(shared, 1_000 + shared, shared, world.now));
-            let elsewhere = world.out(id).unwrap().server != reader;
+            world.send_request(with_shared(shared, 1_000 + shared, shared, world.now));
+            let elsewhere = world.in_flight(id).unwrap().server != reader;
             world.pass(40_000);
             world.end_with(id, Outcome::Read, 0);
             world.end(id, Outcome::Served);
@@ -70,24 +70,24 @@
         world.pass(SECOND);
         let mut info = request_info(id, world.now);
         info.session = Some(Key(0));
-        world.ask(info);
-        assert_eq!(world.out(RequestId(id)).unwrap().server, reader);
+        world.send_request(info);
+        assert_eq!(world.in_flight(RequestId(id)).unwrap().server, reader);
         world.pass(40_000);
         world.end_with(RequestId(id), Outcome::Read, 0);
         world.end(RequestId(id), Outcome::Served);
     }
-    world.ask(with_shared(9, other, shared, world.now));
-    assert_ne!(world.out(RequestId(9)).unwrap().server, reader, "its longer match is not believed");
+    world.send_request(with_shared(9, other, shared, world.now));
+    assert_ne!(world.in_flight(RequestId(9)).unwrap().server, reader, "its longer match is not believed");
 }
 
 #[test]
 fn a_state_reported_missing_is_released_and_the_prompt_read_again() {
     let mut world = World::new(settings(), fleet(false));
-    let id = world.simple(1);
+    let id = world.send_default_request(1);
     world.end(id, Outcome::Read);
     world.end(id, Outcome::NoState);
     assert_eq!(world.count(|action| *action == Action::ReleaseHeldState(id)), 1);
-    assert!(world.out(id).unwrap().reads);
+    assert!(world.in_flight(id).unwrap().reads);
 }
 
 #[test]
@@ -95,10 +95,10 @@
     let far = |cell: u32| {
         let mut world =
             World::new(settings(), vec![entry(0, 0), ServerEntry { cell: CellId(cell), ..entry(10, 1) }]);
-        let id = world.simple(1);
+        let id = world.send_default_request(1);
         world.end(id, Outcome::Read);
-        let out = world.out(id).unwrap();
-        out.until - out.at
+        let in_flight = world.in_flight(id).unwrap();
+        in_flight.until - in_flight.at
     };
     assert_eq!(far(1), 3 * far(0));
 }
@@ -108,14 +108,14 @@
     let mut world = World::new(settings(), fleet(false));
     // To the last attempt: what is still out of them would be a queue, and refused for another reason.
     for id in 1..9 {
-        world.simple(id);
-        while world.out(RequestId(id)).is_some() {
+        world.send_default_request(id);
+        while world.in_flight(RequestId(id)).is_some() {
             world.end(RequestId(id), Outcome::ConnectFailed);
         }
     }
     assert_eq!(world.router.avoided_servers(), 4, "all readers have failed often enough to rest");
-    let id = world.simple(50);
-    assert!(world.out(id).is_some(), "it is sent somewhere all the same");
+    let id = world.send_default_request(50);
+    assert!(world.in_flight(id).is_some(), "it is sent somewhere all the same");
 }
 
 #[test]
@@ -127,16 +127,16 @@
     let far = (0..99).find(|&session| serve(&mut world, session, session) == ServerId(0)).unwrap();
     let mut again = request_info(500, world.now);
     again.session = Some(Key(far));
-    world.ask(again.clone());
-    assert_eq!(world.out(RequestId(500)).unwrap().server, ServerId(0), "its match is there");
+    world.send_request(again.clone());
+    assert_eq!(world.in_flight(RequestId(500)).unwrap().server, ServerId(0), "its match is there");
     world.end(RequestId(500), Outcome::Read);
     world.pass(900_000);
-    world.begin(RequestId(500));
+    world.stream_first_token(RequestId(500));
     world.end(RequestId(500), Outcome::Served);
     again.id = RequestId(501);
     again.not_after = world.now + 5 * SECOND;
-    world.ask(again);
-    assert_eq!(world.out(RequestId(501)).unwrap().server, ServerId(2), "the move from there took long");
+    world.send_request(again);
+    assert_eq!(world.in_flight(RequestId(501)).unwrap().server, ServerId(2), "the move from there took long");
 }
 
 #[test]
@@ -147,12 +147,16 @@
     let reader = serve(&mut world, 1, 5);
     let mut first = request_info(2, world.now);
     first.session = Some(Key(5));
-    world.ask(first);
+    world.send_request(first);
     let mut second = request_info(3, world.now);
     second.session = Some(Key(5));
-    world.ask(second);
-    assert_eq!(world.out(RequestId(2)).unwrap().server, reader);
-    assert_eq!(world.out(RequestId(3)).unwrap().server, reader, "the match is kept beside one own read");
+    world.send_request(second);
+    assert_eq!(world.in_flight(RequestId(2)).unwrap().server, reader);
+    assert_eq!(
+        world.in_flight(RequestId(3)).unwrap().server,
+        reader,
+        "the match is kept beside one own read"
+    );
 }
 
 #[test]
@@ -164,13 +168,13 @@
     let write = |world: &mut World, id: u64, class: u32| {
         let mut asked = request_info(id, world.now);
         asked.class = class;
-        world.ask(asked);
+        world.send_request(asked);
         world.end(RequestId(id), Outcome::Read);
-        let writer = world.out(RequestId(id)).unwrap().server;
+        let writer = world.in_flight(RequestId(id)).unwrap().server;
         if writer == sick && class == 0 {
             world.end(RequestId(id), Outcome::Error);
         }
-        world.begin(RequestId(id));
+        world.stream_first_token(RequestId(id));
         world.end(RequestId(id), Outcome::Served);
         writer == sick
     };
--- a/crates/router/tests/fairness.rs
+++ b/crates/router/tests/fairness.rs
@@ -40,7 +40,7 @@
         let (tokens, attempt) = if kind == 1 { (FETCH, 15_000.0) } else { (READ, 10_000.0) };
         model.add_server(common::entry(id, kind), tokens, attempt, 800_000);
     }
-    model.list();
+    model.send_list();
     model
 }
 
@@ -112,8 +112,8 @@
     let mut model = fleet(classes, mixed, seed);
     for &(id, slower, behavior) in trouble {
         let server = model.servers.get_mut(&ServerId(id)).expect("a server");
-        (server.token_takes, server.attempt_takes, server.behavior) =
-            (server.token_takes * slower, server.attempt_takes * slower, behavior);
+        (server.us_per_token, server.us_per_attempt, server.behavior) =
+            (server.us_per_token * slower, server.us_per_attempt * slower, behavior);
     }
     let rate = load * 6.0 / MEAN_READ;
     let (count, start) = (200u64, model.now);
@@ -156,17 +156,17 @@
     model.run_until(model.now + 10 * S);
     (0..classes)
         .map(|class| {
-            let mut refused: BTreeMap<Key, (usize, usize)> = BTreeMap::new();
+            let mut rejected: BTreeMap<Key, (usize, usize)> = BTreeMap::new();
             for record in model.records.values().filter(|record| record.info.class == class) {
-                let of_session = refused.entry(record.info.session.expect("one")).or_default();
-                of_session.0 += usize::from(record.refused);
+                let of_session = rejected.entry(record.info.session.expect("one")).or_default();
+                of_session.0 += usize::from(record.rejected);
                 of_session.1 += 1;
             }
-            let (all, turned) = refused.values().fold((0, 0), |sum, one| (sum.0 + one.1, sum.1 + one.0));
+            let (all, turned) = rejected.values().fold((0, 0), |sum, one| (sum.0 + one.1, sum.1 + one.0));
             let share = turned as f64 / all as f64;
-            let chance: f64 = refused.values().map(|&(_, turns)| share.powi(turns as i32)).sum();
-            let shut_out = refused.values().filter(|(refused, turns)| refused == turns).count() as f64;
-            ((shut_out - chance) / refused.len() as f64, share, refused.len())
+            let chance: f64 = rejected.values().map(|&(_, turns)| share.powi(turns as i32)).sum();
+            let shut_out = rejected.values().filter(|(rejected, turns)| rejected == turns).count() as f64;
+            ((shut_out - chance) / rejected.len() as f64, share, rejected.len())
         })
         .collect()
 }
@@ -194,13 +194,13 @@
                 trouble.first().filter(|_| mixed).map(|&(_, slower, behavior)| (200, slower, behavior)),
             );
             let all = sessions(classes, mixed, load, &trouble, 21);
-            for (class, (over, refused, count)) in all.into_iter().enumerate() {
+            for (class, (over, rejected, count)) in all.into_iter().enumerate() {
                 let case =
                     format!("{classes} classes, mixed {mixed}, load {load}, {trouble:?}, class {class}");
                 assert!(count > 60 && over <= 0.12, "{case}: {over} of {count}");
                 assert!(
-                    !trouble.is_empty() || load > 1.0 || refused < 0.02,
-                    "{case}: {refused} refused, and there is room"
+                    !trouble.is_empty() || load > 1.0 || rejected < 0.02,
+                    "{case}: {rejected} refused, and there is room"
                 );
             }
         }
@@ -228,13 +228,13 @@
             if mixed {
                 ids.extend((200..203).map(|id| (id, 2)));
             }
-            model.first_ones = Some(behavior);
+            model.first_attempt_behavior = Some(behavior);
             let (readers, bad) = (9, 3);
             for (id, kind) in ids {
                 let (tokens, attempt) = if kind == 1 { (FETCH, 15_000.0) } else { (READ, 10_000.0) };
                 model.add_server(common::entry(id, kind), tokens, attempt, 800_000);
             }
-            model.list();
+            model.send_list();
             let start = model.now;
             for id in 0..(30.0 * rate) as u64 {
                 let at = start + (id as f64 / rate * 1e6) as Micros;
--- a/crates/router/tests/fleet_model/mod.rs
+++ b/crates/router/tests/fleet_model/mod.rs
@@ -20,9 +20,9 @@
     pub entry: ServerEntry,
     pub role: Role,
     /// Time per prompt token (us), for a warm server without queue.
-    pub token_takes: f64,
+    pub us_per_token: f64,
     /// Additional time for each attempt (us).
-    pub attempt_takes: f64,
+    pub us_per_attempt: f64,
     /// How long an answer streams after its first token (us).
     pub streaming_time: Micros,
     pub behavior: Behavior,
@@ -61,7 +61,7 @@
     /// When its first token came.
     pub answered: Option<Micros>,
     /// The dispatcher rejected it.
-    pub refused: bool,
+    pub rejected: bool,
     pub failed: bool,
 }
 
@@ -96,9 +96,9 @@
     /// Timers expire at the next multiple of this (us). A larger value saves time with many dispatchers, which
     /// need not be swept as often as few.
     pub sweep: Micros,
-    pub lots: Pcg64Mcg,
+    pub rng: Pcg64Mcg,
     /// The behavior that servers take on with their first attempt, for up to a third of the servers of each role.
-    pub first_ones: Option<Behavior>,
+    pub first_attempt_behavior: Option<Behavior>,
     /// Hash of all decisions of the dispatchers.
     pub decisions: DecisionHash,
     dispatchers: Vec<Dispatcher>,
@@ -121,8 +121,8 @@
             sends: Vec::new(),
             records: BTreeMap::new(),
             sweep: 40_000,
-            lots: Pcg64Mcg::seed_from_u64(seed),
-            first_ones: None,
+            rng: Pcg64Mcg::seed_from_u64(seed),
+            first_attempt_behavior: None,
             decisions: DecisionHash::default(),
             dispatchers: Vec::new(),
             schedule: BTreeMap::new(),
@@ -138,7 +138,7 @@
 
     fn router(&mut self, dispatcher: usize) -> Router {
         let settings = Settings { zone: self.zones[dispatcher], ..self.settings.clone() };
-        Router::new(settings, self.lots.next_u64(), self.now)
+        Router::new(settings, self.rng.next_u64(), self.now)
     }
 
     /// Number of dispatchers.
@@ -147,14 +147,14 @@
     }
 
     /// The state that a dispatcher exports in a hot restart, as JSON.
-    pub fn learnt(&self, dispatcher: usize) -> String {
+    pub fn exported_state_json(&self, dispatcher: usize) -> String {
         serde_json::to_string(&self.dispatchers[dispatcher].router.export_state())
             .expect("the exported state can be serialized")
     }
 
     /// A random number in [0, 1).
     pub fn unit_draw(&mut self) -> f64 {
-        self.lots.next_u32() as f64 / (f64::from(u32::MAX) + 1.0)
+        self.rng.next_u32() as f64 / (f64::from(u32::MAX) + 1.0)
     }
 
     /// A random number from `from` to `to`, without `to` itself.
@@ -166,8 +166,8 @@
     pub fn add_server(
         &mut self,
         entry: ServerEntry,
-        token_takes: f64,
-        attempt_takes: f64,
+        us_per_token: f64,
+        us_per_attempt: f64,
         streaming_time: Micros,
     ) {
         let role = self.settings.kinds[entry.kind as usize].role;
@@ -175,12 +175,12 @@
         let id = entry.server;
         self.servers.insert(
             id,
-            Server { entry, role, token_takes, attempt_takes, streaming_time, behavior, free_at },
+            Server { entry, role, us_per_token, us_per_attempt, streaming_time, behavior, free_at },
         );
     }
 
     /// Sends the whole list of servers to all dispatchers.
-    pub fn list(&mut self) {
+    pub fn send_list(&mut self) {
         for dispatcher in 0..self.dispatchers.len() {
             self.send_list_to(dispatcher);
         }
@@ -188,7 +188,7 @@
 
     fn send_list_to(&mut self, dispatcher: usize) {
         let entries = self.servers.values().map(|server| server.entry.clone()).collect();
-        self.tell(dispatcher, Event::EndpointsUpdated { how: ListUpdateKind::Full, entries });
+        self.handle_event(dispatcher, Event::EndpointsUpdated { how: ListUpdateKind::Full, entries });
     }
 
     /// Restarts a server, which begins its slow start. All dispatchers receive the change at once.
@@ -198,7 +198,7 @@
         (server.entry.started, server.free_at) = (Some(now), now);
         let entries = vec![server.entry.clone()];
         for dispatcher in 0..self.dispatchers.len() {
-            self.tell(
+            self.handle_event(
                 dispatcher,
                 Event::EndpointsUpdated { how: ListUpdateKind::Patch, entries: entries.clone() },
             );
@@ -229,12 +229,12 @@
             at,
             attempts: 0,
             answered: None,
-            refused: false,
+            rejected: false,
             failed: false,
         };
         self.records.insert(id, record);
         self.schedule_step(not_after, dispatcher, Step::ClientLeaves(id));
-        self.tell(dispatcher, Event::RequestArrived(info));
+        self.handle_event(dispatcher, Event::RequestArrived(info));
     }
 
     /// Schedules a step for a dispatcher.
@@ -260,11 +260,11 @@
     /// Performs a scheduled step.
     fn step(&mut self, dispatcher: usize, step: Step) {
         match step {
-            Step::TimerExpires(token) => self.tell(dispatcher, Event::TimerFired(token)),
+            Step::TimerExpires(token) => self.handle_event(dispatcher, Event::TimerFired(token)),
             Step::ClientLeaves(id) => {
                 let record = &self.records[&id];
-                if record.answered.is_none() && !record.refused && !record.failed {
-                    self.tell(dispatcher, Event::ClientDisconnected(id));
+                if record.answered.is_none() && !record.rejected && !record.failed {
+                    self.handle_event(dispatcher, Event::ClientDisconnected(id));
                 }
             }
             Step::FirstTokenComes(id, attempt) => {
@@ -277,7 +277,7 @@
                 };
                 self.records.get_mut(&id).expect("known").answered = Some(self.now);
                 let taken = self.now - sent;
-                self.tell(dispatcher, Event::FirstToken { id, attempt, taken });
+                self.handle_event(dispatcher, Event::FirstToken { id, attempt, taken });
             }
             Step::AttemptEnds(id, attempt, outcome) => {
                 let in_flight = self.dispatchers[dispatcher]
@@ -290,7 +290,7 @@
                 }
                 self.dispatchers[dispatcher].in_flight.remove(&id);
                 let record = &self.records[&id];
-                let last = outcome == Outcome::Served || record.refused || record.failed;
+                let last = outcome == Outcome::Served || record.rejected || record.failed;
                 let taken = self.now - sent;
                 let ended = AttemptFinished {
                     id,
@@ -303,23 +303,23 @@
                     last,
                     report: None,
                 };
-                self.tell(dispatcher, Event::AttemptFinished(ended));
+                self.handle_event(dispatcher, Event::AttemptFinished(ended));
             }
         }
     }
 
     /// Passes an event to a dispatcher and carries out its actions.
-    fn tell(&mut self, dispatcher: usize, event: Event) {
+    fn handle_event(&mut self, dispatcher: usize, event: Event) {
         let mut actions = Vec::new();
         let router = &mut self.dispatchers[dispatcher].router;
         router.handle(self.now, event, &mut actions);
-        self.decisions.decided(dispatcher, self.now, &actions, router.end_reasons());
+        self.decisions.record_decisions(dispatcher, self.now, &actions, router.end_reasons());
         for action in actions {
             match action {
                 Action::Assign { id, server, attempt_timeout } => {
                     self.send(dispatcher, id, server, attempt_timeout);
                 }
-                Action::Reject { id, .. } => self.records.get_mut(&id).expect("known").refused = true,
+                Action::Reject { id, .. } => self.records.get_mut(&id).expect("known").rejected = true,
                 Action::Fail(id) => self.records.get_mut(&id).expect("known").failed = true,
                 Action::CancelAttempt { id, attempt } => {
                     self.schedule_step(
@@ -357,10 +357,12 @@
         let mut model = self.servers.remove(&server).expect("a simulated server");
         let of_role = || self.servers.values().filter(|other| other.role == model.role);
         let misbehaving = of_role().filter(|other| other.behavior != Behavior::Work).count();
-        if let Some(behavior) = self.first_ones.filter(|_| 3 * (misbehaving + 1) <= of_role().count() + 1) {
+        if let Some(behavior) =
+            self.first_attempt_behavior.filter(|_| 3 * (misbehaving + 1) <= of_role().count() + 1)
+        {
             model.behavior = behavior;
         }
-        let processing_time = (tokens * model.token_takes + model.attempt_takes) / self.share(&model, now);
+        let processing_time = (tokens * model.us_per_token + model.us_per_attempt) / self.share(&model, now);
         let (role, streaming_time) = (model.role, model.streaming_time);
         let done = match model.behavior {
             Behavior::Hang => Micros::MAX,
--- a/crates/router/tests/full_scan/pair.rs
+++ b/crates/router/tests/full_scan/pair.rs
@@ -129,7 +129,7 @@
         self.oracle.handle(self.now, event.clone(), &mut oracle_actions);
         assert_eq!(actions, oracle_actions, "at {} after {event:?}", self.now);
         assert_eq!(self.router.index_disagreement(), None, "at {} after {event:?}", self.now);
-        self.decisions.decided(0, self.now, &actions, self.router.end_reasons());
+        self.decisions.record_decisions(0, self.now, &actions, self.router.end_reasons());
         for action in actions {
             match action {
                 Action::Assign { id, server, attempt_timeout } => {
--- a/crates/router/tests/handover.rs
+++ b/crates/router/tests/handover.rs
@@ -10,11 +10,11 @@
 fn learnt() -> (World, Handover) {
     let mut world = World::new(settings(), fleet(false));
     for id in 1..40 {
-        world.simple(id);
+        world.send_default_request(id);
         world.pass(30_000);
         world.end(RequestId(id), Outcome::Read);
         world.pass(40_000);
-        world.begin(RequestId(id));
+        world.stream_first_token(RequestId(id));
         world.end(RequestId(id), Outcome::Served);
     }
     let text = serde_json::to_string(&world.router.export_state()).unwrap();
@@ -25,12 +25,12 @@
 fn reader_of(world: &mut World, session: u64, id: u64) -> ServerId {
     let mut info = request_info(id, world.now);
     info.session = Some(Key(session));
-    world.ask(info);
-    let to = world.out(RequestId(id)).expect("it is sent").server;
+    world.send_request(info);
+    let to = world.in_flight(RequestId(id)).expect("it is sent").server;
     world.pass(30_000);
     world.end_with(RequestId(id), Outcome::Read, 1_000);
     world.pass(40_000);
-    world.begin(RequestId(id));
+    world.stream_first_token(RequestId(id));
     world.end(RequestId(id), Outcome::Served);
     to
 }
@@ -47,7 +47,7 @@
         world
     };
     let (mut with, mut without) = (fresh(old.now), fresh(old.now));
-    with.tell(Event::StateImported(Box::new(handover)));
+    with.handle_event(Event::StateImported(Box::new(handover)));
     let mut agrees = [0, 0];
     for session in 1..40 {
         let kept = reader_of(&mut old, session, 100 + session);
@@ -69,7 +69,7 @@
         world.now = now;
         let before = serde_json::to_value(world.router.export_state()).unwrap();
         if let Ok(handover) = serde_json::from_value(text) {
-            world.tell(Event::StateImported(Box::new(handover)));
+            world.handle_event(Event::StateImported(Box::new(handover)));
         }
         let after = serde_json::to_value(world.router.export_state()).unwrap();
         let prefixes = |of: &serde_json::Value| {
--- a/crates/router/tests/homes.rs
+++ b/crates/router/tests/homes.rs
@@ -26,9 +26,9 @@
         let mut asked = request_info(1, world.now);
         asked.shared = Some(Key(77));
         asked.shared_tokens = 800;
-        world.ask(asked);
+        world.send_request(asked);
         world.end(RequestId(1), Outcome::ConnectFailed);
-        world.out(RequestId(1)).unwrap().server
+        world.in_flight(RequestId(1)).unwrap().server
     };
     let first = second_choice(1);
     assert!((2..20).all(|seed| second_choice(seed) == first));
@@ -47,13 +47,13 @@
     let mut world = World::new(settings(), readers.chain(writers).collect());
     let (mut lone, mut all) = (0, 0);
     for id in 1..200 {
-        world.simple(id);
-        let Some(read) = world.out(RequestId(id)) else { continue };
+        world.send_default_request(id);
+        let Some(read) = world.in_flight(RequestId(id)) else { continue };
         if read.server.0 < 4 {
             world.end(RequestId(id), Outcome::Read);
             all += 1;
-            lone += u32::from(world.out(RequestId(id)).unwrap().server == ServerId(10));
-            world.begin(RequestId(id));
+            lone += u32::from(world.in_flight(RequestId(id)).unwrap().server == ServerId(10));
+            world.stream_first_token(RequestId(id));
         }
         world.end(RequestId(id), Outcome::Served);
         world.pass(300_000);
@@ -80,9 +80,9 @@
     for seed in 1..=16 {
         let mut world = World::with_seed(settings(), list.clone(), seed);
         for id in 1..=600 {
-            world.simple(id);
+            world.send_default_request(id);
             world.end(RequestId(id), Outcome::Read);
-            world.begin(RequestId(id));
+            world.stream_first_token(RequestId(id));
             world.end(RequestId(id), Outcome::Served);
             world.pass(50_000);
         }
@@ -102,15 +102,15 @@
     let mut world = World::with_seed(settings(), list, seed);
     let mut to = Vec::new();
     for id in 1..400 {
-        world.simple(id);
-        let Some(read) = world.out(RequestId(id)) else { continue };
+        world.send_default_request(id);
+        let Some(read) = world.in_flight(RequestId(id)) else { continue };
         world.end(RequestId(id), Outcome::Read);
-        let writer = world.out(RequestId(id)).unwrap().server.0;
+        let writer = world.in_flight(RequestId(id)).unwrap().server.0;
         if read.server.0 % 3 == 0 {
             to.push(writer % 3);
         }
         world.pass(if crowded(writer % 3) { 600_000 } else { 20_000 });
-        world.begin(RequestId(id));
+        world.stream_first_token(RequestId(id));
         world.end(RequestId(id), Outcome::Served);
         world.pass(20_000);
     }
@@ -140,11 +140,11 @@
         let mut asked = request_info(id, world.now);
         asked.shared = Some(Key(77));
         asked.shared_tokens = 900;
-        world.ask(asked);
-        used.insert(world.out(RequestId(id)).unwrap().server);
+        world.send_request(asked);
+        used.insert(world.in_flight(RequestId(id)).unwrap().server);
         world.pass(20_000);
         world.end_with(RequestId(id), Outcome::Read, 900);
-        world.begin(RequestId(id));
+        world.stream_first_token(RequestId(id));
         world.end(RequestId(id), Outcome::Served);
         world.pass(100_000);
     }
@@ -160,8 +160,8 @@
         let mut world = World::new(settings(), list.clone());
         let shared =
             RequestInfo { shared: Some(Key(77)), shared_tokens: 900, ..request_info(session, world.now) };
-        world.ask(shared);
-        used.insert(world.out(RequestId(session)).unwrap().server);
+        world.send_request(shared);
+        used.insert(world.in_flight(RequestId(session)).unwrap().server);
     }
     assert_eq!(used.len(), 3, "24 readers; read at {used:?}");
 }
@@ -177,14 +177,14 @@
         let hot = id >= 720 && id % 5 < 2;
         asked.shared = Some(Key(if hot { 77 } else { 10_000 + id }));
         asked.shared_tokens = 900;
-        world.ask(asked);
+        world.send_request(asked);
         let id = RequestId(id);
         if hot && id.0 >= 816 {
-            used.extend(world.out(id).map(|out| out.server));
+            used.extend(world.in_flight(id).map(|in_flight| in_flight.server));
         }
         world.pass(20_000);
         world.end_with(id, Outcome::Read, if hot { 900 } else { 0 });
-        world.begin(id);
+        world.stream_first_token(id);
         world.end(id, Outcome::Served);
         world.pass(63_000);
     }
--- a/crates/router/tests/overload.rs
+++ b/crates/router/tests/overload.rs
@@ -14,16 +14,16 @@
     }
     // Readers take two seconds where they took 40 ms.
     for id in 100..116 {
-        world.simple(id);
+        world.send_default_request(id);
     }
     world.pass(2 * SECOND - 400_000);
     let refused = |world: &World| world.count(|action| matches!(action, Action::Reject { .. }));
     for id in 200..240 {
-        world.simple(id);
+        world.send_default_request(id);
     }
     assert!(refused(&world) >= 20, "{} of 56 refused", refused(&world));
     for id in (100..116).chain(200..240) {
-        world.hangup(RequestId(id));
+        world.disconnect(RequestId(id));
         world.end(RequestId(id), Outcome::Cancelled);
     }
     let before = refused(&world);
@@ -44,15 +44,15 @@
 }
 
 fn leave(world: &mut World, id: RequestId) {
-    world.hangup(id);
+    world.disconnect(id);
     world.end(id, Outcome::Cancelled);
 }
 
 /// How many of 40 requests are refused, one at a time.
 fn refused_of_40(world: &mut World) -> usize {
     let refused = |id: &u64| {
-        let id = world.simple(*id);
-        let refused = world.out(id).is_none();
+        let id = world.send_default_request(*id);
+        let refused = world.in_flight(id).is_none();
         leave(world, id);
         refused
     };
@@ -64,8 +64,8 @@
     let mut world = warm_dispatcher_of_many();
     // One request at a time: nothing of its own ever queues, yet each comes back just before its time-out.
     for id in 100..110 {
-        let id = world.simple(id);
-        if world.out(id).is_some() {
+        let id = world.send_default_request(id);
+        if world.in_flight(id).is_some() {
             world.pass(950_000);
             world.end(id, Outcome::Read);
         }
@@ -80,9 +80,9 @@
 fn refused_after(lost: impl Fn(u64) -> bool) -> usize {
     let mut world = warm_dispatcher_of_many();
     for id in 100..110 {
-        let id = world.simple(id);
+        let id = world.send_default_request(id);
         if lost(id.0) {
-            let until = world.out(id).map_or(world.now, |out| out.until);
+            let until = world.in_flight(id).map_or(world.now, |in_flight| in_flight.until);
             world.pass(until - world.now);
             world.end(id, Outcome::Timeout);
         } else {
@@ -113,7 +113,7 @@
     }
     // All readers queue for 0.3 s: that is no reason to read elsewhere anew what one keeps.
     for id in 100..140 {
-        let id = world.simple(id);
+        let id = world.send_default_request(id);
         world.pass(350_000);
         world.end(id, Outcome::Read);
         leave(&mut world, id);
@@ -123,10 +123,14 @@
         prompt_tokens: 6_000,
         ..request_info(id, now)
     };
-    world.ask(again(200, world.now));
-    world.ask(again(201, world.now));
-    assert_eq!(world.out(RequestId(200)).map(|out| out.server), Some(reader));
-    assert_eq!(world.out(RequestId(201)).map(|out| out.server), Some(reader), "read anew elsewhere");
+    world.send_request(again(200, world.now));
+    world.send_request(again(201, world.now));
+    assert_eq!(world.in_flight(RequestId(200)).map(|in_flight| in_flight.server), Some(reader));
+    assert_eq!(
+        world.in_flight(RequestId(201)).map(|in_flight| in_flight.server),
+        Some(reader),
+        "read anew elsewhere"
+    );
 }
 
 #[test]
@@ -136,7 +140,7 @@
         (1..40).map(|session| (session, serve(&mut world, session, session))).collect();
     // Readers are fast, so that what waits is no jam.
     for id in 50..90 {
-        let id = world.simple(id);
+        let id = world.send_default_request(id);
         world.pass(12_000);
         world.end(id, Outcome::Read);
         leave(&mut world, id);
@@ -144,17 +148,20 @@
     // One silent read at each reader.
     let mut stuck = std::collections::BTreeSet::new();
     for id in 100..200 {
-        let id = world.simple(id);
-        if !stuck.insert(world.out(id).expect("sent").server) {
+        let id = world.send_default_request(id);
+        if !stuck.insert(world.in_flight(id).expect("sent").server) {
             leave(&mut world, id);
         }
     }
     assert_eq!(stuck.len(), 4, "a read is out at each");
     world.pass(700_000);
     for &(session, reader) in kept.iter().take(8) {
-        world.ask(RequestInfo { session: Some(Key(session)), ..request_info(300 + session, world.now) });
+        world.send_request(RequestInfo {
+            session: Some(Key(session)),
+            ..request_info(300 + session, world.now)
+        });
         let id = RequestId(300 + session);
-        assert_eq!(world.out(id).map(|out| out.server), Some(reader), "session {session}");
+        assert_eq!(world.in_flight(id).map(|in_flight| in_flight.server), Some(reader), "session {session}");
         leave(&mut world, id);
     }
 }
--- a/crates/router/tests/placement.rs
+++ b/crates/router/tests/placement.rs
@@ -30,7 +30,7 @@
 }
 
 fn reader_of(world: &World, id: u64) -> ServerId {
-    world.out(RequestId(id)).expect("sent").server
+    world.in_flight(RequestId(id)).expect("sent").server
 }
 
 /// Seen: 545 of 4,226 tries were refused 450 ms after their read had ended well. Four own streams, taken times the
@@ -40,21 +40,21 @@
     let mut world = one_of_many(false);
     world.settings.kinds[1].memory_tokens = 600_000;
     let settings = Box::new(world.settings.clone());
-    world.tell(Event::SettingsReloaded { settings, class_renumbering: Default::default() });
+    world.handle_event(Event::SettingsReloaded { settings, class_renumbering: Default::default() });
     let writers = (100..120).map(|id| ServerEntry {
         zone: ZoneId(id % 3),
         cell: CellId(id % 3),
         ..common::entry(id, 1)
     });
     let readers = large().into_iter().filter(|entry| entry.kind == 0);
-    world.roster(ListUpdateKind::Full, readers.chain(writers).collect());
+    world.update_list(ListUpdateKind::Full, readers.chain(writers).collect());
     for id in 1..=6 {
         let prompt_tokens = 9_000;
-        world.ask(RequestInfo { prompt_tokens, ..request_info(id, world.now) });
+        world.send_request(RequestInfo { prompt_tokens, ..request_info(id, world.now) });
         world.end(RequestId(id), Outcome::Read);
-        let out = world.out(RequestId(id)).expect("sent on at once");
-        assert!(!out.reads, "{id}: {out:?}");
-        world.begin(RequestId(id));
+        let in_flight = world.in_flight(RequestId(id)).expect("sent on at once");
+        assert!(!in_flight.reads, "{id}: {in_flight:?}");
+        world.stream_first_token(RequestId(id));
         world.pass(20_000);
     }
 }
@@ -66,22 +66,24 @@
         let mut world = one_of_many(false);
         world.settings.kinds[1].memory_tokens = 20_000;
         let settings = Box::new(world.settings.clone());
-        world.tell(Event::SettingsReloaded { settings, class_renumbering: Default::default() });
-        world.roster(ListUpdateKind::Full, large());
+        world.handle_event(Event::SettingsReloaded { settings, class_renumbering: Default::default() });
+        world.update_list(ListUpdateKind::Full, large());
         for id in 1..=40 {
-            world.simple(id);
+            world.send_default_request(id);
             world.end(RequestId(id), Outcome::Read);
             let read = world.now;
             world.pass(400_000);
-            if let Some(out) = world.out(RequestId(id)).filter(|out| !out.reads && !out.begun) {
+            if let Some(in_flight) =
+                world.in_flight(RequestId(id)).filter(|in_flight| !in_flight.reads && !in_flight.is_streaming)
+            {
                 let ends = if full { Outcome::Full } else { Outcome::Served };
                 if full || id < 20 {
                     world.end(RequestId(id), ends);
                 } else {
-                    world.begin(RequestId(id));
+                    world.stream_first_token(RequestId(id));
                 }
                 // Half of the time that it may be held, and a sweep: a connect that fails leaves time to let go.
-                assert!(full || out.at <= read + world.settings.max_hold_time / 2 + 45_000, "{id}");
+                assert!(full || in_flight.at <= read + world.settings.max_hold_time / 2 + 45_000, "{id}");
             }
         }
         world.count(|action| matches!(action, Action::Reject { .. }))
@@ -105,7 +107,7 @@
     let mut world = one_of_many(false);
     // Uneven cells draw beginnings towards writers.
     let gone = |id: u32| ServerEntry { health: Health::Gone, ..common::entry(id, 1) };
-    world.roster(ListUpdateKind::Patch, [101, 103, 104, 105, 107].map(gone).to_vec());
+    world.update_list(ListUpdateKind::Patch, [101, 103, 104, 105, 107].map(gone).to_vec());
     world.restart(500 + dispatcher);
     let turn = |world: &World, id, session, prompt_tokens| RequestInfo {
         shared: Some(Key(1_000 + text)),
@@ -113,16 +115,16 @@
     };
     for other in 0..dispatcher % 2 {
         let first = turn(&world, 900 + other, 40 + other, 5_000);
-        world.ask(first);
+        world.send_request(first);
         world.pass(150_000);
         world.end(RequestId(900 + other), Outcome::Read);
         world.pass(50_000);
-        world.begin(RequestId(900 + other));
+        world.stream_first_token(RequestId(900 + other));
         world.end(RequestId(900 + other), Outcome::Served);
         world.pass(700_000);
     }
     let next = turn(&world, 1, 7, 4_500 + 3_000 * dispatcher);
-    world.ask(next);
+    world.send_request(next);
     reader_of(&world, 1)
 }
 
@@ -133,7 +135,7 @@
         let mut went = BTreeSet::new();
         for session in 0..200 {
             let mut world = one_of_many(false);
-            world.ask(RequestInfo { shared_tokens, ..turn(&world, 1, session, 9_000) });
+            world.send_request(RequestInfo { shared_tokens, ..turn(&world, 1, session, 9_000) });
             went.insert(reader_of(&world, 1));
         }
         went.len()
@@ -150,8 +152,8 @@
         let mut at_home = 0;
         for session in 0..400 {
             let mut world = one_of_many(false);
-            world.roster(ListUpdateKind::Full, list.clone());
-            world.simple(session);
+            world.update_list(ListUpdateKind::Full, list.clone());
+            world.send_default_request(session);
             at_home += u32::from(world.list[&reader_of(&world, session)].zone == ZoneId(0));
         }
         at_home
@@ -167,29 +169,29 @@
 fn work_that_others_say_to_have_sent_sends_new_work_past_that_reader_until_it_is_done() {
     let mut world = one_of_many(true);
     let first = turn(&world, 1, 7, 5_000);
-    world.ask(first);
+    world.send_request(first);
     let home = reader_of(&world, 1);
     let told =
         |load, at| Event::GossipReceived(LoadUpdate { server: tag(home), load, at }.to_bytes().to_vec());
     let mut world = one_of_many(true);
     // 400 ms are worth less than reading the text anew; three times as much adds up to more.
-    world.tell(told(Load::Sent(400_000), world.now));
-    let ask = |world: &mut World, id| {
+    world.handle_event(told(Load::Sent(400_000), world.now));
+    let send_request = |world: &mut World, id| {
         let next = turn(world, id, 7, 5_000);
-        world.ask(next);
+        world.send_request(next);
         let went = reader_of(world, id);
-        world.hangup(RequestId(id));
+        world.disconnect(RequestId(id));
         world.end(RequestId(id), Outcome::Cancelled);
         went
     };
-    assert_eq!(ask(&mut world, 2), home);
-    world.tell(told(Load::Sent(400_000), world.now));
-    world.tell(told(Load::Sent(400_000), world.now));
-    assert_ne!(ask(&mut world, 3), home);
+    assert_eq!(send_request(&mut world, 2), home);
+    world.handle_event(told(Load::Sent(400_000), world.now));
+    world.handle_event(told(Load::Sent(400_000), world.now));
+    assert_ne!(send_request(&mut world, 3), home);
     world.pass(3 * SECOND);
-    assert_eq!(ask(&mut world, 4), home, "the work is done by now");
-    world.tell(told(Load::Waits(5_000_000), world.now));
-    assert_ne!(ask(&mut world, 5), home, "a queue that somebody found there");
+    assert_eq!(send_request(&mut world, 4), home, "the work is done by now");
+    world.handle_event(told(Load::Waits(5_000_000), world.now));
+    assert_ne!(send_request(&mut world, 5), home, "a queue that somebody found there");
 }
 
 /// Seen: a quarter of what messages cost was spent at starts, before there was anything to tell.
@@ -197,11 +199,11 @@
 fn work_is_told_from_a_share_of_the_aim_on_and_is_paid_for_by_calls() {
     let mut world = one_of_many(true);
     let tells = |world: &World| world.count(|action| matches!(action, Action::PublishGossip(_)));
-    world.simple(1);
+    world.send_default_request(1);
     assert_eq!(tells(&world), 0, "a short prompt is no news");
     for id in 2..=21 {
         let giant = RequestInfo { prompt_tokens: 30_000, ..request_info(id, world.now) };
-        world.ask(giant);
+        world.send_request(giant);
     }
     // Five bytes to 299 others at 0.0025 for 256 bytes: 0.0146 of a request each; a call pays 0.01.
     let told = tells(&world);
@@ -215,10 +217,10 @@
         let mut world = one_of_many(false);
         world.settings.classes.get_mut(&0).expect("a class").latency_objective_per_1000_tokens = 400_000;
         let settings = Box::new(world.settings.clone());
-        world.tell(Event::SettingsReloaded { settings, class_renumbering: Default::default() });
-        world.ask(RequestInfo { prompt_tokens, ..request_info(1, world.now) });
-        let out = world.out(RequestId(1)).expect("sent");
-        out.until - out.at
+        world.handle_event(Event::SettingsReloaded { settings, class_renumbering: Default::default() });
+        world.send_request(RequestInfo { prompt_tokens, ..request_info(1, world.now) });
+        let in_flight = world.in_flight(RequestId(1)).expect("sent");
+        in_flight.until - in_flight.at
     };
     assert_eq!(attempt_timeout(0), SECOND, "the aim alone");
     assert_eq!(attempt_timeout(5_000), 3 * SECOND, "0.4 s more for each thousand");
--- a/crates/router/tests/properties.rs
+++ b/crates/router/tests/properties.rs
@@ -37,7 +37,7 @@
 }
 
 fn take_step(world: &mut World, last_id: u64, (choice, first, second): Step) {
-    let in_flight = world.known.iter().filter(|(_, known)| known.out.is_some());
+    let in_flight = world.requests.iter().filter(|(_, requests)| requests.in_flight.is_some());
     let in_flight: Vec<RequestId> = in_flight.map(|(&id, _)| id).collect();
     let any = in_flight.get(first as usize % in_flight.len().max(1)).copied();
     match (choice, any) {
@@ -48,8 +48,8 @@
         (15, _) => disconnect(world, first),
         (16 | 17, _) => change_server(world, first, second),
         (18, _) if first.is_multiple_of(8) => world.restart(u64::from(second)),
-        (18, _) => world.tell(Event::TimerFired(TimerToken(u64::from(second)))),
-        (19, _) => world.tell(Event::ClientDisconnected(RequestId(u64::from(first) << 32))),
+        (18, _) => world.handle_event(Event::TimerFired(TimerToken(u64::from(second)))),
+        (19, _) => world.handle_event(Event::ClientDisconnected(RequestId(u64::from(first) << 32))),
         (6..=14, None) => {}
         _ => world.pass(u64::from(first % 400) * 1_000),
     }
@@ -64,11 +64,11 @@
     info.shared_tokens = 700;
     info.prompt_tokens = u64::from(second % 9_000);
     info.not_after = world.now + u64::from(first % 4_000) * 1_000;
-    world.ask(info);
+    world.send_request(info);
 }
 
 fn is_at_reader(world: &World, id: RequestId) -> bool {
-    world.out(id).is_some_and(|attempt| attempt.reads)
+    world.in_flight(id).is_some_and(|attempt| attempt.reads)
 }
 
 /// Ends an attempt with success.
@@ -90,15 +90,15 @@
 }
 
 fn start_stream(world: &mut World, id: RequestId) {
-    if world.out(id).is_some_and(|attempt| !attempt.reads && !attempt.begun) {
-        world.begin(id);
+    if world.in_flight(id).is_some_and(|attempt| !attempt.reads && !attempt.is_streaming) {
+        world.stream_first_token(id);
     }
 }
 
 fn disconnect(world: &mut World, first: u32) {
-    let Some(&id) = world.known.keys().nth(first as usize % world.known.len().max(1)) else { return };
-    if !world.known[&id].ended {
-        world.hangup(id);
+    let Some(&id) = world.requests.keys().nth(first as usize % world.requests.len().max(1)) else { return };
+    if !world.requests[&id].ended {
+        world.disconnect(id);
     }
 }
 
--- a/crates/router/tests/rules.rs
+++ b/crates/router/tests/rules.rs
@@ -12,18 +12,18 @@
     let mut world = World::new(settings, vec![entry(0, 0)]);
     let mut info = request_info(1, world.now);
     info.not_after = world.now + 100_000;
-    world.ask(info);
+    world.send_request(info);
     world.pass(60_000);
     world.end(RequestId(1), Outcome::Read);
     world.pass(SECOND);
-    assert!(world.known[&RequestId(1)].ended);
+    assert!(world.requests[&RequestId(1)].ended);
     assert_eq!(world.count(|action| *action == Action::ReleaseHeldState(RequestId(1))), 1);
 }
 
 #[test]
 fn rule_1_without_any_server_the_answer_comes_at_once() {
     let mut world = World::new(settings(), vec![]);
-    let id = world.simple(1);
+    let id = world.send_default_request(1);
     assert!(world
         .log
         .iter()
@@ -35,9 +35,9 @@
     let mut world = World::new(settings(), fleet(false));
     let mut info = request_info(1, world.now);
     info.class = 1;
-    world.ask(info);
+    world.send_request(info);
     world.end(RequestId(1), Outcome::Timeout);
-    assert!(world.out(RequestId(1)).is_some(), "a read has no effect");
+    assert!(world.in_flight(RequestId(1)).is_some(), "a read has no effect");
     world.end(RequestId(1), Outcome::Read);
     world.end(RequestId(1), Outcome::Reset);
     assert_eq!(world.count(|action| *action == Action::Fail(RequestId(1))), 1);
@@ -47,17 +47,17 @@
 #[test]
 fn rule_3_nothing_goes_to_a_draining_server_and_its_state_is_still_fetched() {
     let mut world = World::new(settings(), fleet(false));
-    let id = world.simple(1);
-    let reader = world.out(id).unwrap().server;
+    let id = world.send_default_request(1);
+    let reader = world.in_flight(id).unwrap().server;
     world.change(reader.0, |entry| entry.health = Health::Terminating);
     world.end(id, Outcome::Read);
-    assert!(!world.is_reader(world.out(id).unwrap().server), "the waiting state goes to a writer");
+    assert!(!world.is_reader(world.in_flight(id).unwrap().server), "the waiting state goes to a writer");
     for other in 2..60 {
-        let id = world.simple(other);
-        assert_ne!(world.out(id).unwrap().server, reader);
+        let id = world.send_default_request(other);
+        assert_ne!(world.in_flight(id).unwrap().server, reader);
         world.pass(20_000);
         world.end(id, Outcome::Read);
-        world.begin(id);
+        world.stream_first_token(id);
         world.end(id, Outcome::Served);
     }
 }
@@ -73,10 +73,10 @@
             world.restart(99);
         }
         id += 1;
-        let request = world.simple(id);
+        let request = world.send_default_request(id);
         world.pass(20_000);
         world.end(request, Outcome::Read);
-        world.begin(request);
+        world.stream_first_token(request);
         world.pass(20_000);
         world.end(request, Outcome::Served);
     }
@@ -95,8 +95,8 @@
     let mut settings = settings();
     settings.may_cancel = false;
     let mut world = World::new(settings, fleet(false));
-    let id = world.simple(1);
-    world.hangup(id);
+    let id = world.send_default_request(1);
+    world.disconnect(id);
     world.pass(50_000);
     world.end(id, Outcome::Read);
     assert_eq!(world.count(|action| *action == Action::ReleaseHeldState(id)), 1);
@@ -110,7 +110,7 @@
     let mut world = World::new(settings.clone(), fleet(false));
     assert_eq!(world.subscribes.len(), 1);
     for _ in 0..4 {
-        world.roster(ListUpdateKind::Failed, vec![]);
+        world.update_list(ListUpdateKind::Failed, vec![]);
         world.pass(settings.max_list_age);
     }
     assert_eq!(world.subscribes.len(), 5);
@@ -135,10 +135,10 @@
     let mut round = |worlds: &mut Vec<World>| {
         for world in worlds.iter_mut() {
             id += 1;
-            let request = world.simple(id);
+            let request = world.send_default_request(id);
             world.pass(40_000);
             world.end(request, Outcome::Read);
-            world.begin(request);
+            world.stream_first_token(request);
             world.end(request, Outcome::Served);
             world.pass(960_000);
         }
@@ -178,18 +178,18 @@
     let mut settings = settings();
     (settings.max_hold_time, settings.writers_can_read) = (500_000, false);
     let mut world = World::new(settings, fleet(false));
-    let id = world.simple(1);
+    let id = world.send_default_request(1);
     world.end(id, Outcome::Read);
     for _ in 0..2 {
-        assert!(!world.out(id).expect("on to a writer").reads);
+        assert!(!world.in_flight(id).expect("on to a writer").reads);
         world.pass(250_000);
         world.end(id, Outcome::ConnectFailed);
     }
-    assert!(world.out(id).is_none(), "its time is up: it is sent nowhere");
+    assert!(world.in_flight(id).is_none(), "its time is up: it is sent nowhere");
     assert_eq!(world.count(|action| *action == Action::ReleaseHeldState(id)), 1);
     // And one that waits for a writer waits for what is left of its time.
     let mut world = World::new(world.settings.clone(), vec![entry(0, 0), entry(10, 1)]);
-    let id = world.simple(1);
+    let id = world.send_default_request(1);
     world.end(id, Outcome::Read);
     world.pass(250_000);
     world.change(10, |entry| entry.health = Health::Terminating);
@@ -204,12 +204,12 @@
 fn a_released_state_is_read_again_and_one_whose_time_is_over_goes_nowhere() {
     for (held_state, reads_again) in [(HeldStateAfter::Released, true), (HeldStateAfter::TimeGoesOn, false)] {
         let mut world = World::new(settings(), fleet(false));
-        let id = world.simple(1);
+        let id = world.send_default_request(1);
         world.end(id, Outcome::Read);
-        assert!(!world.is_reader(world.out(id).expect("a write").server));
+        assert!(!world.is_reader(world.in_flight(id).expect("a write").server));
         world.now += world.settings.max_hold_time + 10_000;
         world.end_as(id, Outcome::Timeout, held_state, 0);
-        let next = world.out(id).map(|out| world.is_reader(out.server));
+        let next = world.in_flight(id).map(|in_flight| world.is_reader(in_flight.server));
         assert_eq!(next, reads_again.then_some(true), "{held_state:?}");
     }
 }
@@ -218,12 +218,12 @@
 #[test]
 fn a_request_is_answered_by_the_time_that_all_deadlines_are_capped_at() {
     let mut world = World::new(settings(), fleet(false));
-    let id = world.simple(1);
+    let id = world.send_default_request(1);
     let capped = world.now + 50_000;
-    assert!(world.known[&id].info.not_after > capped + SECOND);
-    world.tell(Event::DeadlinesCapped(capped));
+    assert!(world.requests[&id].info.not_after > capped + SECOND);
+    world.handle_event(Event::DeadlinesCapped(capped));
     world.now = capped;
     world.end(id, Outcome::Timeout);
-    assert!(world.out(id).is_none(), "not sent again");
+    assert!(world.in_flight(id).is_none(), "not sent again");
     assert_eq!(world.count(|action| *action == Action::Fail(id)), 1);
 }
--- a/crates/router/tests/slow_start.rs
+++ b/crates/router/tests/slow_start.rs
@@ -67,7 +67,7 @@
             model.add_server(entry, 0.0, takes, 600_000);
         }
     }
-    model.list();
+    model.send_list();
     model
 }
 
@@ -103,7 +103,7 @@
 }
 
 fn request(model: &mut Model, id: u64) -> RequestInfo {
-    let session = model.lots.next_u64() % 400;
+    let session = model.rng.next_u64() % 400;
     let shared = (!session.is_multiple_of(4)).then(|| Key(9_000 + session % 13));
     let (shared_tokens, session) = (if shared.is_some() { 500 } else { 0 }, Some(Key(session)));
     RequestInfo { session, shared, shared_tokens, ..common::request_info(id, model.now) }
@@ -181,10 +181,10 @@
 /// once under a burst: in no window may the sum over all dispatchers be over N + 2 x root of N + 2 at any of them.
 #[test]
 fn the_sum_over_all_dispatchers_stays_within_what_a_server_in_slow_start_bears() {
-    let mut lots = rand_pcg::Pcg64Mcg::seed_from_u64(20_261_203);
+    let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(20_261_203);
     for seed in 0..8 {
         let mut draw =
-            |from: f64, to: f64| from + (to - from) * f64::from(lots.next_u32()) / f64::from(u32::MAX);
+            |from: f64, to: f64| from + (to - from) * f64::from(rng.next_u32()) / f64::from(u32::MAX);
         let dispatchers = draw(4.0, 60.0) as usize;
         let readers = draw(6.0, 12.0) as u32;
         holds(Draw {
--- a/crates/router/tests/written_forms.rs
+++ b/crates/router/tests/written_forms.rs
@@ -28,11 +28,11 @@
     info.session = Some(Key(id % 5));
     info.shared = (!id.is_multiple_of(3)).then_some(Key(70 + id % 2));
     info.shared_tokens = 600;
-    world.ask(info);
+    world.send_request(info);
     world.pass(30_000 + 1_000 * (id % 7));
     world.end_with(RequestId(id), Outcome::Read, cached_tokens);
     world.pass(40_000);
-    world.begin(RequestId(id));
+    world.stream_first_token(RequestId(id));
     world.pass(20_000);
     world.end(RequestId(id), Outcome::Served);
 }
@@ -49,15 +49,15 @@
     for id in 16..24 {
         serve_turn(&mut world, id, 0);
     }
-    let failing = world.simple(40);
+    let failing = world.send_default_request(40);
     world.end(failing, Outcome::Timeout);
     world.pass(10_000);
     world.end(failing, Outcome::ConnectFailed);
     let update =
         LoadUpdate { server: dewladder_router::tag(ServerId(2)), load: Load::Waits(400_000), at: world.now };
-    world.tell(Event::GossipReceived(update.to_bytes().to_vec()));
+    world.handle_event(Event::GossipReceived(update.to_bytes().to_vec()));
     world.pass(25_000);
-    world.tell(Event::Ignored);
+    world.handle_event(Event::Ignored);
     world
 }
 
@@ -78,7 +78,7 @@
     let old = router_with_history();
     let mut world = World::new(with_gossip(), old.list.values().cloned().collect());
     world.now = old.now;
-    world.tell(Event::StateImported(Box::new(serde_json::from_str(HANDOVER).unwrap())));
+    world.handle_event(Event::StateImported(Box::new(serde_json::from_str(HANDOVER).unwrap())));
     let handed_on = serde_json::to_string(&world.router.export_state()).unwrap();
     assert_eq!(handed_on, REWRITTEN_HANDOVER.trim_end());
 }
