--- a/crates/router/tests/classes.rs
+++ b/crates/router/tests/classes.rs
@@ -1,4 +1,4 @@
-//! Classes that change while requests are open.
+//! Reloading of classes while requests are open.
 
 mod common;
 
@@ -9,68 +9,83 @@
 use dewladder_router::Classes;
 use proptest::prelude::*;
 
-fn named(name: &str, effect: Effect) -> Class {
+/// A class with a name and an effect.
+fn class_named(name: &str, effect: Effect) -> Class {
     Class { name: name.to_owned(), ..class(effect, DedupGroup::All) }
 }
 
 proptest! {
-    /// Whatever is added, changed, dropped and brought back while requests come and go: a request's rules never
-    /// change, new ones get what was told last, and nothing is kept that nobody has.
+    /// Classes are added, changed, removed and added again while requests arrive and end. The class of an open request
+    /// must never change, new requests must get the classes of the last reload, and a reload must remove the retired
+    /// classes that no open request uses.
     #[test]
-    fn an_open_request_keeps_its_rules_to_its_end(
+    fn open_requests_keep_the_rules_of_their_class(
         steps in proptest::collection::vec((0u8..4, proptest::collection::vec((0usize..4, 0u8..3), 1..4)), 1..60),
     ) {
-        let rules = |variant: u8| [Effect::Idempotent, Effect::AtMostOnce, Effect::Deduplicated][variant as usize];
+        let effect_of =
+            |variant: u8| [Effect::Idempotent, Effect::AtMostOnce, Effect::Deduplicated][variant as usize];
         let names = ["ask", "book", "ask_new", "plan"];
-        let mut classes = Classes::new((0..).zip([named("ask", rules(0)), named("book", rules(1))]).collect());
-        let mut told: BTreeMap<&str, Effect> = [("ask", rules(0)), ("book", rules(1))].into();
-        let mut open: Vec<(u32, String, Effect)> = Vec::new();
-        let mut given: BTreeMap<u32, (String, Effect)> = BTreeMap::new();
-        for (what, picks) in steps {
-            match what {
+        let mut classes = Classes::new(
+            (0..).zip([class_named("ask", effect_of(0)), class_named("book", effect_of(1))]).collect(),
+        );
+        let mut configured: BTreeMap<&str, Effect> = [("ask", effect_of(0)), ("book", effect_of(1))].into();
+        let mut open_requests: Vec<(u32, String, Effect)> = Vec::new();
+        let mut first_use: BTreeMap<u32, (String, Effect)> = BTreeMap::new();
+        for (step, choices) in steps {
+            match step {
                 0 => {
-                    told = picks.iter().map(|&(name, variant)| (names[name], rules(variant))).collect();
-                    let new: Vec<Class> = told.iter().map(|(name, effect)| named(name, *effect)).collect();
-                    let class_renumbering = classes.update(new, |number| open.iter().any(|(its, ..)| *its == number));
+                    configured = choices.iter().map(|&(name, variant)| (names[name], effect_of(variant))).collect();
+                    let new: Vec<Class> =
+                        configured.iter().map(|(name, effect)| class_named(name, *effect)).collect();
+                    let class_renumbering =
+                        classes.update(new, |number| open_requests.iter().any(|(used, ..)| *used == number));
                     for (new, old) in class_renumbering {
-                        prop_assert!(old < new, "an heir is newer");
+                        prop_assert!(old < new, "a class must be renumbered to a higher number");
                     }
                 }
                 1 => {
-                    open.pop();
+                    open_requests.pop();
                 }
                 _ => {
-                    let name = names[picks[0].0];
+                    let name = names[choices[0].0];
                     let current = classes.known().iter().find(|(_, class)| !class.retired && class.name == name);
-                    prop_assert_eq!(current.map(|(_, class)| class.effect), told.get(name).copied());
+                    prop_assert_eq!(current.map(|(_, class)| class.effect), configured.get(name).copied());
                     if let Some((&number, class)) = current {
-                        open.push((number, name.to_owned(), class.effect));
-                        let first = given.entry(number).or_insert((name.to_owned(), class.effect));
-                        prop_assert_eq!(&*first, &(name.to_owned(), class.effect), "a number is used once");
+                        open_requests.push((number, name.to_owned(), class.effect));
+                        let first = first_use.entry(number).or_insert((name.to_owned(), class.effect));
+                        prop_assert_eq!(
+                            &*first,
+                            &(name.to_owned(), class.effect),
+                            "the number was used for another class"
+                        );
                     }
                 }
             }
-            for (number, name, effect) in &open {
+            for (number, name, effect) in &open_requests {
                 let class = &classes.known()[number];
                 prop_assert_eq!((&class.name, class.effect), (name, *effect));
             }
-            // Retired classes are forgotten at a change, not when their last request ends: right after a change,
-            // each retired one is had by an open request.
-            if what == 0 {
-                let had: std::collections::BTreeSet<u32> = open.iter().map(|(number, ..)| *number).collect();
+            // Retired classes are removed by the next reload, not when their last request ends. So right after a
+            // reload, each retired class is used by an open request.
+            if step == 0 {
+                let in_use: std::collections::BTreeSet<u32> =
+                    open_requests.iter().map(|(number, ..)| *number).collect();
                 let mut retired = classes.known().iter().filter(|(_, class)| class.retired);
-                prop_assert!(retired.all(|(number, _)| had.contains(number)), "what nobody has goes at the next change");
+                prop_assert!(
+                    retired.all(|(number, _)| in_use.contains(number)),
+                    "an unused class must be removed by a reload"
+                );
             }
         }
-        classes.update([named("ask", rules(0))], |_| false);
+        classes.update([class_named("ask", effect_of(0))], |_| false);
         prop_assert_eq!(classes.known().len(), 1);
     }
 }
 
-/// A server that rests for a class goes on resting for it under its new number, and an open request of the old one is
-/// not sent more often than it was allowed to be.
+/// A reload gives a changed class a new number, and maps it to the previous one, under which servers may be ejected. An
+/// open request keeps the attempt limit of the old number, and a new request gets that of the new number.
 #[test]
-fn what_is_known_of_a_class_stays_with_its_name_and_attempts_with_the_request() {
+fn open_requests_keep_the_attempt_limit_of_their_class_after_a_reload() {
     let mut world = World::new(settings(), fleet(false));
     let id = world.send_default_request(1);
     let mut settings = world.settings.clone();
@@ -84,11 +99,14 @@
         class_renumbering: [(4, 0)].into(),
     });
     world.end(id, Outcome::ConnectFailed);
-    assert_eq!(world.requests[&id].attempts, 2, "the old number may be sent five times");
+    assert_eq!(
+        world.requests[&id].attempts, 2,
+        "the old number allows five attempts, so the request is sent again"
+    );
     let mut new = request_info(2, world.now);
     new.class = 4;
     world.send_request(new);
     world.end(RequestId(2), Outcome::ConnectFailed);
-    assert_eq!(world.requests[&RequestId(2)].attempts, 1, "the new one once");
+    assert_eq!(world.requests[&RequestId(2)].attempts, 1, "the new number allows one attempt");
     assert!(world.requests[&RequestId(2)].ended);
 }
--- a/crates/router/tests/decisions.rs
+++ b/crates/router/tests/decisions.rs
@@ -1,6 +1,6 @@
-//! What several dispatchers decide over minutes, held against what the program decided when this was recorded: the
-//! choices, their order, the random draws behind them, and what is learnt on the way, to the last bit. A change of the
-//! code that is to decide alike leaves these numbers; one that is to decide otherwise records them anew and says so.
+//! Compares the decisions of several dispatchers in simulated runs with recorded ones, by a hash of all actions, their
+//! order, the random draws that they depend on, and the learnt state. A change that must not affect decisions leaves the
+//! recorded hashes as they are; a change that is meant to affect them records new hashes and says so in its commit.
 
 mod common;
 mod fleet_model;
@@ -10,11 +10,11 @@
 use dewladder_router::interface::*;
 use fleet_model::{Behavior, Model};
 
-/// Time to read a token when nothing hinders, and to fetch one (us).
-const READ: f64 = 55.0;
-const FETCH: f64 = 4.0;
+/// Time per prompt token of a warm server without queue, for reading the prompt and for fetching the state (us).
+const READ_US_PER_TOKEN: f64 = 55.0;
+const FETCH_US_PER_TOKEN: f64 = 4.0;
 
-/// What a scenario varies.
+/// Parameters of a simulated run.
 #[derive(Clone, Copy)]
 struct Scenario {
     seed: u64,
@@ -22,14 +22,17 @@
     readers: u32,
     writers: u32,
     mixed: u32,
-    /// Requests a second.
+    /// Requests per second, over all dispatchers.
     rate: f64,
+    /// Whether the dispatchers exchange load gossip.
     peers: bool,
+    /// Memory of each server, in tokens.
     memory_tokens: u64,
+    /// See [`Model::first_attempt_behavior`].
     first_attempt_behavior: Option<Behavior>,
 }
 
-const QUIET: Scenario = Scenario {
+const LIGHT_LOAD: Scenario = Scenario {
     seed: 5,
     dispatchers: 4,
     readers: 6,
@@ -41,12 +44,12 @@
     first_attempt_behavior: None,
 };
 
-fn settings(of: Scenario) -> Settings {
+fn settings(scenario: Scenario) -> Settings {
     let mut settings = common::settings();
-    settings.dispatcher_count = of.dispatchers;
-    settings.peers = of.peers;
-    settings.must_subscribe = of.seed.is_multiple_of(2);
-    settings.kinds.iter_mut().for_each(|kind| kind.memory_tokens = of.memory_tokens);
+    settings.dispatcher_count = scenario.dispatchers;
+    settings.peers = scenario.peers;
+    settings.must_subscribe = scenario.seed.is_multiple_of(2);
+    settings.kinds.iter_mut().for_each(|kind| kind.memory_tokens = scenario.memory_tokens);
     for (at, class) in &mut settings.classes {
         (class.latency_objective, class.priority_weight) =
             (600_000 + 400_000 * u64::from(*at), 1.0 + f64::from(*at));
@@ -54,43 +57,45 @@
     settings
 }
 
-fn fleet(of: Scenario) -> Model {
-    let zones = (0..of.dispatchers).map(|at| ZoneId(at % 2)).collect();
-    let mut model = Model::new(settings(of), zones, of.seed);
-    model.first_attempt_behavior = of.first_attempt_behavior;
-    let servers = [(0, of.readers, 0), (100, of.writers, 1), (200, of.mixed, 2)];
-    for (first, count, kind) in servers {
-        for id in first..first + count {
+fn fleet(scenario: Scenario) -> Model {
+    let zones = (0..scenario.dispatchers).map(|at| ZoneId(at % 2)).collect();
+    let mut model = Model::new(settings(scenario), zones, scenario.seed);
+    model.first_attempt_behavior = scenario.first_attempt_behavior;
+    let servers = [(0, scenario.readers, 0), (100, scenario.writers, 1), (200, scenario.mixed, 2)];
+    for (first, requests_per_second, kind) in servers {
+        for id in first..first + requests_per_second {
             let mut entry = common::entry(id, kind);
-            // Racks are uneven: the cells of one zone have more readers than writers.
+            // Uneven cells: every fifth server is in another cell of its zone.
             entry.cell = CellId(id % 2 + 2 * u32::from(id.is_multiple_of(5)));
-            let slower = if id % 7 == 3 { 3.0 } else { 1.0 };
-            let (tokens, attempt) = if kind == 1 { (FETCH, 15_000.0) } else { (READ, 10_000.0) };
-            model.add_server(entry, tokens * slower, attempt, 800_000);
+            let slowdown = if id % 7 == 3 { 3.0 } else { 1.0 };
+            let (tokens, attempt) =
+                if kind == 1 { (FETCH_US_PER_TOKEN, 15_000.0) } else { (READ_US_PER_TOKEN, 10_000.0) };
+            model.add_server(entry, tokens * slowdown, attempt, 800_000);
         }
     }
     model.send_list();
     model
 }
 
-/// Turns of sessions, some of which share a beginning, for 30 s; a server restarts, and a dispatcher forgets all.
-fn decided(of: Scenario) -> u64 {
-    let mut model = fleet(of);
+/// Simulates turns of 40 sessions, some of which have a shared prefix, for 30 s, and returns the hash of all decisions
+/// and of the learnt state. A reader and a writer restart after 6 s; a dispatcher restarts without state after 12 s.
+fn decision_hash(scenario: Scenario) -> u64 {
+    let mut model = fleet(scenario);
     let end = model.now + 30 * S;
     let (mut at, mut id) = (model.now as f64, 0);
     while at < end as f64 {
-        at += (0.5 + model.unit_draw()) / of.rate * 1e6;
+        at += (0.5 + model.unit_draw()) / scenario.rate * 1e6;
         model.run_until(at as Micros);
         id += 1;
-        let count = of.rate as u64;
-        if id == 6 * count {
+        let requests_per_second = scenario.rate as u64;
+        if id == 6 * requests_per_second {
             model.restart_server(ServerId(1));
             model.restart_server(ServerId(101));
         }
-        if id == 12 * count {
+        if id == 12 * requests_per_second {
             model.restart_dispatcher(0);
         }
-        let dispatcher = (model.unit_draw() * f64::from(of.dispatchers)) as usize;
+        let dispatcher = (model.unit_draw() * f64::from(scenario.dispatchers)) as usize;
         let (session, class) = ((model.unit_draw() * 40.0) as u64, (model.unit_draw() * 4.0) as u32);
         let prompt_tokens = 400 + (model.unit_draw() * 9_000.0) as u64;
         let info = RequestInfo {
@@ -112,35 +117,42 @@
 }
 
 #[test]
-fn a_quiet_fleet_with_uneven_cells_is_decided_as_recorded() {
-    let alone = Scenario { seed: 6, dispatchers: 1, readers: 12, rate: 20.0, ..QUIET };
-    assert_eq!([QUIET, alone].map(decided), [13061609516109549640, 12979203479735165398]);
+fn decisions_match_the_recorded_ones_under_light_load_with_uneven_cells() {
+    let one_dispatcher = Scenario { seed: 6, dispatchers: 1, readers: 12, rate: 20.0, ..LIGHT_LOAD };
+    assert_eq!([LIGHT_LOAD, one_dispatcher].map(decision_hash), [13061609516109549640, 12979203479735165398]);
 }
 
 #[test]
-fn a_fleet_with_mixed_servers_and_load_gossip_is_decided_as_recorded() {
-    let few = Scenario { seed: 7, mixed: 3, peers: true, rate: 18.0, ..QUIET };
-    let many = Scenario { seed: 12, mixed: 5, peers: true, rate: 40.0, dispatchers: 9, ..QUIET };
-    assert_eq!([few, many].map(decided), [14935165344270321566, 17295061041118924749]);
+fn decisions_match_the_recorded_ones_with_mixed_servers_and_load_gossip() {
+    let few_dispatchers = Scenario { seed: 7, mixed: 3, peers: true, rate: 18.0, ..LIGHT_LOAD };
+    let many_dispatchers =
+        Scenario { seed: 12, mixed: 5, peers: true, rate: 40.0, dispatchers: 9, ..LIGHT_LOAD };
+    assert_eq!(
+        [few_dispatchers, many_dispatchers].map(decision_hash),
+        [14935165344270321566, 17295061041118924749]
+    );
 }
 
 #[test]
-fn an_overloaded_fleet_is_decided_as_recorded() {
-    let gossiping = Scenario { seed: 8, rate: 60.0, peers: true, ..QUIET };
-    let short_of_memory = Scenario { seed: 9, mixed: 2, rate: 45.0, memory_tokens: 60_000, ..QUIET };
-    assert_eq!([gossiping, short_of_memory].map(decided), [11998165558320622439, 2053805146596653708]);
+fn decisions_match_the_recorded_ones_under_overload() {
+    let with_gossip = Scenario { seed: 8, rate: 60.0, peers: true, ..LIGHT_LOAD };
+    let short_of_memory = Scenario { seed: 9, mixed: 2, rate: 45.0, memory_tokens: 60_000, ..LIGHT_LOAD };
+    assert_eq!(
+        [with_gossip, short_of_memory].map(decision_hash),
+        [11998165558320622439, 2053805146596653708]
+    );
 }
 
 #[test]
-fn a_fleet_where_servers_hang_or_refuse_is_decided_as_recorded() {
-    let hang = Scenario {
+fn decisions_match_the_recorded_ones_where_servers_hang_or_refuse_connections() {
+    let hanging = Scenario {
         seed: 10,
         readers: 9,
         writers: 9,
         rate: 25.0,
         first_attempt_behavior: Some(Behavior::Hang),
-        ..QUIET
+        ..LIGHT_LOAD
     };
-    let refuse = Scenario { seed: 11, first_attempt_behavior: Some(Behavior::Refuse), ..hang };
-    assert_eq!([hang, refuse].map(decided), [12542187064425795264, 921226354763836565]);
+    let refusing = Scenario { seed: 11, first_attempt_behavior: Some(Behavior::Refuse), ..hanging };
+    assert_eq!([hanging, refusing].map(decision_hash), [12542187064425795264, 921226354763836565]);
 }
--- a/crates/router/tests/failures.rs
+++ b/crates/router/tests/failures.rs
@@ -1,4 +1,5 @@
-//! One test for each failure found on the bench's days; each fails without the defence that it names.
+//! One test for each failure that was found in benchmark runs. Each test fails if the protection that it covers is
+//! removed.
 
 mod common;
 
@@ -7,44 +8,44 @@
 use dewladder_router::interface::*;
 
 #[test]
-fn an_unresponsive_reader_is_passed_over_before_its_time_out_and_ejected_after_it() {
+fn an_unresponsive_reader_is_skipped_before_the_attempt_times_out() {
     let mut world = World::new(settings(), fleet(false));
-    let silent = serve(&mut world, 1, 5);
+    let unresponsive = serve(&mut world, 1, 5);
     let mut info = request_info(2, world.now);
     info.session = Some(Key(5));
     world.send_request(info);
-    assert_eq!(world.in_flight(RequestId(2)).unwrap().server, silent);
+    assert_eq!(world.in_flight(RequestId(2)).unwrap().server, unresponsive);
     world.pass(600_000);
-    assert_ne!(serve(&mut world, 3, 5), silent, "the oldest attempt there has been silent for too long");
+    assert_ne!(serve(&mut world, 3, 5), unresponsive, "its oldest attempt has been unanswered for too long");
 }
 
 #[test]
-fn failed_connections_eject_a_server_and_one_request_at_a_time_tries_it() {
+fn failed_connections_eject_a_server_and_then_one_request_at_a_time_probes_it() {
     let mut world = World::new(settings(), fleet(false));
     let id = world.send_default_request(1);
-    let dead = world.in_flight(id).unwrap().server;
+    let failing = world.in_flight(id).unwrap().server;
     world.end(id, Outcome::ConnectFailed);
-    assert_ne!(world.in_flight(id).unwrap().server, dead);
-    let mut again = (2..10).map(|other| world.send_default_request(other)).collect::<Vec<_>>();
-    again.retain(|&id| world.in_flight(id).unwrap().server == dead);
-    world.end(again[0], Outcome::ConnectFailed);
-    // Those that had gone there before the second failure are all that it gets.
-    let before = 1 + again.len();
-    let sent_to_dead = |world: &World| world.sends.iter().filter(|&&(_, to, _)| to == dead).count();
+    assert_ne!(world.in_flight(id).unwrap().server, failing);
+    let mut later = (2..10).map(|other| world.send_default_request(other)).collect::<Vec<_>>();
+    later.retain(|&id| world.in_flight(id).unwrap().server == failing);
+    world.end(later[0], Outcome::ConnectFailed);
+    // The server gets no attempts but those that were sent to it before the second failure.
+    let sent_before = 1 + later.len();
+    let sent_to_failing = |world: &World| world.sends.iter().filter(|&&(_, to, _)| to == failing).count();
     for other in 10..30 {
         world.send_default_request(other);
         world.pass(5_000);
     }
-    assert_eq!(sent_to_dead(&world), before);
+    assert_eq!(sent_to_failing(&world), sent_before);
     world.pass(SECOND);
     for other in 40..60 {
         world.send_default_request(other);
     }
-    assert!(sent_to_dead(&world) <= before + 1, "one trial at a time");
+    assert!(sent_to_failing(&world) <= sent_before + 1, "at most one probe at a time");
 }
 
 #[test]
-fn a_reader_that_forgot_is_not_believed_about_older_prompts_either() {
+fn a_reader_that_lost_its_cache_is_not_believed_to_hold_older_prefixes() {
     let mut world = World::new(settings(), fleet(false));
     let with_shared = |id: u64, session: u64, shared: u64, now: Micros| RequestInfo {
         session: Some(Key(session)),
@@ -52,7 +53,7 @@
         shared_tokens: 100,
         ..request_info(id, now)
     };
-    // Sessions 0 and `other` were read at one reader, the shared beginning at another.
+    // Prompts of the sessions 0 and `other` were read at one reader, the shared prefix at another.
     let reader = serve(&mut world, 1, 0);
     let other = (1..99).find(|&session| serve(&mut world, 100 + session, session) == reader).unwrap();
     let shared = (500..599)
@@ -77,11 +78,15 @@
         world.end(RequestId(id), Outcome::Served);
     }
     world.send_request(with_shared(9, other, shared, world.now));
-    assert_ne!(world.in_flight(RequestId(9)).unwrap().server, reader, "its longer match is not believed");
+    assert_ne!(
+        world.in_flight(RequestId(9)).unwrap().server,
+        reader,
+        "the reader must not count as caching the session's prompt, a longer prefix"
+    );
 }
 
 #[test]
-fn a_state_reported_missing_is_released_and_the_prompt_read_again() {
+fn a_missing_held_state_is_released_and_the_prompt_is_read_again() {
     let mut world = World::new(settings(), fleet(false));
     let id = world.send_default_request(1);
     world.end(id, Outcome::Read);
@@ -91,7 +96,8 @@
 }
 
 #[test]
-fn a_state_that_leaves_its_cell_has_more_time() {
+fn a_write_in_another_cell_has_a_longer_attempt_timeout() {
+    // The attempt timeout of a write in `cell`, of a state that is held in cell 0.
     let far = |cell: u32| {
         let mut world =
             World::new(settings(), vec![entry(0, 0), ServerEntry { cell: CellId(cell), ..entry(10, 1) }]);
@@ -104,46 +110,52 @@
 }
 
 #[test]
-fn most_of_a_pool_is_never_ejected() {
+fn a_pool_whose_servers_are_all_ejected_still_serves() {
     let mut world = World::new(settings(), fleet(false));
-    // To the last attempt: what is still out of them would be a queue, and refused for another reason.
+    // All attempts of these requests fail: any that were still in flight would count as a queue, for which the request
+    // below would be rejected.
     for id in 1..9 {
         world.send_default_request(id);
         while world.in_flight(RequestId(id)).is_some() {
             world.end(RequestId(id), Outcome::ConnectFailed);
         }
     }
-    assert_eq!(world.router.avoided_servers(), 4, "all readers have failed often enough to rest");
+    assert_eq!(world.router.avoided_servers(), 4, "all readers have failed often enough to be ejected");
     let id = world.send_default_request(50);
-    assert!(world.in_flight(id).is_some(), "it is sent somewhere all the same");
+    assert!(world.in_flight(id).is_some(), "the request must be sent to one of the ejected readers");
 }
 
 #[test]
-fn over_slow_links_a_reader_without_a_writer_in_its_cell_is_passed() {
-    let lone = ServerEntry { cell: CellId(7), ..entry(0, 0) };
-    let mut world = World::new(settings(), vec![lone, entry(2, 0), entry(10, 1)]);
-    let near = (100..120).filter(|&session| serve(&mut world, session, session) == ServerId(2)).count();
-    assert!(near > 2, "moves within the cell are the yardstick");
+fn with_slow_links_a_reader_without_a_writer_in_its_cell_is_skipped() {
+    let remote_reader = ServerEntry { cell: CellId(7), ..entry(0, 0) };
+    let mut world = World::new(settings(), vec![remote_reader, entry(2, 0), entry(10, 1)]);
+    let local_count =
+        (100..120).filter(|&session| serve(&mut world, session, session) == ServerId(2)).count();
+    assert!(local_count > 2, "remote fetches are compared with fetches within a cell");
     let far = (0..99).find(|&session| serve(&mut world, session, session) == ServerId(0)).unwrap();
-    let mut again = request_info(500, world.now);
-    again.session = Some(Key(far));
-    world.send_request(again.clone());
-    assert_eq!(world.in_flight(RequestId(500)).unwrap().server, ServerId(0), "its match is there");
+    let mut later = request_info(500, world.now);
+    later.session = Some(Key(far));
+    world.send_request(later.clone());
+    assert_eq!(world.in_flight(RequestId(500)).unwrap().server, ServerId(0), "this reader caches the prompt");
     world.end(RequestId(500), Outcome::Read);
     world.pass(900_000);
     world.stream_first_token(RequestId(500));
     world.end(RequestId(500), Outcome::Served);
-    again.id = RequestId(501);
-    again.not_after = world.now + 5 * SECOND;
-    world.send_request(again);
-    assert_eq!(world.in_flight(RequestId(501)).unwrap().server, ServerId(2), "the move from there took long");
+    later.id = RequestId(501);
+    later.not_after = world.now + 5 * SECOND;
+    world.send_request(later);
+    assert_eq!(
+        world.in_flight(RequestId(501)).unwrap().server,
+        ServerId(2),
+        "the remote fetch from the other reader was slow"
+    );
 }
 
 #[test]
-fn one_own_request_among_many_dispatchers_does_not_make_a_server_full() {
-    let mut crowd = settings();
-    crowd.dispatcher_count = 200;
-    let mut world = World::new(crowd, fleet(false));
+fn one_own_attempt_does_not_make_a_server_look_at_capacity_among_many_dispatchers() {
+    let mut many_dispatchers = settings();
+    many_dispatchers.dispatcher_count = 200;
+    let mut world = World::new(many_dispatchers, fleet(false));
     let reader = serve(&mut world, 1, 5);
     let mut first = request_info(2, world.now);
     first.session = Some(Key(5));
@@ -155,35 +167,35 @@
     assert_eq!(
         world.in_flight(RequestId(3)).unwrap().server,
         reader,
-        "the match is kept beside one own read"
+        "one own attempt in flight must not exclude the reader that caches the prompt"
     );
 }
 
 #[test]
-fn success_in_one_class_does_not_clear_another_class() {
-    // One writer only fails class 0; the other fails nothing.
+fn success_in_one_class_does_not_end_the_ejection_for_another_class() {
+    // One writer fails requests of class 0 only; the other fails none.
     let list = [entry(0, 0), entry(10, 1), entry(12, 1)];
     let mut world = World::new(settings(), list.into());
-    let sick = ServerId(10);
-    let write = |world: &mut World, id: u64, class: u32| {
-        let mut asked = request_info(id, world.now);
-        asked.class = class;
-        world.send_request(asked);
+    let failing_writer = ServerId(10);
+    let is_sent_to_failing_writer = |world: &mut World, id: u64, class: u32| {
+        let mut info = request_info(id, world.now);
+        info.class = class;
+        world.send_request(info);
         world.end(RequestId(id), Outcome::Read);
         let writer = world.in_flight(RequestId(id)).unwrap().server;
-        if writer == sick && class == 0 {
+        if writer == failing_writer && class == 0 {
             world.end(RequestId(id), Outcome::Error);
         }
         world.stream_first_token(RequestId(id));
         world.end(RequestId(id), Outcome::Served);
-        writer == sick
+        writer == failing_writer
     };
     for id in 1..40 {
-        write(&mut world, id, if id % 2 == 0 { 0 } else { 3 });
+        is_sent_to_failing_writer(&mut world, id, if id % 2 == 0 { 0 } else { 3 });
     }
-    let met = |world: &mut World, from: u64, class: u32| {
-        (from..from + 20).filter(|&id| write(world, id, class)).count()
+    let count_at_failing_writer = |world: &mut World, from: u64, class: u32| {
+        (from..from + 20).filter(|&id| is_sent_to_failing_writer(world, id, class)).count()
     };
-    assert_eq!(met(&mut world, 100, 0), 0, "it rests for the class that it fails");
-    assert!(met(&mut world, 200, 3) > 0, "it serves the other class");
+    assert_eq!(count_at_failing_writer(&mut world, 100, 0), 0, "the writer must be ejected for class 0");
+    assert!(count_at_failing_writer(&mut world, 200, 3) > 0, "the writer must still serve class 3");
 }
