--- a/crates/router/tests/bounds.rs
+++ b/crates/router/tests/bounds.rs
@@ -1,5 +1,5 @@
-//! The memory of a dispatcher stays bounded, however many sessions, shared prefixes, servers, classes and gossip updates
-//! it has seen.
+//! The memory of a dispatcher stays bounded, however many sessions, shared prefixes, servers, classes and gossip
+//! updates it has seen.
 
 mod common;
 
@@ -120,8 +120,8 @@
     );
 }
 
-/// A prefix is believed to be cached for one minute. With sessions that arrive at a slow, steady rate, expired entries
-/// must be removed, rather than stay until the prefix table of each server is full.
+/// A prefix is believed to be cached for one minute. With sessions that arrive at a slow, steady rate, expired
+/// entries must be removed, rather than stay until the prefix table of each server is full.
 #[test]
 fn expired_prefix_entries_are_removed() {
     let _one_at_a_time = ONE_TEST_AT_A_TIME.lock();
@@ -137,8 +137,8 @@
     let servers = exported["servers"].as_array().expect("servers");
     let prefix_count: usize =
         servers.iter().map(|server| server["prefixes"].as_array().map_or(0, Vec::len)).sum();
-    // 300 are valid: five requests per second for one minute. The rest are entries that expired since the last request
-    // to the same server, which is when expired entries are removed.
+    // 300 are valid: five requests per second for one minute. The rest are entries that expired since the last
+    // request to the same server, which is when expired entries are removed.
     assert!(prefix_count < 400, "{prefix_count} entries are kept, of which 300 are valid");
 }
 
@@ -244,8 +244,8 @@
     assert_eq!(server_count(&dispatcher), 7);
 }
 
-/// Every reload of the settings replaces the classes. What is stored about servers for a class must be removed together
-/// with the class.
+/// Every reload of the settings replaces the classes. What is stored about servers for a class must be removed
+/// together with the class.
 #[test]
 fn memory_does_not_grow_with_the_number_of_classes_replaced() {
     let _one_at_a_time = ONE_TEST_AT_A_TIME.lock();
--- a/crates/router/tests/classes.rs
+++ b/crates/router/tests/classes.rs
@@ -15,9 +15,9 @@
 }
 
 proptest! {
-    /// Classes are added, changed, removed and added again while requests arrive and end. The class of an open request
-    /// must never change, new requests must get the classes of the last reload, and a reload must remove the retired
-    /// classes that no open request uses.
+    /// Classes are added, changed, removed and added again while requests arrive and end. The class of an open
+    /// request must never change, new requests must get the classes of the last reload, and a reload must remove the
+    /// retired classes that no open request uses.
     #[test]
     fn open_requests_keep_the_rules_of_their_class(
         steps in proptest::collection::vec((0u8..4, proptest::collection::vec((0usize..4, 0u8..3), 1..4)), 1..60),
@@ -82,8 +82,8 @@
     }
 }
 
-/// A reload gives a changed class a new number, and maps it to the previous one, under which servers may be ejected. An
-/// open request keeps the attempt limit of the old number, and a new request gets that of the new number.
+/// A reload gives a changed class a new number, and maps it to the previous one, under which servers may be ejected.
+/// An open request keeps the attempt limit of the old number, and a new request gets that of the new number.
 #[test]
 fn open_requests_keep_the_attempt_limit_of_their_class_after_a_reload() {
     let mut world = World::new(settings(), fleet(false));
--- a/crates/router/tests/decisions.rs
+++ b/crates/router/tests/decisions.rs
@@ -1,6 +1,7 @@
-//! Compares the decisions of several dispatchers in simulated runs with recorded ones, by a hash of all actions, their
-//! order, the random draws that they depend on, and the learnt state. A change that must not affect decisions leaves the
-//! recorded hashes as they are; a change that is meant to affect them records new hashes and says so in its commit.
+//! Compares the decisions of several dispatchers in simulated runs with recorded ones, by a hash of all actions,
+//! their order, the random draws that they depend on, and the learnt state. A change that must not affect decisions
+//! leaves the recorded hashes as they are; a change that is meant to affect them records new hashes and says so in
+//! its commit.
 
 mod common;
 mod fleet_model;
@@ -65,7 +66,8 @@
     for (first, requests_per_second, kind) in servers {
         for id in first..first + requests_per_second {
             let mut entry = common::entry(id, kind);
-            // Uneven cells: every fifth server is in another cell of its zone.
+            // Every fifth server is in the second cell of its zone. So cells differ in size, and in the scenario with
+            // 12 readers also in their ratio of readers to writers.
             entry.cell = CellId(id % 2 + 2 * u32::from(id.is_multiple_of(5)));
             let slowdown = if id % 7 == 3 { 3.0 } else { 1.0 };
             let (tokens, attempt) =
@@ -77,8 +79,9 @@
     model
 }
 
-/// Simulates turns of 40 sessions, some of which have a shared prefix, for 30 s, and returns the hash of all decisions
-/// and of the learnt state. A reader and a writer restart after 6 s; a dispatcher restarts without state after 12 s.
+/// Simulates turns of 40 sessions, some of which have a shared prefix, for 30 s, and returns the hash of all
+/// decisions and of the learnt state. A reader and a writer restart after 6 s; a dispatcher restarts without state
+/// after 12 s.
 fn decision_hash(scenario: Scenario) -> u64 {
     let mut model = fleet(scenario);
     let end = model.now + 30 * S;
--- a/crates/router/tests/failures.rs
+++ b/crates/router/tests/failures.rs
@@ -112,8 +112,8 @@
 #[test]
 fn a_pool_whose_servers_are_all_ejected_still_serves() {
     let mut world = World::new(settings(), fleet(false));
-    // All attempts of these requests fail: any that were still in flight would count as a queue, for which the request
-    // below would be rejected.
+    // All attempts of these requests fail: any that were still in flight would count as a queue, for which the
+    // request below would be rejected.
     for id in 1..9 {
         world.send_default_request(id);
         while world.in_flight(RequestId(id)).is_some() {
@@ -153,9 +153,9 @@
 
 #[test]
 fn one_own_attempt_does_not_make_a_server_look_at_capacity_among_many_dispatchers() {
-    let mut many_dispatchers = settings();
-    many_dispatchers.dispatcher_count = 200;
-    let mut world = World::new(many_dispatchers, fleet(false));
+    let mut settings = settings();
+    settings.dispatcher_count = 200;
+    let mut world = World::new(settings, fleet(false));
     let reader = serve(&mut world, 1, 5);
     let mut first = request_info(2, world.now);
     first.session = Some(Key(5));
--- a/crates/router/tests/handover.rs
+++ b/crates/router/tests/handover.rs
@@ -1,4 +1,4 @@
-//! What one dispatcher has learnt, taken over by another on the same machine.
+//! Handover of the learnt state from one dispatcher to another on the same machine (hot restart).
 
 mod common;
 
@@ -6,8 +6,8 @@
 use dewladder_router::interface::*;
 use dewladder_router::Handover;
 
-/// A dispatcher that has had sessions read, and what it hands over, as text and back.
-fn learnt() -> (World, Handover) {
+/// A dispatcher that has served 39 sessions, and its exported state after a round trip through JSON.
+fn world_with_learnt_state() -> (World, Handover) {
     let mut world = World::new(settings(), fleet(false));
     for id in 1..40 {
         world.send_default_request(id);
@@ -17,85 +17,103 @@
         world.stream_first_token(RequestId(id));
         world.end(RequestId(id), Outcome::Served);
     }
-    let text = serde_json::to_string(&world.router.export_state()).unwrap();
-    (world, serde_json::from_str(&text).unwrap())
+    let json = serde_json::to_string(&world.router.export_state()).unwrap();
+    (world, serde_json::from_str(&json).unwrap())
 }
 
-/// Where a dispatcher sends the next turn of a session.
-fn reader_of(world: &mut World, session: u64, id: u64) -> ServerId {
+/// Serves the next turn of a session, and returns the reader that it was sent to.
+fn serve_turn(world: &mut World, session: u64, id: u64) -> ServerId {
     let mut info = request_info(id, world.now);
     info.session = Some(Key(session));
     world.send_request(info);
-    let to = world.in_flight(RequestId(id)).expect("it is sent").server;
+    let reader = world.in_flight(RequestId(id)).expect("sent to a reader").server;
     world.pass(30_000);
     world.end_with(RequestId(id), Outcome::Read, 1_000);
     world.pass(40_000);
     world.stream_first_token(RequestId(id));
     world.end(RequestId(id), Outcome::Served);
-    to
+    reader
 }
 
+/// Without the import, the new dispatcher would read the prompts of most sessions again at other readers.
 #[test]
-fn a_session_goes_on_where_its_text_is_kept() {
-    let (mut old, handover) = learnt();
-    // The readers' homes differ for the new dispatcher, as two servers were listed after those sessions were read.
+fn imported_state_sends_sessions_to_the_readers_that_cache_their_prompts() {
+    let (mut old, handover) = world_with_learnt_state();
+    // The new dispatcher knows of four more readers, listed after those sessions were served, so that some of the
+    // sessions have another home reader.
     let mut list = fleet(false);
     list.extend([entry(4, 0), entry(5, 0), entry(6, 0), entry(7, 0)]);
-    let fresh = |now| {
+    let new_world = |now| {
         let mut world = World::new(settings(), list.clone());
         world.now = now;
         world
     };
-    let (mut with, mut without) = (fresh(old.now), fresh(old.now));
-    with.handle_event(Event::StateImported(Box::new(handover)));
-    let mut agrees = [0, 0];
+    let (mut with_import, mut without_import) = (new_world(old.now), new_world(old.now));
+    with_import.handle_event(Event::StateImported(Box::new(handover)));
+    // Turns sent to the reader that caches the session's prompt, with and without the import.
+    let mut same_reader = [0, 0];
     for session in 1..40 {
-        let kept = reader_of(&mut old, session, 100 + session);
-        agrees[0] += usize::from(reader_of(&mut with, session, 100 + session) == kept);
-        agrees[1] += usize::from(reader_of(&mut without, session, 100 + session) == kept);
+        let caching_reader = serve_turn(&mut old, session, 100 + session);
+        same_reader[0] += usize::from(serve_turn(&mut with_import, session, 100 + session) == caching_reader);
+        same_reader[1] +=
+            usize::from(serve_turn(&mut without_import, session, 100 + session) == caching_reader);
     }
-    assert!(agrees[0] >= 35, "{agrees:?}");
-    assert!(agrees[1] < 30, "without it, homes have moved: {agrees:?}");
+    assert!(same_reader[0] >= 35, "{same_reader:?}");
+    assert!(
+        same_reader[1] < 30,
+        "without the import, sessions must move to their new homes: {same_reader:?}"
+    );
 }
 
-/// What is of the future, of another life of a server, or no figure at all changes nothing.
+/// Values with times in the future, of a server that has restarted since, or that are no valid numbers must be
+/// skipped.
 #[test]
-fn what_can_not_be_is_not_taken() {
-    let (old, handover) = learnt();
-    let take = |now: Micros, change: &dyn Fn(&mut serde_json::Value), list: Vec<ServerEntry>| {
-        let mut text = serde_json::to_value(&handover).unwrap();
-        change(&mut text);
-        let mut world = World::new(settings(), list);
-        world.now = now;
-        let before = serde_json::to_value(world.router.export_state()).unwrap();
-        if let Ok(handover) = serde_json::from_value(text) {
-            world.handle_event(Event::StateImported(Box::new(handover)));
-        }
-        let after = serde_json::to_value(world.router.export_state()).unwrap();
-        let prefixes = |of: &serde_json::Value| {
-            of["servers"]
-                .as_array()
-                .unwrap()
-                .iter()
-                .map(|server| server["prefixes"].as_array().unwrap().len())
-                .sum::<usize>()
+fn implausible_state_is_not_imported() {
+    let (old, handover) = world_with_learnt_state();
+    // Imports the handover, modified by `change`, into a dispatcher that starts at `now`. Returns the number of
+    // prefixes before and after, and the exported state.
+    let import_prefix_count =
+        |now: Micros, change: &dyn Fn(&mut serde_json::Value), list: Vec<ServerEntry>| {
+            let mut json = serde_json::to_value(&handover).unwrap();
+            change(&mut json);
+            let mut world = World::new(settings(), list);
+            world.now = now;
+            let before = serde_json::to_value(world.router.export_state()).unwrap();
+            if let Ok(handover) = serde_json::from_value(json) {
+                world.handle_event(Event::StateImported(Box::new(handover)));
+            }
+            let after = serde_json::to_value(world.router.export_state()).unwrap();
+            let count_prefixes = |exported: &serde_json::Value| {
+                exported["servers"]
+                    .as_array()
+                    .unwrap()
+                    .iter()
+                    .map(|server| server["prefixes"].as_array().unwrap().len())
+                    .sum::<usize>()
+            };
+            (count_prefixes(&before), count_prefixes(&after), after)
         };
-        (prefixes(&before), prefixes(&after), after)
-    };
-    assert!(take(old.now, &|_| (), fleet(false)).1 >= 39);
-    assert_eq!(take(old.now - SECOND, &|_| (), fleet(false)).1, 0, "of the future");
-    for ahead in [3_600 * SECOND as i64, -(SECOND as i64)] {
-        let shifted = handover.clone().with_clock_shifted(ahead);
-        let other = old.now.checked_add_signed(ahead).unwrap();
-        let on_that_clock = |text: &mut serde_json::Value| *text = serde_json::to_value(&shifted).unwrap();
-        assert!(take(other, &on_that_clock, fleet(false)).1 >= 39, "by a clock that is {ahead} us ahead");
+    assert!(import_prefix_count(old.now, &|_| (), fleet(false)).1 >= 39);
+    assert_eq!(import_prefix_count(old.now - SECOND, &|_| (), fleet(false)).1, 0, "written in the future");
+    for ahead_us in [3_600 * SECOND as i64, -(SECOND as i64)] {
+        let shifted = handover.clone().with_clock_shifted(ahead_us);
+        let shifted_now = old.now.checked_add_signed(ahead_us).unwrap();
+        let use_shifted = |json: &mut serde_json::Value| *json = serde_json::to_value(&shifted).unwrap();
+        assert!(
+            import_prefix_count(shifted_now, &use_shifted, fleet(false)).1 >= 39,
+            "on a clock that is {ahead_us} us ahead"
+        );
     }
     let restarted =
         fleet(false).into_iter().map(|entry| ServerEntry { started: Some(old.now - 10), ..entry }).collect();
-    assert_eq!(take(old.now, &|_| (), restarted).1, 0, "another life");
-    assert_eq!(take(old.now, &|text| text["stages"] = serde_json::json!([]), fleet(false)).1, 0);
-    for bad in [serde_json::json!(-1.0), serde_json::json!(0.0)] {
-        let (.., after) = take(old.now, &|text| text["stages"][0]["best"] = bad.clone(), fleet(false));
+    assert_eq!(import_prefix_count(old.now, &|_| (), restarted).1, 0, "the servers have restarted");
+    assert_eq!(
+        import_prefix_count(old.now, &|json| json["stages"] = serde_json::json!([]), fleet(false)).1,
+        0
+    );
+    for invalid in [serde_json::json!(-1.0), serde_json::json!(0.0)] {
+        let (.., after) =
+            import_prefix_count(old.now, &|json| json["stages"][0]["best"] = invalid.clone(), fleet(false));
         assert!(after["stages"][0]["best"].as_f64().unwrap() > 0.0);
     }
 }
--- a/crates/router/tests/list_orders.rs
+++ b/crates/router/tests/list_orders.rs
@@ -1,5 +1,5 @@
-//! The list of servers, by the pure decisions alone: how soon it is asked for again, and what an order of its news
-//! does.
+//! The list of servers, without any input or output: the backoff between calls for the list, and list updates in any
+//! order.
 
 mod common;
 
@@ -9,42 +9,44 @@
 use rand_core::{RngCore as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 
-/// A call that failed, was refused or was given up may be spaced out, for whatever reason: a change counts as told 6 s
-/// after discovery had it and could be reached, back-off and jitter included. So no wait is as long, and some time is
-/// left for the call itself.
+/// A list change must reach the dispatchers within 6 s of the time when the discovery service has it and can be
+/// reached, backoff and jitter included. So no wait after a call that failed, was refused or was abandoned may take
+/// that long: waits are limited to 2.4 s, which leaves time for the call itself.
 #[test]
-fn however_often_calls_fail_the_next_one_comes_within_six_seconds() {
-    let mut lots = Pcg64Mcg::seed_from_u64(34);
-    let mut late = Vec::new();
+fn the_wait_after_a_failed_list_call_never_exceeds_the_limit() {
+    let mut rng = Pcg64Mcg::seed_from_u64(34);
+    let mut too_long = Vec::new();
     for dispatchers in [1, 4, 40, 100, 300, 100_000] {
         for max_list_age in [0, SECOND / 10, SECOND, 2 * SECOND, 10 * SECOND, 1_000 * SECOND] {
-            // As the watch of the list has it (`LONGEST_WAIT`); the simulator's wire has a rule of its own.
-            let mut asking = ListBackoff::within(2_400_000);
-            let waits = (0..200).map(|_| asking.failed(dispatchers, max_list_age, lots.next_u64()));
+            // The limit that the calls to the discovery service use (`LONGEST_WAIT`). The simulator adapter has a
+            // rule of its own.
+            let mut backoff = ListBackoff::within(2_400_000);
+            let waits = (0..200).map(|_| backoff.failed(dispatchers, max_list_age, rng.next_u64()));
             let longest = waits.max().unwrap_or(0);
             if longest > 2_400_000 {
-                late.push(format!(
-                    "{dispatchers} dispatchers, each to ask in {max_list_age} us: {longest} us"
+                too_long.push(format!(
+                    "{dispatchers} dispatchers, maximum list age {max_list_age} us: waits of up to {longest} us"
                 ));
             }
         }
     }
-    assert!(late.is_empty(), "{late:#?}");
+    assert!(too_long.is_empty(), "{too_long:#?}");
 }
 
-/// An answer ends what was learnt of failures: the next wait is drawn from the first time again.
+/// After an answer, the wait after the next failed call is drawn from the same range as the first one.
 #[test]
-fn after_an_answer_the_first_wait_is_drawn_anew() {
-    let mut asking = ListBackoff::default();
-    let first = asking.failed(4, 0, u64::MAX / 2);
+fn an_answered_list_call_resets_the_backoff() {
+    let mut backoff = ListBackoff::default();
+    let first = backoff.failed(4, 0, u64::MAX / 2);
     for _ in 0..9 {
-        asking.failed(4, 0, u64::MAX / 2);
+        backoff.failed(4, 0, u64::MAX / 2);
     }
-    asking.answered();
-    assert_eq!(asking.failed(4, 0, u64::MAX / 2), first);
+    backoff.answered();
+    assert_eq!(backoff.failed(4, 0, u64::MAX / 2), first);
 }
 
-fn request_info(id: u64) -> RequestInfo {
+/// A short request with a session of its own.
+fn short_request(id: u64) -> RequestInfo {
     RequestInfo {
         id: RequestId(id),
         class: 0,
@@ -58,68 +60,74 @@
     }
 }
 
-/// To whom a call goes at that time.
-fn goes_to(router: &mut Router, now: Micros, id: u64) -> Option<ServerId> {
-    let mut out = Vec::new();
-    router.handle(now, Event::RequestArrived(request_info(id)), &mut out);
-    out.into_iter().find_map(|action| match action {
+/// The server that a request goes to at `now`; `None` if the router rejects it.
+fn server_chosen(router: &mut Router, now: Micros, id: u64) -> Option<ServerId> {
+    let mut actions = Vec::new();
+    router.handle(now, Event::RequestArrived(short_request(id)), &mut actions);
+    actions.into_iter().find_map(|action| match action {
         Action::Assign { server, .. } => Some(server),
         _ => None,
     })
 }
 
-/// Whole lists, copies and changes in any order: nothing is sent to a server that the last word on it does not call
-/// ready.
+/// Full lists, stale copies, patches and failed calls arrive in random order. No request may go to a server that is
+/// not ready by the last update with an entry for it, or that is missing from the last full list or copy.
 #[test]
-fn after_any_order_of_news_only_servers_that_are_ready_by_the_last_word_get_calls() {
-    let mut lots = Pcg64Mcg::seed_from_u64(35);
-    for day in 0..60 {
-        let mut router = Router::new(settings(), day, SECOND);
-        let mut last = std::collections::BTreeMap::new();
+fn after_any_order_of_list_updates_only_ready_servers_get_requests() {
+    let mut rng = Pcg64Mcg::seed_from_u64(35);
+    for seed in 0..60 {
+        let mut router = Router::new(settings(), seed, SECOND);
+        let mut last_health = std::collections::BTreeMap::new();
         let mut id = 0;
         for step in 1..60u64 {
             let now = SECOND + step * 50_000;
-            let how = match lots.next_u32() % 4 {
+            let how = match rng.next_u32() % 4 {
                 0 => ListUpdateKind::Full,
                 1 => ListUpdateKind::StaleCopy,
                 2 => ListUpdateKind::Failed,
                 _ => ListUpdateKind::Patch,
             };
             let mut entries: Vec<ServerEntry> = fleet(false);
-            entries.retain(|_| lots.next_u32() % 3 > 0);
+            entries.retain(|_| rng.next_u32() % 3 > 0);
             for entry in &mut entries {
                 entry.health = [Health::Ready, Health::Ready, Health::Terminating, Health::Gone]
-                    [lots.next_u32() as usize % 4];
+                    [rng.next_u32() as usize % 4];
                 entry.started = [None, Some(now.saturating_sub(20 * SECOND)), Some(now + SECOND)]
-                    [lots.next_u32() as usize % 3];
+                    [rng.next_u32() as usize % 3];
             }
             if how != ListUpdateKind::Failed {
                 if how != ListUpdateKind::Patch {
-                    last.clear();
+                    last_health.clear();
                 }
-                last.extend(entries.iter().map(|entry| (entry.server, entry.health)));
+                last_health.extend(entries.iter().map(|entry| (entry.server, entry.health)));
             }
             router.handle(now, Event::EndpointsUpdated { how, entries }, &mut Vec::new());
             for _ in 0..3 {
                 id += 1;
-                if let Some(to) = goes_to(&mut router, now, id) {
-                    assert_eq!(last.get(&to), Some(&Health::Ready), "day {day}, step {step}: {to:?}");
+                if let Some(server) = server_chosen(&mut router, now, id) {
+                    assert_eq!(
+                        last_health.get(&server),
+                        Some(&Health::Ready),
+                        "seed {seed}, step {step}: {server:?}"
+                    );
                 }
             }
         }
     }
 }
 
-/// A start time that no clock can hold, in a list that was misread: the server counts as cold, and nothing breaks.
+/// A corrupt list may contain the largest possible start time. The server then counts as being in slow start, and no
+/// calculation with the time may overflow.
 #[test]
-fn a_start_time_beyond_all_clocks_breaks_nothing() {
+fn the_maximum_start_time_is_handled() {
     let mut router = Router::new(settings(), 7, SECOND);
     let mut first = entry(0, 0);
     first.started = Some(Micros::MAX);
     let entries = vec![first, entry(1, 0), entry(10, 1)];
     router.handle(SECOND, Event::EndpointsUpdated { how: ListUpdateKind::Full, entries }, &mut Vec::new());
-    // None of them is answered, so that later ones are shed: the first must be taken, and none may break anything.
-    let taken: Vec<bool> =
-        (0..20).map(|id| goes_to(&mut router, SECOND + id * 1_000, id + 1).is_some()).collect();
-    assert!(taken[0], "{taken:?}");
+    // No request is answered, so that later ones are rejected as overload. The first must be sent, and none may cause
+    // a panic.
+    let assigned: Vec<bool> =
+        (0..20).map(|id| server_chosen(&mut router, SECOND + id * 1_000, id + 1).is_some()).collect();
+    assert!(assigned[0], "{assigned:?}");
 }
