--- a/crates/conform/src/cases.rs
+++ b/crates/conform/src/cases.rs
@@ -1,85 +1,90 @@
-//! Cases as data: `cases/*.toml`. Names of fields are those of the files.
+//! The test cases, read from `cases/*.toml`. Field names are the keys of those files.
 
 use std::collections::BTreeMap;
 
 use serde::Deserialize;
 use serde_json::Value;
 
-/// A case: requests in order, each with what is expected of its answer.
+/// A test case: requests that are sent in order, each with the expected answer.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Case {
-    /// Its name: `section/subject`.
+    /// Unique name in the form `section/subject`; `dewladder conform --only` selects by a part of it.
     pub name: String,
-    /// It asks servers to fail, by words that only the test fleet of this repository knows: run only on request.
+    /// The prompts ask model servers to fail (`{fault:...}`), which only the test fleet of this repository understands:
+    /// such cases run only on request.
     #[serde(default)]
     pub faults: bool,
-    /// Its requests.
+    /// The requests, if there is more than one.
     #[serde(default)]
     pub step: Vec<Step>,
-    /// Where there is only one request, it stands in the case itself.
+    /// The fields of a case that has a single request; ignored if `step` is not empty.
     #[serde(flatten)]
-    only: Step,
+    single_step: Step,
 }
 
-/// A request and what is expected.
+/// One request and its expected answer. `{NAME}` in texts is replaced by a variable: `model`, `once`, `nonce`, `key`,
+/// `other_key` or a name from [`capture`](Self::capture).
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct Step {
-    /// `chat`, `completion` or `response`: a body that is good, and its path.
+    /// Template with a valid body and its path: `chat`, `completion` or `response`.
     pub base: Option<String>,
-    /// A merge patch (RFC 7396) to that body, as JSON text.
+    /// Merge patch for the body of `base`, as JSON text. Unlike in RFC 7396, `null` sets a field to `null` and doesn't
+    /// remove it.
     pub set: Option<String>,
-    /// The body itself, where it is to be no JSON or nothing good.
+    /// The literal body, for requests that a patch can't express, such as invalid JSON. Replaces that of `base`.
     pub raw: Option<String>,
-    /// Bytes of the body that are not UTF-8, as hex.
+    /// The body in hexadecimal, for bytes that are not UTF-8. Replaces that of `base` and `raw`.
     pub hex: Option<String>,
-    /// The method; POST where there is a body.
+    /// The HTTP method; if `None`, `POST` with a body and `GET` without one.
     pub method: Option<String>,
-    /// The path.
+    /// The path; if `None`, that of `base`, else `/v1/chat/completions`.
     pub path: Option<String>,
-    /// Further headers; an empty value takes one away.
+    /// Headers that are added or replaced; an empty value removes a default header.
     #[serde(default)]
     pub headers: BTreeMap<String, String>,
-    /// What is expected.
+    /// The expected answer.
     #[serde(default)]
     pub expect: Expect,
-    /// Values of the answer, by JSON pointer, that later steps use as `{NAME}`.
+    /// Strings to take from the answer: variable name to JSON pointer. Later steps use them as `{NAME}`.
     #[serde(default)]
     pub capture: BTreeMap<String, String>,
 }
 
-/// What is expected of an answer.
+/// The expected answer. What is not set is not checked, except that every answer with a status of 400 or above must
+/// have a valid error object.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Expect {
-    /// The status.
+    /// The HTTP status; a case with 0, the default, is not run.
     pub status: u16,
-    /// The error's `code`.
+    /// The `code` of the error object.
     pub code: Option<String>,
-    /// The error's `param`.
+    /// The `param` of the error object.
     pub param: Option<String>,
-    /// Headers: their value, `*` for any, or an empty text for none.
+    /// Header values by name: `*` for any non-empty value, an empty string if the header must be absent.
     #[serde(default)]
     pub headers: BTreeMap<String, String>,
-    /// JSON pointers into the answer and the values there, `"*"` for any that is not null.
+    /// Expected values by JSON pointer into the body; `"*"` for any value but null.
     #[serde(default)]
     pub json: BTreeMap<String, Value>,
-    /// The stream's grammar: `chat`, `completion` or `response`; `cut` or `cut-response` for one that breaks off.
+    /// The format that the stream must have: `chat`, `completion` or `response`; `cut` (chunks) or `cut-response` for a
+    /// stream that ends early with an error.
     pub grammar: Option<String>,
-    /// Choices of the stream (1).
+    /// Number of choices in the stream; 1 if not set.
     pub choices: Option<usize>,
-    /// Whether the stream tells the usage.
+    /// Whether a usage chunk is expected in the stream.
     #[serde(default)]
     pub usage: bool,
-    /// The body is that of the step with this number (from 0).
+    /// Index of the earlier step whose body this one must equal byte for byte, from 0.
     pub same_as: Option<usize>,
 }
 
 impl Case {
-    /// Its requests.
+    /// The requests of the case in order: at least one.
     #[must_use]
     pub fn steps(&self) -> Vec<Step> {
         if self.step.is_empty() {
-            vec![self.only.clone()]
+            vec![self.single_step.clone()]
         } else {
             self.step.clone()
         }
@@ -87,11 +92,11 @@
 }
 
 #[derive(Deserialize)]
-struct File {
+struct CaseFile {
     case: Vec<Case>,
 }
 
-/// A file of cases that can't be read.
+/// A case file could not be parsed.
 #[derive(Debug, thiserror::Error)]
 #[error("cases/{name}.toml: {source}")]
 pub struct CasesError {
@@ -99,10 +104,10 @@
     source: toml::de::Error,
 }
 
-/// All cases, in order.
+/// All cases, in the order of the files and within each file.
 ///
 /// # Errors
-/// A file of cases that can't be read: which, and the line.
+/// [`CasesError`] names the file and the position in it. The files are compiled in, so this is a fault of the build.
 pub fn cases() -> Result<Vec<Case>, CasesError> {
     let files = [
         ("requests", include_str!("../cases/requests.toml")),
@@ -113,7 +118,7 @@
     ];
     let mut all = Vec::new();
     for (name, text) in files {
-        let file: File = toml::from_str(text).map_err(|source| CasesError { name, source })?;
+        let file: CaseFile = toml::from_str(text).map_err(|source| CasesError { name, source })?;
         all.extend(file.case);
     }
     Ok(all)
--- a/crates/conform/src/exchange.rs
+++ b/crates/conform/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One HTTP exchange on a connection of its own.
+//! One HTTP/1.1 request and its answer, on a new connection.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -9,47 +9,48 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// An answer must have come whole within this.
+/// Limit for connecting, sending the request and receiving the complete answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(15);
-/// An answer holds this many bytes at most.
+/// Longest answer that is accepted, head included.
 const MAX_ANSWER_BYTES: usize = 8 << 20;
 
-/// An answer, its body put together from chunks.
+/// An HTTP response; a chunked body is decoded.
 pub(crate) struct Answer {
     pub(crate) status: u16,
-    /// By lower-case name.
+    /// Values by lower-case name; of a repeated header the last one.
     pub(crate) headers: BTreeMap<String, String>,
     pub(crate) body: String,
 }
 
-/// Why there is no answer.
+/// Why no complete answer was received.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ExchangeError {
     #[error("can't connect: {0}")]
     Connect(#[source] io::Error),
     #[error("can't send: {0}")]
     Send(#[source] io::Error),
-    #[error("the answer broke off: {0}")]
+    #[error("can't read the answer: {0}")]
     Receive(#[source] io::Error),
-    #[error("the answer does not end")]
+    #[error("the answer exceeds the size limit")]
     TooLong,
-    #[error("no answer in time")]
+    #[error("no complete answer before the timeout")]
     Timeout,
-    #[error("no whole head came")]
-    NoHead,
-    #[error("the answer has no status")]
-    NoStatus,
-    #[error("{received} bytes of {expected} came")]
+    #[error("the connection closed before the end of the head")]
+    IncompleteHead,
+    #[error("the status line has no valid status")]
+    InvalidStatus,
+    #[error("the body has {received} bytes, content-length is {expected}")]
     Truncated { received: usize, expected: usize },
-    #[error("the last chunk did not come")]
-    NoLastChunk,
-    #[error("a chunk without a length")]
-    ChunkWithoutLength,
-    #[error("a chunk that is not whole")]
-    ChunkTruncated,
+    #[error("the connection closed before the last chunk")]
+    MissingLastChunk,
+    #[error("a chunk has no valid length")]
+    InvalidChunkLength,
+    #[error("a chunk is shorter than its length")]
+    TruncatedChunk,
 }
 
-/// Sends a request and reads its answer until the connection closes.
+/// Sends a request and reads its answer. The request must ask the server to close the connection, as the answer is
+/// read until then.
 pub(crate) async fn exchange(address: SocketAddr, request: &[u8]) -> Result<Answer, ExchangeError> {
     let received = timeout(ANSWER_TIMEOUT, send_and_receive(address, request));
     parse_answer(&received.await.map_err(|_| ExchangeError::Timeout)??)
@@ -69,17 +70,17 @@
 
 fn parse_answer(received: &[u8]) -> Result<Answer, ExchangeError> {
     let text = String::from_utf8_lossy(received);
-    let (head, body) = text.split_once("\r\n\r\n").ok_or(ExchangeError::NoHead)?;
+    let (head, body) = text.split_once("\r\n\r\n").ok_or(ExchangeError::IncompleteHead)?;
     let mut lines = head.lines();
     let status = lines.next().and_then(|line| line.split(' ').nth(1)).and_then(|code| code.parse().ok());
-    let status = status.ok_or(ExchangeError::NoStatus)?;
+    let status = status.ok_or(ExchangeError::InvalidStatus)?;
     let mut headers = BTreeMap::new();
     for (name, value) in lines.filter_map(|line| line.split_once(':')) {
         headers.insert(name.to_ascii_lowercase(), value.trim().to_owned());
     }
     let is_chunked =
         headers.get("transfer-encoding").is_some_and(|value: &String| value.eq_ignore_ascii_case("chunked"));
-    let body = if is_chunked { join_chunks(body.as_bytes())? } else { body.to_owned() };
+    let body = if is_chunked { decode_chunked(body.as_bytes())? } else { body.to_owned() };
     if let Some(expected) = headers.get("content-length").and_then(|length| length.parse::<usize>().ok()) {
         if body.len() != expected {
             return Err(ExchangeError::Truncated { received: body.len(), expected });
@@ -88,21 +89,21 @@
     Ok(Answer { status, headers, body })
 }
 
-fn join_chunks(mut rest: &[u8]) -> Result<String, ExchangeError> {
-    let mut whole = Vec::new();
+fn decode_chunked(mut rest: &[u8]) -> Result<String, ExchangeError> {
+    let mut decoded = Vec::new();
     loop {
         let line_end =
-            rest.windows(2).position(|window| window == b"\r\n").ok_or(ExchangeError::NoLastChunk)?;
+            rest.windows(2).position(|window| window == b"\r\n").ok_or(ExchangeError::MissingLastChunk)?;
         let length = std::str::from_utf8(&rest[..line_end])
             .ok()
             .and_then(|text| usize::from_str_radix(text, 16).ok())
-            .ok_or(ExchangeError::ChunkWithoutLength)?;
+            .ok_or(ExchangeError::InvalidChunkLength)?;
         if length == 0 {
-            return Ok(String::from_utf8_lossy(&whole).into_owned());
+            return Ok(String::from_utf8_lossy(&decoded).into_owned());
         }
         let start = line_end + 2;
-        let chunk = rest.get(start..start + length).ok_or(ExchangeError::ChunkTruncated)?;
-        whole.extend_from_slice(chunk);
-        rest = rest.get(start + length + 2..).ok_or(ExchangeError::ChunkTruncated)?;
+        let chunk = rest.get(start..start + length).ok_or(ExchangeError::TruncatedChunk)?;
+        decoded.extend_from_slice(chunk);
+        rest = rest.get(start + length + 2..).ok_or(ExchangeError::TruncatedChunk)?;
     }
 }
--- a/crates/conform/src/expectation.rs
+++ b/crates/conform/src/expectation.rs
@@ -1,32 +1,32 @@
-//! What an answer must hold.
+//! Compares an answer with the expected one.
 
 use serde_json::Value;
 
 use crate::cases::Expect;
 use crate::exchange::Answer;
 use crate::grammar;
-use crate::setup::{fill, SetupError, Variables};
+use crate::setup::{substitute, SetupError, Variables};
 use crate::violation::Violation;
 
-/// So many characters of a body are reported.
-const EXCERPT_CHARS: usize = 300;
+/// How many characters of a body an error message quotes.
+const MAX_EXCERPT_CHARS: usize = 300;
 
-/// The first thing in an answer that is not as expected.
+/// The first difference between an answer and the expected one.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Mismatch {
     #[error("status {expected} expected, it is {found}: {body}")]
     Status { expected: u16, found: u16, body: String },
     #[error("header {name} is {found:?}, not '{expected}'")]
     Header { name: String, found: Option<String>, expected: String },
-    #[error("the error is not in the published envelope: {body}")]
-    Envelope { body: String },
+    #[error("the error object lacks message, type, param or code: {body}")]
+    IncompleteError { body: String },
     #[error("code {expected} expected, it is {found}: {body}")]
     Code { expected: String, found: Value, body: String },
     #[error("param {expected} expected, it is {found}: {body}")]
     Param { expected: String, found: Value, body: String },
     #[error("{pointer} is {found}, not {expected}")]
     Json { pointer: String, found: Value, expected: Value },
-    #[error("the answer is no stream of events")]
+    #[error("the content type of the answer is not text/event-stream")]
     NotAStream,
     #[error("{violation}: {body}")]
     Grammar {
@@ -34,19 +34,19 @@
         violation: Violation,
         body: String,
     },
-    #[error("the answer is not that of step {step}: {body}")]
-    OtherBody { step: usize, body: String },
-    #[error("there is no text at {pointer}")]
-    NoCapture { pointer: String },
+    #[error("the body differs from that of step {step}: {body}")]
+    BodyDiffers { step: usize, body: String },
+    #[error("there is no string at {pointer}")]
+    NoStringToCapture { pointer: String },
     #[error(transparent)]
     Setup(#[from] SetupError),
 }
 
-/// Checks an answer; `earlier` are the bodies of the steps before.
+/// Checks an answer; `earlier_bodies` are the bodies of the case's earlier steps, by index.
 pub(crate) fn check_answer(
     expect: &Expect,
     answer: &Answer,
-    earlier: &[String],
+    earlier_bodies: &[String],
     variables: &Variables,
 ) -> Result<(), Mismatch> {
     if answer.status != expect.status {
@@ -59,22 +59,22 @@
     check_json(expect, &value, variables)?;
     check_stream(expect, answer)?;
     let Some(step) = expect.same_as else { return Ok(()) };
-    if earlier.get(step).is_some_and(|body| *body == answer.body) {
+    if earlier_bodies.get(step).is_some_and(|body| *body == answer.body) {
         Ok(())
     } else {
-        Err(Mismatch::OtherBody { step, body: excerpt(&answer.body) })
+        Err(Mismatch::BodyDiffers { step, body: excerpt(&answer.body) })
     }
 }
 
 fn check_headers(expect: &Expect, answer: &Answer) -> Result<(), Mismatch> {
     for (name, expected) in &expect.headers {
         let found = answer.headers.get(&name.to_ascii_lowercase());
-        let is_as_expected = match expected.as_str() {
+        let matches = match expected.as_str() {
             "" => found.is_none(),
             "*" => found.is_some_and(|value| !value.is_empty()),
             expected => found.is_some_and(|value| value == expected),
         };
-        if !is_as_expected {
+        if !matches {
             let (name, expected) = (name.clone(), expected.clone());
             return Err(Mismatch::Header { name, found: found.cloned(), expected });
         }
@@ -82,7 +82,7 @@
     Ok(())
 }
 
-/// Checks the error object of an answer that reports one.
+/// Checks the error object: it must be complete if the status is an error, and have the expected `code` and `param`.
 fn check_error(expect: &Expect, answer: &Answer, error: &Value) -> Result<(), Mismatch> {
     let body = || excerpt(&answer.body);
     if answer.status >= 400 {
@@ -90,7 +90,7 @@
         let has_fields =
             error["type"].is_string() && error.get("param").is_some() && error.get("code").is_some();
         if !has_message || !has_fields {
-            return Err(Mismatch::Envelope { body: body() });
+            return Err(Mismatch::IncompleteError { body: body() });
         }
     }
     if let Some(expected) = expect.code.as_ref().filter(|code| error["code"] != **code) {
@@ -108,11 +108,11 @@
     for (pointer, expected) in &expect.json {
         let found = value.pointer(pointer).unwrap_or(&Value::Null);
         let expected = match expected {
-            Value::String(text) => Value::String(fill(text, variables)?),
+            Value::String(text) => Value::String(substitute(text, variables)?),
             other => other.clone(),
         };
-        let is_as_expected = if expected == "*" { !found.is_null() } else { *found == expected };
-        if !is_as_expected {
+        let matches = if expected == "*" { !found.is_null() } else { *found == expected };
+        if !matches {
             return Err(Mismatch::Json { pointer: pointer.clone(), found: found.clone(), expected });
         }
     }
@@ -121,16 +121,16 @@
 
 fn check_stream(expect: &Expect, answer: &Answer) -> Result<(), Mismatch> {
     let Some(grammar) = &expect.grammar else { return Ok(()) };
-    let media_type = answer.headers.get("content-type");
-    if !media_type.is_some_and(|media_type| media_type.starts_with("text/event-stream")) {
+    let content_type = answer.headers.get("content-type");
+    if !content_type.is_some_and(|content_type| content_type.starts_with("text/event-stream")) {
         return Err(Mismatch::NotAStream);
     }
     grammar::check(grammar, &answer.body, expect.choices.unwrap_or(1), expect.usage)
         .map_err(|violation| Mismatch::Grammar { violation, body: excerpt(&answer.body) })
 }
 
-/// The beginning of a body, on one line.
+/// The beginning of a body, on one line, for an error message.
 fn excerpt(body: &str) -> String {
-    let text: String = body.chars().take(EXCERPT_CHARS).collect();
+    let text: String = body.chars().take(MAX_EXCERPT_CHARS).collect();
     text.replace('\n', " ")
 }
--- a/crates/conform/src/grammar.rs
+++ b/crates/conform/src/grammar.rs
@@ -1,4 +1,4 @@
-//! What the events of a stream must look like, each kind by its published order.
+//! Checks the events of a stream, and their order, against the published format of its API.
 
 use std::collections::BTreeMap;
 
@@ -10,14 +10,16 @@
 const DONE: &str = "[DONE]";
 const CHAT_OBJECT: &str = "chat.completion.chunk";
 const COMPLETION_OBJECT: &str = "text_completion";
-/// A response has at least the two opening events, one of an item's, its end and the last event.
+/// A stream of a response has at least: `response.created`, `response.in_progress`, an event that adds an output item,
+/// one that completes the item, and the final event.
 const MIN_RESPONSE_EVENTS: usize = 5;
 
-/// Checks a stream against a grammar: `chat`, `completion` or `response`; `cut` or `cut-response` for one that breaks
-/// off.
+/// Checks a stream against a grammar: `chat`, `completion` or `response`; `cut` (chunks) or `cut-response` for a stream
+/// that ends early with an error. `choices` and `usage`, the expected number of choices and whether a usage chunk is
+/// expected, matter to `chat` and `completion` only.
 ///
 /// # Errors
-/// The first thing that is not as published.
+/// The first deviation from the published format.
 pub(crate) fn check(grammar: &str, body: &str, choices: usize, usage: bool) -> Result<(), Violation> {
     match grammar {
         "chat" => check_chunks(body, CHAT_OBJECT, choices, usage),
@@ -29,11 +31,12 @@
     }
 }
 
-/// A stream of chunks that breaks off: chunks, then exactly one error, and nothing that looks like an end.
+/// A stream of chunks that ends early: at least one chunk, then exactly one error event; no `finish_reason` and no
+/// `[DONE]`, either of which a client would take for a complete answer.
 fn check_cut_chunks(body: &str) -> Result<(), Violation> {
     let events = parse_events(body)?;
-    let (last, before) = events.split_last().ok_or(Violation::Empty)?;
-    ensure(!before.is_empty(), || Violation::NothingBeforeError)?;
+    let (last, before) = events.split_last().ok_or(Violation::NoEvents)?;
+    ensure(!before.is_empty(), || Violation::NoChunkBeforeError)?;
     for event in before {
         ensure(event.data != DONE, || Violation::DoneInCutStream)?;
         let chunk = event.json()?;
@@ -45,62 +48,62 @@
     let error = &last.json()?["error"];
     let is_error =
         error["message"].is_string() && error["type"] == "server_error" && error["code"].is_string();
-    ensure(is_error, || Violation::LastIsNoError(last.data.clone()))
+    ensure(is_error, || Violation::MissingError(last.data.clone()))
 }
 
-/// A response that breaks off: numbered events, the last of which reports the failure.
+/// A stream of a response that ends early: numbered events, the last one `response.failed` with an error message.
 fn check_cut_response(body: &str) -> Result<(), Violation> {
     let events = parse_events(body)?;
-    let (last, before) = events.split_last().ok_or(Violation::Empty)?;
+    let (last, before) = events.split_last().ok_or(Violation::NoEvents)?;
     for (at, event) in events.iter().enumerate() {
         let number = &event.json()?["sequence_number"];
-        ensure(*number == at, || Violation::SequenceNumber { at, number: number.clone() })?;
+        ensure(*number == at, || Violation::WrongSequenceNumber { at, number: number.clone() })?;
     }
     let is_completion = |event: &Event| event.name.as_deref() == Some("response.completed");
-    ensure(!before.iter().any(is_completion), || Violation::GoesOnAfterCompletion)?;
+    ensure(!before.iter().any(is_completion), || Violation::EventsAfterCompletion)?;
     let response = &last.json()?["response"];
     let is_failure = response["status"] == "failed" && response["error"]["message"].is_string();
     let is_named = last.name.as_deref() == Some("response.failed");
-    ensure(is_failure && is_named, || Violation::LastIsNoFailure(last.data.clone()))
+    ensure(is_failure && is_named, || Violation::MissingFailure(last.data.clone()))
 }
 
 fn check_chunks(body: &str, object: &'static str, choices: usize, usage: bool) -> Result<(), Violation> {
     let events = parse_events(body)?;
-    let (last, chunks) = events.split_last().ok_or(Violation::Empty)?;
-    ensure(last.data == DONE, || Violation::LastIsNotDone(last.data.clone()))?;
+    let (last, chunks) = events.split_last().ok_or(Violation::NoEvents)?;
+    ensure(last.data == DONE, || Violation::MissingDone(last.data.clone()))?;
     let mut checker = ChunkChecker { object, choices, ..ChunkChecker::default() };
     for (at, event) in chunks.iter().enumerate() {
-        ensure(event.data != DONE, || Violation::EarlyDone)?;
+        ensure(event.data != DONE, || Violation::MisplacedDone)?;
         checker.check_chunk(&event.json()?, at + 1 == chunks.len())?;
     }
     checker.check_end(usage)
 }
 
-/// What has been seen of a stream of chunks.
+/// Checks the chunks of one stream in order; holds what was seen so far.
 #[derive(Default)]
 struct ChunkChecker {
     object: &'static str,
     choices: usize,
-    /// By index: whether a choice has ended.
+    /// Whether each choice has had its `finish_reason`, by index.
     ended: BTreeMap<usize, bool>,
-    /// Id, model and time of the first chunk.
+    /// `id`, `model` and `created` of the first chunk, which all others must repeat.
     metadata: Option<[Value; 3]>,
     usage_events: usize,
 }
 
 impl ChunkChecker {
     fn check_chunk(&mut self, chunk: &Value, is_last: bool) -> Result<(), Violation> {
-        ensure(chunk["error"].is_null(), || Violation::ErrorEvent(chunk["error"].clone()))?;
-        ensure(chunk["object"] == self.object, || Violation::Object(chunk["object"].clone()))?;
-        ensure(chunk["created"].is_u64(), || Violation::Created(chunk["created"].clone()))?;
+        ensure(chunk["error"].is_null(), || Violation::UnexpectedError(chunk["error"].clone()))?;
+        ensure(chunk["object"] == self.object, || Violation::WrongObject(chunk["object"].clone()))?;
+        ensure(chunk["created"].is_u64(), || Violation::InvalidCreated(chunk["created"].clone()))?;
         self.check_metadata(chunk)?;
         let choices = chunk["choices"].as_array().ok_or(Violation::ChoicesNotArray)?;
         if choices.is_empty() {
             self.usage_events += 1;
             ensure(chunk["usage"]["total_tokens"].is_u64(), || Violation::UsageMissing)?;
-            return ensure(is_last, || Violation::EarlyUsage);
+            return ensure(is_last, || Violation::MisplacedUsage);
         }
-        ensure(chunk["usage"].is_null(), || Violation::UsageBesideChoice)?;
+        ensure(chunk["usage"].is_null(), || Violation::UsageWithChoices)?;
         for choice in choices {
             self.check_choice(choice)?;
         }
@@ -109,9 +112,9 @@
 
     fn check_metadata(&mut self, chunk: &Value) -> Result<(), Violation> {
         let metadata = [chunk["id"].clone(), chunk["model"].clone(), chunk["created"].clone()];
-        ensure(metadata[0].is_string() && metadata[1].is_string(), || Violation::IdOrModelNotText)?;
+        ensure(metadata[0].is_string() && metadata[1].is_string(), || Violation::IdOrModelNotString)?;
         let first = self.metadata.get_or_insert_with(|| metadata.clone());
-        ensure(*first == metadata, || Violation::MetadataChanges)
+        ensure(*first == metadata, || Violation::MetadataChanged)
     }
 
     fn check_choice(&mut self, choice: &Value) -> Result<(), Violation> {
@@ -122,7 +125,7 @@
             ensure(choice["delta"].is_object(), || Violation::ChoiceWithoutDelta)?;
             let role = &choice["delta"]["role"];
             let is_first = !self.ended.contains_key(&index);
-            ensure(!is_first || role == "assistant", || Violation::FirstRole(role.clone()))?;
+            ensure(!is_first || role == "assistant", || Violation::WrongFirstRole(role.clone()))?;
             ensure(is_first || role.is_null(), || Violation::RepeatedRole)?;
         } else {
             ensure(choice["text"].is_string(), || Violation::ChoiceWithoutText)?;
@@ -135,9 +138,9 @@
 
     fn check_end(&self, usage: bool) -> Result<(), Violation> {
         let (found, expected) = (self.ended.len(), self.choices);
-        ensure(found == expected, || Violation::ChoiceCount { found, expected })?;
-        ensure(self.ended.values().all(|has_ended| *has_ended), || Violation::ChoiceWithoutEnd)?;
-        ensure(self.usage_events == usize::from(usage), || Violation::UsageCount(self.usage_events))
+        ensure(found == expected, || Violation::WrongChoiceCount { found, expected })?;
+        ensure(self.ended.values().all(|has_ended| *has_ended), || Violation::MissingFinishReason)?;
+        ensure(self.usage_events == usize::from(usage), || Violation::WrongUsageCount(self.usage_events))
     }
 }
 
@@ -150,28 +153,30 @@
     ensure(events.len() >= MIN_RESPONSE_EVENTS, || Violation::TooFewEvents(events.len()))
 }
 
-/// What has been seen of the stream of a response.
+/// Checks the events of one response in order; holds what was seen so far.
 #[derive(Default)]
 struct ResponseChecker {
-    /// What the deltas of each item add up to, by its id.
+    /// Concatenated deltas, by item id.
     texts: BTreeMap<String, String>,
-    /// Items that have begun and not ended.
+    /// Ids of output items that were added and are not yet done.
     open: Vec<String>,
+    /// Number of output items that are done.
     ended: usize,
 }
 
 impl ResponseChecker {
+    /// Checks the event at position `at` of `events`.
     fn check_event(&mut self, event: &Event, at: usize, events: usize) -> Result<(), Violation> {
         let value = event.json()?;
         let event_type = value["type"].as_str().ok_or(Violation::EventWithoutType)?;
-        ensure(event.name.as_deref() == Some(event_type), || Violation::EventName {
+        ensure(event.name.as_deref() == Some(event_type), || Violation::EventNameMismatch {
             name: event.name.clone(),
             event_type: event_type.to_owned(),
         })?;
         let number = &value["sequence_number"];
-        ensure(*number == at, || Violation::SequenceNumber { at, number: number.clone() })?;
-        let is_end = matches!(event_type, "response.completed" | "response.incomplete" | "response.failed");
-        ensure(is_end == (at + 1 == events), || Violation::EndMisplaced {
+        ensure(*number == at, || Violation::WrongSequenceNumber { at, number: number.clone() })?;
+        let is_final = matches!(event_type, "response.completed" | "response.incomplete" | "response.failed");
+        ensure(is_final == (at + 1 == events), || Violation::MisplacedFinalEvent {
             event_type: event_type.to_owned(),
             at,
             events,
@@ -183,13 +188,13 @@
             })?,
             _ => {}
         }
-        self.check_type(event_type, &value)
+        self.check_by_type(event_type, &value)
     }
 
-    /// Checks what the type of an event asks for.
-    fn check_type(&mut self, event_type: &str, value: &Value) -> Result<(), Violation> {
+    /// Checks the rules that apply to events of this type.
+    fn check_by_type(&mut self, event_type: &str, value: &Value) -> Result<(), Violation> {
         let item = value["item_id"].as_str().or_else(|| value["item"]["id"].as_str()).unwrap_or("");
-        let collected = self.texts.get(item).map_or("", String::as_str);
+        let concatenated = self.texts.get(item).map_or("", String::as_str);
         match event_type {
             "response.output_item.added" => {
                 self.open.push(item.to_owned());
@@ -198,12 +203,12 @@
             "response.output_text.delta" | "response.function_call_arguments.delta" => {
                 self.add_delta(event_type, item, &value["delta"])
             }
-            "response.output_text.done" => ensure(value["text"] == collected, || Violation::TextDiffers),
+            "response.output_text.done" => ensure(value["text"] == concatenated, || Violation::TextMismatch),
             "response.function_call_arguments.done" => {
-                ensure(value["arguments"] == collected, || Violation::ArgumentsDiffer)
+                ensure(value["arguments"] == concatenated, || Violation::ArgumentsMismatch)
             }
             "response.output_item.done" => {
-                ensure(self.is_open(item), || Violation::EndOfClosedItem)?;
+                ensure(self.is_open(item), || Violation::DoneForUnopenedItem)?;
                 self.open.retain(|open| open != item);
                 self.ended += 1;
                 Ok(())
@@ -218,21 +223,21 @@
     }
 
     fn add_delta(&mut self, event_type: &str, item: &str, delta: &Value) -> Result<(), Violation> {
-        ensure(self.is_open(item), || Violation::DeltaOfClosedItem(event_type.to_owned()))?;
-        let delta = delta.as_str().ok_or(Violation::DeltaNotText)?;
+        ensure(self.is_open(item), || Violation::DeltaForUnopenedItem(event_type.to_owned()))?;
+        let delta = delta.as_str().ok_or(Violation::DeltaNotString)?;
         self.texts.entry(item.to_owned()).or_default().push_str(delta);
         Ok(())
     }
 
     fn check_end(&self, event_type: &str, response: &Value) -> Result<(), Violation> {
-        ensure(self.open.is_empty(), || Violation::ItemWithoutEnd)?;
+        ensure(self.open.is_empty(), || Violation::UnfinishedItem)?;
         let (output, ended) = (response["output"].as_array().map_or(0, Vec::len), self.ended);
-        ensure(output == ended && ended > 0, || Violation::OutputCount { output, ended })?;
+        ensure(output == ended && ended > 0, || Violation::OutputCountMismatch { output, ended })?;
         let status = response["status"].as_str().unwrap_or("");
-        ensure(event_type.ends_with(status) && !status.is_empty(), || Violation::Status {
+        ensure(event_type.ends_with(status) && !status.is_empty(), || Violation::StatusMismatch {
             event_type: event_type.to_owned(),
             status: status.to_owned(),
         })?;
-        ensure(response["usage"]["total_tokens"].is_u64(), || Violation::NoUsageAtEnd)
+        ensure(response["usage"]["total_tokens"].is_u64(), || Violation::MissingFinalUsage)
     }
 }
--- a/crates/conform/src/lib.rs
+++ b/crates/conform/src/lib.rs
@@ -1,8 +1,12 @@
-//! A conformance suite for OpenAI-style fronts with streamed events: cases are data ([`mod@cases`]), run against any address
-//! on loopback ([`run`]). A case that could not be run is reported as such, never as passed.
+//! A conformance suite for fronts that serve the OpenAI HTTP API, streams of server-sent events included. The cases
+//! are TOML files ([`mod@cases`]); [`run`] executes them against one loopback address. A case that could not be run
+//! is reported as [`CaseResult::NotRun`], never as passed.
 //!
-//! Order of the modules, lower ones first: `target`, `cases`; `events` and `violation`, then `grammar`; `setup` (a step's request),
-//! `exchange` (its answer), `expectation` (what the answer must hold); `runner`.
+//! "Answer" is used for the HTTP response to a request; "response" is an object of the Responses API (`/v1/responses`).
+//!
+//! Modules from the lowest layer up: `target` and `cases`; `events` and `violation`, then `grammar` (rules for
+//! streams); `setup` (builds a step's request), `exchange` (sends the request and reads the answer), `expectation`
+//! (compares the answer with the expected values); `runner`.
 
 mod cases;
 mod events;
--- a/crates/conform/src/runner.rs
+++ b/crates/conform/src/runner.rs
@@ -1,4 +1,4 @@
-//! Runs cases against an address.
+//! Runs cases against a front.
 
 use std::fmt::Display;
 
@@ -10,27 +10,27 @@
 use crate::setup::{request_bytes, Variables};
 use crate::target::Target;
 
-/// What a case came to.
+/// The outcome of a case.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CaseResult {
-    /// All was as expected.
+    /// Every answer was as expected.
     Passed,
-    /// Something was not: in which step, and what.
+    /// An answer was not as expected: the step and the difference.
     Failed(String),
-    /// It could not be run: in which step, and why.
+    /// The case could not be run: the step, where there is one, and the reason.
     NotRun(String),
 }
 
-/// A case and what it came to.
+/// The outcome of one case.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CaseReport {
-    /// The case's name.
+    /// The name of the case, [`Case::name`].
     pub name: String,
-    /// What it came to.
+    /// Whether the case passed, and if not, why.
     pub result: CaseResult,
 }
 
-/// Runs these cases, one after the other.
+/// Runs the cases one after the other; the reports are in the same order.
 pub async fn run(target: &Target, cases: &[Case]) -> Vec<CaseReport> {
     let mut reports = Vec::new();
     for case in cases {
@@ -40,7 +40,7 @@
     reports
 }
 
-/// Why a case did not pass.
+/// Why a step did not pass.
 enum NotPassed {
     Failed(Mismatch),
     NotRun(Box<dyn Display + Send>),
@@ -49,7 +49,7 @@
 async fn run_case(target: &Target, case: &Case) -> CaseResult {
     let steps = case.steps();
     if steps.is_empty() || steps.iter().any(|step| step.expect.status == 0) {
-        return CaseResult::NotRun("the case expects nothing".to_owned());
+        return CaseResult::NotRun("the case has a step without an expected status".to_owned());
     }
     let mut variables = variables(target, case);
     let mut bodies: Vec<String> = Vec::new();
@@ -63,6 +63,8 @@
     CaseResult::Passed
 }
 
+/// The variables that are known before the first step. The nonce differs per case, so that idempotency
+/// keys and prompts that contain it are not shared between cases.
 fn variables(target: &Target, case: &Case) -> Variables {
     let mut variables = Variables::from([
         ("model".to_owned(), target.model.clone()),
@@ -76,28 +78,28 @@
     variables
 }
 
-/// Runs a step; returns the body of its answer.
+/// Runs a step and returns the body of its answer.
 async fn run_step(
     target: &Target,
     step: &Step,
-    earlier: &[String],
+    earlier_bodies: &[String],
     variables: &mut Variables,
 ) -> Result<String, NotPassed> {
     let request =
         request_bytes(target, step, variables).map_err(|error| NotPassed::NotRun(Box::new(error)))?;
     let answer =
         exchange(target.address, &request).await.map_err(|error| NotPassed::NotRun(Box::new(error)))?;
-    check_answer(&step.expect, &answer, earlier, variables).map_err(NotPassed::Failed)?;
+    check_answer(&step.expect, &answer, earlier_bodies, variables).map_err(NotPassed::Failed)?;
     capture(step, &answer.body, variables).map_err(NotPassed::Failed)?;
     Ok(answer.body)
 }
 
-/// Keeps the values of an answer that later steps use.
+/// Stores the strings that [`Step::capture`] names as variables.
 fn capture(step: &Step, body: &str, variables: &mut Variables) -> Result<(), Mismatch> {
     for (name, pointer) in &step.capture {
         let value: Value = serde_json::from_str(body).unwrap_or_default();
         let Some(text) = value.pointer(pointer).and_then(Value::as_str) else {
-            return Err(Mismatch::NoCapture { pointer: pointer.clone() });
+            return Err(Mismatch::NoStringToCapture { pointer: pointer.clone() });
         };
         variables.insert(name.clone(), text.to_owned());
     }
--- a/crates/conform/src/setup.rs
+++ b/crates/conform/src/setup.rs
@@ -1,4 +1,4 @@
-//! The request of a step: a good body with the step's changes, or the step's own bytes.
+//! Builds the HTTP request of a step: a valid body with the step's patch, or the step's literal body.
 
 use std::collections::BTreeMap;
 
@@ -7,30 +7,31 @@
 use crate::cases::Step;
 use crate::target::Target;
 
-/// Values for `{NAME}` in cases.
+/// Values for `{NAME}` in the texts of cases, by name.
 pub(crate) type Variables = BTreeMap<String, String>;
 
-/// Why a step's request can't be made.
+/// Why the request of a step can't be built.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum SetupError {
     #[error("a second tenant's key is needed")]
-    NoOtherKey,
-    #[error("there is no base '{0}'")]
+    MissingOtherKey,
+    #[error("unknown base '{0}'")]
     UnknownBase(String),
-    #[error("set: {0}")]
-    Patch(#[source] serde_json::Error),
-    #[error("hex: no bytes")]
-    Hex,
+    #[error("set is not valid JSON: {0}")]
+    InvalidPatch(#[source] serde_json::Error),
+    #[error("hex is not pairs of hexadecimal digits")]
+    InvalidHex,
 }
 
-/// Fills in variables.
-pub(crate) fn fill(text: &str, variables: &Variables) -> Result<String, SetupError> {
+/// Replaces each `{NAME}` by its variable. Fails if the second tenant's key is used and not known; other unknown names
+/// are left as they are.
+pub(crate) fn substitute(text: &str, variables: &Variables) -> Result<String, SetupError> {
     let mut text = text.to_owned();
     for (name, value) in variables {
         text = text.replace(&format!("{{{name}}}"), value);
     }
     if text.contains("{other_key}") {
-        return Err(SetupError::NoOtherKey);
+        return Err(SetupError::MissingOtherKey);
     }
     Ok(text)
 }
@@ -45,7 +46,7 @@
     let default_method = if body.is_empty() { "GET" } else { "POST" };
     let method = step.method.as_deref().unwrap_or(default_method);
     let headers = headers(target, step, variables, body.len())?;
-    let mut request = format!("{method} {} HTTP/1.1\r\n", fill(&path, variables)?).into_bytes();
+    let mut request = format!("{method} {} HTTP/1.1\r\n", substitute(&path, variables)?).into_bytes();
     for (name, value) in headers.iter().filter(|(_, value)| !value.is_empty()) {
         request.extend(format!("{name}: {value}\r\n").bytes());
     }
@@ -64,14 +65,15 @@
     if let Some(name) = &step.base {
         let (base_path, mut value) = base_request(name, target)?;
         if let Some(patch) = &step.set {
-            let patch = serde_json::from_str(&fill(patch, variables)?).map_err(SetupError::Patch)?;
+            let patch =
+                serde_json::from_str(&substitute(patch, variables)?).map_err(SetupError::InvalidPatch)?;
             merge_patch(&mut value, &patch);
         }
         path = base_path;
         body = value.to_string().into_bytes();
     }
     if let Some(raw) = &step.raw {
-        body = fill(raw, variables)?.into_bytes();
+        body = substitute(raw, variables)?.into_bytes();
     }
     if let Some(hex) = &step.hex {
         body = decode_hex(hex)?;
@@ -79,7 +81,7 @@
     Ok((step.path.clone().unwrap_or_else(|| path.to_owned()), body))
 }
 
-/// A good request of this name: its path and its body.
+/// Path and body of the valid request with this name.
 fn base_request(name: &str, target: &Target) -> Result<(&'static str, Value), SetupError> {
     let question = "Is a kiln free on Friday?";
     match name {
@@ -93,6 +95,7 @@
     }
 }
 
+/// The default headers, then those of the step, by lower-case name.
 fn headers(
     target: &Target,
     step: &Step,
@@ -109,23 +112,23 @@
     }
     headers.insert("connection".to_owned(), "close".to_owned());
     for (name, value) in &step.headers {
-        headers.insert(name.to_ascii_lowercase(), fill(value, variables)?);
+        headers.insert(name.to_ascii_lowercase(), substitute(value, variables)?);
     }
     Ok(headers)
 }
 
-/// A merge patch (RFC 7396), but that `null` sets a field to `null`.
-fn merge_patch(into: &mut Value, patch: &Value) {
+/// Applies a merge patch (RFC 7396), except that `null` sets a field to `null` and doesn't remove it.
+fn merge_patch(document: &mut Value, patch: &Value) {
     let Value::Object(patch) = patch else { return };
     for (name, value) in patch {
         match value {
-            Value::Object(_) if into[name].is_object() => merge_patch(&mut into[name], value),
-            _ => into[name] = value.clone(),
+            Value::Object(_) if document[name].is_object() => merge_patch(&mut document[name], value),
+            _ => document[name] = value.clone(),
         }
     }
 }
 
 fn decode_hex(hex: &str) -> Result<Vec<u8>, SetupError> {
     let byte = |at| u8::from_str_radix(hex.get(at..at + 2)?, 16).ok();
-    (0..hex.len()).step_by(2).map(byte).collect::<Option<_>>().ok_or(SetupError::Hex)
+    (0..hex.len()).step_by(2).map(byte).collect::<Option<_>>().ok_or(SetupError::InvalidHex)
 }
--- a/crates/conform/src/target.rs
+++ b/crates/conform/src/target.rs
@@ -1,20 +1,20 @@
-//! The front under test.
+//! The front under test and the credentials and models to use with it.
 
 use std::net::SocketAddr;
 
-/// The front under test.
+/// The front under test, and the values that requests to it need.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// Where it listens: on loopback.
+    /// Address of the front, on loopback.
     pub address: SocketAddr,
-    /// The API key that is sent, if any.
+    /// API key for the `Authorization` header; without one no such header is sent.
     pub key: Option<String>,
-    /// A second tenant's key: without one, cases that need it are not run.
+    /// API key of a second tenant; if `None`, cases that use one are reported as not run.
     pub other_key: Option<String>,
-    /// A model whose requests may be repeated.
+    /// A model of an idempotent class: the front may run a request again.
     pub model: String,
-    /// A model whose requests must not run twice.
+    /// A model of an at-most-once class: the front must never run a request twice.
     pub once: String,
-    /// Makes this run's keys and texts its own.
+    /// Unique per run: makes idempotency keys and prompts differ from those of earlier runs against the same front.
     pub nonce: String,
 }
--- a/crates/conform/src/violation.rs
+++ b/crates/conform/src/violation.rs
@@ -1,119 +1,119 @@
-//! What can be wrong with a stream.
+//! The ways in which a stream of server-sent events can break the published format.
 
 use serde_json::Value;
 
-/// The first thing in a stream that is not as published.
+/// The first deviation from the published format that was found in a stream.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Violation {
-    #[error("there is no grammar '{0}'")]
+    #[error("unknown grammar '{0}'")]
     UnknownGrammar(String),
     #[error("the stream does not end with a blank line")]
     NoFinalBlankLine,
-    #[error("'{0}' is no line of an event")]
-    UnknownLine(String),
-    #[error("an event is no JSON: {source}: {data}")]
+    #[error("'{0}' is not a valid line of a server-sent event")]
+    InvalidEventLine(String),
+    #[error("the data of an event is not valid JSON: {source}: {data}")]
     InvalidJson { source: serde_json::Error, data: String },
-    #[error("the stream is empty")]
-    Empty,
+    #[error("the stream has no events")]
+    NoEvents,
 
-    // Streams of chunks.
+    // Streams of chat or completion chunks.
     #[error("the last event is not [DONE]: {0}")]
-    LastIsNotDone(String),
-    #[error("[DONE] comes before the end")]
-    EarlyDone,
-    #[error("an error: {0}")]
-    ErrorEvent(Value),
-    #[error("object is {0}")]
-    Object(Value),
-    #[error("created is {0}")]
-    Created(Value),
-    #[error("id or model is no text")]
-    IdOrModelNotText,
-    #[error("id, model or created change within the stream")]
-    MetadataChanges,
-    #[error("choices is no array")]
+    MissingDone(String),
+    #[error("[DONE] is not the last event")]
+    MisplacedDone,
+    #[error("the stream has an error event: {0}")]
+    UnexpectedError(Value),
+    #[error("unexpected value of object: {0}")]
+    WrongObject(Value),
+    #[error("created is not an unsigned integer: {0}")]
+    InvalidCreated(Value),
+    #[error("id or model is not a string")]
+    IdOrModelNotString,
+    #[error("id, model or created changes within the stream")]
+    MetadataChanged,
+    #[error("choices is not an array")]
     ChoicesNotArray,
-    #[error("the usage event tells no usage")]
+    #[error("the usage chunk has no usage.total_tokens")]
     UsageMissing,
-    #[error("usage comes before the last choice's end")]
-    EarlyUsage,
-    #[error("usage beside a choice")]
-    UsageBesideChoice,
-    #[error("a choice without an index")]
+    #[error("the usage chunk is not the last one before [DONE]")]
+    MisplacedUsage,
+    #[error("a chunk with choices also has usage")]
+    UsageWithChoices,
+    #[error("a choice has no index")]
     ChoiceWithoutIndex,
-    #[error("choice {index} of {choices}")]
+    #[error("choice index {index} is out of range: {choices} choices expected")]
     ChoiceOutOfRange { index: usize, choices: usize },
-    #[error("a choice without a delta")]
+    #[error("a choice has no delta")]
     ChoiceWithoutDelta,
-    #[error("the first delta's role is {0}")]
-    FirstRole(Value),
-    #[error("the role is told again")]
+    #[error("the role in the first delta of a choice is {0}, not \"assistant\"")]
+    WrongFirstRole(Value),
+    #[error("the role is repeated in a later delta of the same choice")]
     RepeatedRole,
-    #[error("a choice without a text")]
+    #[error("a choice has no text")]
     ChoiceWithoutText,
-    #[error("choice {0} goes on after its end")]
+    #[error("choice {0} continues after its finish_reason")]
     ChoiceAfterEnd(usize),
-    #[error("{found} of {expected} choices")]
-    ChoiceCount { found: usize, expected: usize },
-    #[error("a choice without a finish_reason")]
-    ChoiceWithoutEnd,
-    #[error("{0} usage events")]
-    UsageCount(usize),
+    #[error("the stream has {found} choices, {expected} expected")]
+    WrongChoiceCount { found: usize, expected: usize },
+    #[error("a choice has no finish_reason")]
+    MissingFinishReason,
+    #[error("unexpected number of usage chunks: {0}")]
+    WrongUsageCount(usize),
 
-    // Streams of chunks that break off.
-    #[error("nothing came before the error")]
-    NothingBeforeError,
-    #[error("[DONE] in a stream that broke off")]
+    // Streams of chunks that end with an error event.
+    #[error("there is no chunk before the error event")]
+    NoChunkBeforeError,
+    #[error("a stream that ends with an error has [DONE]")]
     DoneInCutStream,
-    #[error("more than one error")]
+    #[error("the stream has more than one error event")]
     SecondError,
-    #[error("an answer that broke off has finish_reason {0}")]
+    #[error("a stream that ends with an error has finish_reason {0}")]
     FinishReasonInCutStream(Value),
-    #[error("the last event is no error: {0}")]
-    LastIsNoError(String),
+    #[error("the last event is not a server_error with message and code: {0}")]
+    MissingError(String),
 
-    // Streams of responses.
-    #[error("event {at} has number {number}")]
-    SequenceNumber { at: usize, number: Value },
-    #[error("an event without a type")]
+    // Streams of the Responses API.
+    #[error("event {at} has sequence_number {number}")]
+    WrongSequenceNumber { at: usize, number: Value },
+    #[error("an event has no type")]
     EventWithoutType,
-    #[error("event: {name:?} is of type {event_type}")]
-    EventName { name: Option<String>, event_type: String },
-    #[error("{event_type} is event {at} of {events}")]
-    EndMisplaced { event_type: String, at: usize, events: usize },
-    #[error("the first event is {0}")]
+    #[error("the event name {name:?} differs from the type {event_type}")]
+    EventNameMismatch { name: Option<String>, event_type: String },
+    #[error("{event_type} at position {at} of {events}: exactly the last event must be a final one")]
+    MisplacedFinalEvent { event_type: String, at: usize, events: usize },
+    #[error("the first event is {0}, not response.created")]
     FirstEvent(String),
-    #[error("the second event is {0}")]
+    #[error("the second event is {0}, not response.in_progress")]
     SecondEvent(String),
-    #[error("{0} of an item that is not open")]
-    DeltaOfClosedItem(String),
-    #[error("a delta that is no text")]
-    DeltaNotText,
-    #[error("the text is not that of its deltas")]
-    TextDiffers,
-    #[error("arguments are not those of their deltas")]
-    ArgumentsDiffer,
-    #[error("an item ends that is not open")]
-    EndOfClosedItem,
-    #[error("an item has not ended")]
-    ItemWithoutEnd,
-    #[error("{output} items told, {ended} ended")]
-    OutputCount { output: usize, ended: usize },
-    #[error("{event_type} with status {status}")]
-    Status { event_type: String, status: String },
-    #[error("no usage at the end")]
-    NoUsageAtEnd,
-    #[error("{0} events")]
+    #[error("{0} for an output item that is not open")]
+    DeltaForUnopenedItem(String),
+    #[error("a delta is not a string")]
+    DeltaNotString,
+    #[error("the final text differs from the concatenated deltas")]
+    TextMismatch,
+    #[error("the final arguments differ from the concatenated deltas")]
+    ArgumentsMismatch,
+    #[error("response.output_item.done for an item that is not open")]
+    DoneForUnopenedItem,
+    #[error("an output item has no response.output_item.done")]
+    UnfinishedItem,
+    #[error("the final response lists {output} output items, {ended} were completed in the stream")]
+    OutputCountMismatch { output: usize, ended: usize },
+    #[error("{event_type} has status '{status}'")]
+    StatusMismatch { event_type: String, status: String },
+    #[error("the final response has no usage.total_tokens")]
+    MissingFinalUsage,
+    #[error("too few events for a response: {0}")]
     TooFewEvents(usize),
 
-    // Streams of responses that break off.
-    #[error("completed, and yet it goes on")]
-    GoesOnAfterCompletion,
-    #[error("the last event: {0}")]
-    LastIsNoFailure(String),
+    // Streams of the Responses API that end with `response.failed`.
+    #[error("events follow response.completed")]
+    EventsAfterCompletion,
+    #[error("the last event is not response.failed with an error message: {0}")]
+    MissingFailure(String),
 }
 
-/// Fails with the violation unless the rule holds.
+/// Returns the violation as an error unless the rule holds. The violation is built only in that case.
 pub(crate) fn ensure(holds: bool, violation: impl FnOnce() -> Violation) -> Result<(), Violation> {
     if holds {
         Ok(())
