--- a/crates/test-peers/src/client.rs
+++ b/crates/test-peers/src/client.rs
@@ -1,4 +1,4 @@
-//! A plain client that sends texts and reads what comes.
+//! A client that sends fixed texts, and the requests that tests send with it.
 
 use std::net::SocketAddr;
 
@@ -6,12 +6,13 @@
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::TcpStream;
 
-/// Sends a text, and reads until the other side closes or `enough` says so; then closes.
-pub async fn talk(to: SocketAddr, text: &str, enough: impl Fn(&str) -> bool) -> String {
+/// Sends a text on a new connection and returns what was received until the other side closed or reset the connection,
+/// or `is_complete` accepted the text so far; then closes.
+pub async fn talk(to: SocketAddr, text: &str, is_complete: impl Fn(&str) -> bool) -> String {
     let mut stream = TcpStream::connect(to).await.unwrap();
     stream.write_all(text.as_bytes()).await.unwrap();
     let mut read = Vec::new();
-    while !enough(&String::from_utf8_lossy(&read)) {
+    while !is_complete(&String::from_utf8_lossy(&read)) {
         match stream.read_buf(&mut read).await {
             Ok(0) | Err(_) => break,
             Ok(_) => {}
@@ -20,12 +21,13 @@
     String::from_utf8(read).unwrap()
 }
 
-/// The same, until the other side closes.
+/// Sends a text on a new connection and returns what was received until the other side closed or reset it.
 pub async fn until_close(to: SocketAddr, text: &str) -> String {
     talk(to, text, |_| false).await
 }
 
-/// A request of the platform's.
+/// A streaming request to the platform front: `id` is its transaction (`X-Txn`), `lane` its class, `remaining` the time
+/// until its deadline (s). The prompt has 100 tokens, the answer at most 8.
 #[must_use]
 pub fn platform(id: &str, lane: &str, remaining: &str) -> String {
     let body = "{\"stream\":true}";
@@ -37,7 +39,7 @@
     )
 }
 
-/// A request of the chat API.
+/// A chat request with a system and a user message, sent with the key `key-of-clay`.
 #[must_use]
 pub fn chat(model: &str, stream: bool) -> String {
     let body = json!({"model": model, "stream": stream, "messages": [
@@ -47,7 +49,7 @@
     post(&body, "key-of-clay")
 }
 
-/// A POST of the chat API with this body.
+/// A chat request with this body and API key.
 #[must_use]
 pub fn post(body: &str, key: &str) -> String {
     format!(
@@ -57,18 +59,18 @@
     )
 }
 
-/// The body of a chunked answer, and whether its last chunk came.
+/// Decodes the chunked body of an answer; the flag is whether its last chunk was received.
 #[must_use]
 pub fn body(answer: &str) -> (String, bool) {
     let (_, mut rest) = answer.split_once("\r\n\r\n").unwrap();
-    let mut whole = String::new();
+    let mut decoded = String::new();
     while let Some((length, after)) = rest.split_once("\r\n") {
         let length = usize::from_str_radix(length, 16).unwrap();
         if length == 0 {
-            return (whole, true);
+            return (decoded, true);
         }
-        whole.push_str(&after[..length]);
+        decoded.push_str(&after[..length]);
         rest = &after[length + 2..];
     }
-    (whole, false)
+    (decoded, false)
 }
--- a/crates/test-peers/src/lib.rs
+++ b/crates/test-peers/src/lib.rs
@@ -1,7 +1,12 @@
-//! Test doubles of this repository's own for the peers that a dispatcher speaks with, on loopback ports that the system
-//! picks: servers with a given behavior ([`Server`]), a fleet of readers and writers that records every request it
-//! started to answer ([`Fleet`]), a discovery agent ([`Agent`]), a plain client, a peer whose every step is the
-//! test's ([`Peer`]), a front that is malformed in one way ([`Malformation`]), and a faulty network ([`FaultyNetwork`]).
+//! Test doubles for the peers of a dispatcher, on loopback ports chosen by the operating system:
+//!
+//! - [`Server`]: a model server that treats every request alike,
+//! - [`Fleet`]: readers and writers that record every request that a writer started to answer,
+//! - [`Agent`]: a discovery agent,
+//! - [`talk`], [`until_close`]: a client that sends fixed text,
+//! - [`Peer`]: a server whose accepts, reads, writes and closes are single calls of the test,
+//! - [`Malformation`]: a proxy that breaks the chat front's answers or requests in one way,
+//! - [`FaultyNetwork`]: UDP forwarding with loss, delay and partitions.
 
 mod agent;
 mod client;
--- a/crates/test-peers/src/malformed.rs
+++ b/crates/test-peers/src/malformed.rs
@@ -1,5 +1,5 @@
-//! A front that is malformed in one way: it passes all on to a right one, and spoils the answers, or the requests. A
-//! conformance suite must catch each.
+//! A proxy in front of a correct front that breaks its answers, or the requests to it, in one way. The conformance
+//! suite must detect each of these faults.
 
 use std::net::SocketAddr;
 
@@ -8,48 +8,48 @@
 
 use crate::http::{field, message};
 
-/// In which way a front is malformed.
+/// The one fault of a malformed front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Malformation {
-    /// In none: what passes through is as good as before.
+    /// No fault: the control, which must pass the suite like the correct front.
     None,
     /// Streams end without `[DONE]`.
     NoDone,
-    /// Streams tell the end twice.
+    /// Streams have `[DONE]` twice.
     DoneTwice,
-    /// The usage is told to who did not ask for it, as servers do.
-    UsageUnasked,
-    /// The usage is told to nobody.
+    /// Every stream has a usage chunk, requested or not, as those of model servers do.
+    UnrequestedUsage,
+    /// No stream has a usage chunk.
     NoUsage,
-    /// Chunks have the object of whole answers.
-    OtherObject,
-    /// No delta has a role.
+    /// The `object` of chunks is that of an answer without streaming.
+    WrongObject,
+    /// No delta has a `role`.
     NoRole,
-    /// The first event of a stream is lost.
-    LosesFirst,
-    /// Each stream's last events are lost, and its connection closes in good order.
-    CutsEnd,
-    /// The numbers of typed events begin at 1.
+    /// The first event of each stream is missing.
+    NoFirstEvent,
+    /// The last two events of each stream are missing, and the connection closes normally.
+    NoLastEvents,
+    /// The `sequence_number` of typed events starts at 1.
     NumbersFromOne,
-    /// Typed events have no names.
+    /// Typed events have no `event:` line.
     NoEventNames,
-    /// Errors come with status 200.
+    /// Errors have status 200.
     ErrorsAre200,
-    /// Errors name no field.
+    /// The `param` of errors is null.
     NoParam,
-    /// 405 does not say what is allowed.
+    /// 405 answers have no `Allow` header.
     NoAllow,
-    /// Answers name no request.
+    /// Answers have no `X-Request-Id` header.
     NoRequestId,
-    /// A repeat is a request like any other.
-    RunsAgain,
-    /// All keys are the first tenant's.
-    SharesTenants,
-    /// Every browser app is let in.
-    OpenToAll,
-    /// The text of responses is told in other words at the end.
-    OtherText,
-    /// Media types do not matter.
+    /// Repeated requests run again: idempotency key and retry count are removed from requests.
+    NoDeduplication,
+    /// Requests of every tenant are sent with the first tenant's API key.
+    SingleTenant,
+    /// Every browser origin is allowed (CORS).
+    AnyOrigin,
+    /// The final text of a streamed response differs from its deltas.
+    WrongFinalText,
+    /// Every request is accepted as JSON, whatever its content type.
     AnyMediaType,
 }
 
@@ -58,32 +58,32 @@
     pub const ALL: [Self; 19] = [
         Self::NoDone,
         Self::DoneTwice,
-        Self::UsageUnasked,
+        Self::UnrequestedUsage,
         Self::NoUsage,
-        Self::OtherObject,
+        Self::WrongObject,
         Self::NoRole,
-        Self::LosesFirst,
-        Self::CutsEnd,
+        Self::NoFirstEvent,
+        Self::NoLastEvents,
         Self::NumbersFromOne,
         Self::NoEventNames,
         Self::ErrorsAre200,
         Self::NoParam,
         Self::NoAllow,
         Self::NoRequestId,
-        Self::RunsAgain,
-        Self::SharesTenants,
-        Self::OpenToAll,
-        Self::OtherText,
+        Self::NoDeduplication,
+        Self::SingleTenant,
+        Self::AnyOrigin,
+        Self::WrongFinalText,
         Self::AnyMediaType,
     ];
 
-    /// The head of a request as it is sent on.
-    fn spoil_request(self, head: &str, first_key: &str) -> String {
+    /// The head of a request as it is forwarded.
+    fn malform_request(self, head: &str, first_key: &str) -> String {
         let line = |line: &str| {
             let name = line.split(':').next().unwrap_or("").to_ascii_lowercase();
             match (self, name.as_str()) {
-                (Self::RunsAgain, "idempotency-key" | "x-stainless-retry-count") => None,
-                (Self::SharesTenants, "authorization") if line.contains("key-of") => {
+                (Self::NoDeduplication, "idempotency-key" | "x-stainless-retry-count") => None,
+                (Self::SingleTenant, "authorization") if line.contains("key-of") => {
                     Some(format!("authorization: Bearer {first_key}"))
                 }
                 (Self::AnyMediaType, "content-type") => Some("content-type: application/json".to_owned()),
@@ -93,10 +93,10 @@
         head.lines().filter_map(line).collect::<Vec<_>>().join("\r\n")
     }
 
-    /// Spoils an answer.
-    fn spoil_answer(self, head: &mut String, body: &mut String) {
+    /// Applies the fault to an answer.
+    fn malform_answer(self, head: &mut String, body: &mut String) {
         if head.to_ascii_lowercase().contains("text/event-stream") {
-            self.spoil_stream(body);
+            self.malform_stream(body);
         }
         match self {
             Self::NoDone => *body = body.replace(DONE, ""),
@@ -109,15 +109,15 @@
             Self::NoParam => *body = without_param(body),
             Self::NoAllow => *head = without_header(head, "allow:"),
             Self::NoRequestId => *head = without_header(head, "x-request-id:"),
-            Self::OpenToAll => head.push_str("\r\naccess-control-allow-origin: *"),
+            Self::AnyOrigin => head.push_str("\r\naccess-control-allow-origin: *"),
             _ => {}
         }
     }
 
-    /// Spoils the events of a stream.
-    fn spoil_stream(self, body: &mut String) {
+    /// Applies the fault to the events of a stream.
+    fn malform_stream(self, body: &mut String) {
         match self {
-            Self::UsageUnasked if !body.contains("\"usage\"") => {
+            Self::UnrequestedUsage if !body.contains("\"usage\"") => {
                 let usage =
                     "data: {\"id\":\"x\",\"choices\":[],\"usage\":{\"total_tokens\":3}}\n\ndata: [DONE]";
                 *body = body.replace("data: [DONE]", usage);
@@ -126,15 +126,15 @@
                 let is_kept = |event: &&str| !event.contains("\"choices\":[],");
                 *body = body.split_inclusive(EVENT_END).filter(is_kept).collect();
             }
-            Self::OtherObject => *body = body.replace("chat.completion.chunk", "chat.completion"),
+            Self::WrongObject => *body = body.replace("chat.completion.chunk", "chat.completion"),
             Self::NoRole => *body = body.replace(",\"role\":\"assistant\"", ""),
-            Self::LosesFirst => *body = body.split_inclusive(EVENT_END).skip(1).collect(),
-            Self::CutsEnd => {
+            Self::NoFirstEvent => *body = body.split_inclusive(EVENT_END).skip(1).collect(),
+            Self::NoLastEvents => {
                 let events: Vec<&str> = body.split_inclusive(EVENT_END).collect();
                 *body = events[..events.len().saturating_sub(2)].concat();
             }
             Self::NumbersFromOne => *body = with_numbers_from_one(body),
-            Self::OtherText => {
+            Self::WrongFinalText => {
                 *body = body.replace("output_text.done\",", "output_text.done\",\"text\":\"no\",\"was_\":0,");
                 *body = body.replace("\"text\":\"w", "\"text\":\"v");
             }
@@ -143,10 +143,10 @@
     }
 }
 
-/// The last event of a stream.
+/// The last event of a stream of chunks.
 const DONE: &str = "data: [DONE]\n\n";
 const EVENT_END: &str = "\n\n";
-/// Streams have fewer typed events.
+/// Upper bound for the typed events of a stream.
 const MAX_TYPED_EVENTS: u32 = 200;
 
 fn without_header(head: &str, name: &str) -> String {
@@ -165,7 +165,7 @@
     format!("{before}\"param\":null{rest}")
 }
 
-/// The numbers of typed events, one higher each; from the highest down, so that none is raised twice.
+/// Adds 1 to the `sequence_number` of each typed event, from the highest down so that none is raised twice.
 fn with_numbers_from_one(body: &str) -> String {
     let field = |number: u32| format!("\"sequence_number\":{number},");
     let mut body = body.to_owned();
@@ -175,12 +175,13 @@
     body
 }
 
-/// Starts one before a right front at `right`; `first_key` is the first tenant's.
+/// Starts a malformed front that forwards to the correct front at `upstream`, and returns its address. `first_key` is
+/// the first tenant's API key.
 ///
 /// # Errors
-/// What the system says.
+/// If the port can't be bound.
 pub async fn malformed_front(
-    right: SocketAddr,
+    upstream: SocketAddr,
     malformation: Malformation,
     first_key: &str,
 ) -> std::io::Result<SocketAddr> {
@@ -190,30 +191,31 @@
     tokio::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
             let first_key = first_key.clone();
-            tokio::spawn(async move { pass(&mut stream, right, malformation, &first_key).await });
+            tokio::spawn(async move { forward(&mut stream, upstream, malformation, &first_key).await });
         }
     });
     Ok(address)
 }
 
-async fn pass(
+/// Forwards one request and its answer, then closes the connection; `None` if either side fails.
+async fn forward(
     stream: &mut TcpStream,
-    right: SocketAddr,
+    upstream: SocketAddr,
     malformation: Malformation,
     first_key: &str,
 ) -> Option<()> {
     let mut read = Vec::new();
     let (head, body) = tokio::select! {
         found = message(stream, &mut read) => found?,
-        // A request whose body does not come is the right front's to answer.
+        // An incomplete request is forwarded after 200 ms: the correct front has to answer it, as with 413.
         () = tokio::time::sleep(std::time::Duration::from_millis(200)) => {
             let text = String::from_utf8_lossy(&read).into_owned();
             let (head, body) = text.split_once("\r\n\r\n")?;
             (head.to_owned(), body.as_bytes().to_vec())
         }
     };
-    let mut to = TcpStream::connect(right).await.ok()?;
-    to.write_all(format!("{}\r\n\r\n", malformation.spoil_request(&head, first_key)).as_bytes())
+    let mut to = TcpStream::connect(upstream).await.ok()?;
+    to.write_all(format!("{}\r\n\r\n", malformation.malform_request(&head, first_key)).as_bytes())
         .await
         .ok()?;
     to.write_all(&body).await.ok()?;
@@ -230,6 +232,6 @@
         !line.starts_with("transfer-encoding") && !line.starts_with("content-length")
     });
     let mut head = lines.collect::<Vec<_>>().join("\r\n");
-    malformation.spoil_answer(&mut head, &mut body);
+    malformation.malform_answer(&mut head, &mut body);
     stream.write_all(format!("{head}\r\ncontent-length: {}\r\n\r\n{body}", body.len()).as_bytes()).await.ok()
 }
--- a/crates/test-peers/src/network.rs
+++ b/crates/test-peers/src/network.rs
@@ -1,8 +1,8 @@
-//! A faulty network between instances: datagrams are lost, delayed, or blocked in one direction.
+//! Forwards UDP datagrams between instances, and drops, delays or blocks them.
 //!
-//! Each instance is reached by the others at an address of this network ([`FaultyNetwork::address`]), which it gives as its own.
-//! A datagram's sender is known by the socket that it was sent from ([`FaultyNetwork::attach`]), and what is passed on comes from
-//! the sender's address in this network: so each direction from one to another can be faulty by itself.
+//! Each instance advertises its address in this network ([`FaultyNetwork::address`]), where the others send to it. The
+//! sender of a datagram is identified by its real socket ([`FaultyNetwork::attach`]), and the datagram is forwarded
+//! from the sender's address in this network. So each direction between two instances can be blocked on its own.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -16,19 +16,20 @@
 
 #[derive(Debug)]
 struct Rules {
-    /// Where each instance's own socket is.
+    /// The real socket of each instance, by index.
     sockets: BTreeMap<usize, SocketAddr>,
-    /// Share of datagrams that is lost.
+    /// Probability that a datagram is dropped, from 0 to 1.
     loss: f64,
     delay: Duration,
-    /// Directions in which nothing passes.
+    /// Pairs `(from, to)` of instances between which every datagram is dropped.
     blocked: BTreeSet<(usize, usize)>,
-    passed: u64,
-    lost: u64,
+    forwarded: u64,
+    dropped: u64,
     rng: Pcg64Mcg,
 }
 
-/// A faulty network, see the module.
+/// A network between instances that loses, delays and blocks datagrams; it stops when dropped. Instances are numbered
+/// from 0.
 #[derive(Debug)]
 pub struct FaultyNetwork {
     addresses: Vec<SocketAddr>,
@@ -36,15 +37,15 @@
     tasks: Vec<JoinHandle<()>>,
 }
 
-fn locked(rules: &Mutex<Rules>) -> MutexGuard<'_, Rules> {
+fn lock_rules(rules: &Mutex<Rules>) -> MutexGuard<'_, Rules> {
     rules.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl FaultyNetwork {
-    /// A network for so many instances; the draws for what is lost come from `seed`.
+    /// Starts a network for `count` instances, without faults; `seed` is that of the random losses.
     ///
     /// # Errors
-    /// What the system says.
+    /// If a socket can't be bound.
     pub async fn start(count: usize, seed: u64) -> std::io::Result<Self> {
         let mut sockets = Vec::new();
         for _ in 0..count {
@@ -56,38 +57,38 @@
             loss: 0.0,
             delay: Duration::ZERO,
             blocked: BTreeSet::new(),
-            passed: 0,
-            lost: 0,
+            forwarded: 0,
+            dropped: 0,
             rng: Pcg64Mcg::seed_from_u64(seed),
         }));
-        let tasks = (0..count).map(|to| tokio::spawn(pass_on(to, sockets.clone(), rules.clone()))).collect();
+        let tasks = (0..count).map(|to| tokio::spawn(forward(to, sockets.clone(), rules.clone()))).collect();
         Ok(Self { addresses, rules, tasks })
     }
 
-    /// Where the others reach that instance.
+    /// The address at which the others reach an instance.
     #[must_use]
     pub fn address(&self, at: usize) -> SocketAddr {
         self.addresses[at]
     }
 
-    /// Where that instance's own socket is; after a restart it is another.
+    /// Sets the real socket of an instance: needed before its first datagram, and again after a restart.
     pub fn attach(&self, at: usize, own: SocketAddr) {
-        locked(&self.rules).sockets.insert(at, own);
+        lock_rules(&self.rules).sockets.insert(at, own);
     }
 
-    /// The share of datagrams that is lost from now on, in all directions.
+    /// Sets the share of datagrams that is dropped, from 0 to 1, in all directions.
     pub fn lose(&self, share: f64) {
-        locked(&self.rules).loss = share;
+        lock_rules(&self.rules).loss = share;
     }
 
-    /// The delay of each datagram from now on.
+    /// Sets the delay of each datagram.
     pub fn delay(&self, delay: Duration) {
-        locked(&self.rules).delay = delay;
+        lock_rules(&self.rules).delay = delay;
     }
 
-    /// Blocks one direction, or opens it again.
+    /// Blocks or unblocks the direction from one instance to another.
     pub fn block(&self, from: usize, to: usize, blocked: bool) {
-        let mut rules = locked(&self.rules);
+        let mut rules = lock_rules(&self.rules);
         if blocked {
             rules.blocked.insert((from, to));
         } else {
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Blocks all directions between these and the others, or opens them again.
+    /// Blocks or unblocks both directions between the instances in `side` and all others.
     pub fn partition(&self, side: &[usize], blocked: bool) {
         for &a in side {
             for b in (0..self.addresses.len()).filter(|b| !side.contains(b)) {
@@ -105,11 +106,12 @@
         }
     }
 
-    /// Datagrams that were passed on, and those that were lost or blocked.
+    /// How many datagrams were forwarded, and how many were dropped: by loss or a blocked direction, or because
+    /// the socket of one side was not known.
     #[must_use]
     pub fn counts(&self) -> (u64, u64) {
-        let rules = locked(&self.rules);
-        (rules.passed, rules.lost)
+        let rules = lock_rules(&self.rules);
+        (rules.forwarded, rules.dropped)
     }
 }
 
@@ -122,36 +124,37 @@
 }
 
 impl Rules {
-    /// From whom, and to which socket, a datagram for an instance is passed on; `None` where it is lost.
+    /// Decides about a datagram for instance `to`: returns the index of the sender and the socket to forward to, or
+    /// `None` to drop it.
     fn route(&mut self, source: SocketAddr, to: usize) -> Option<(usize, SocketAddr)> {
         let from = self.sockets.iter().find(|(_, socket)| **socket == source).map(|(&from, _)| from);
         let draw = self.rng.next_u64() as f64 / u64::MAX as f64;
         let passes = from.is_some_and(|from| draw >= self.loss && !self.blocked.contains(&(from, to)));
         match (from, self.sockets.get(&to)) {
             (Some(from), Some(&socket)) if passes => {
-                self.passed += 1;
+                self.forwarded += 1;
                 Some((from, socket))
             }
             _ => {
-                self.lost += 1;
+                self.dropped += 1;
                 None
             }
         }
     }
 }
 
-/// Passes on what comes for one instance.
-async fn pass_on(to: usize, sockets: Vec<Arc<UdpSocket>>, rules: Arc<Mutex<Rules>>) {
+/// Forwards the datagrams for instance `to`.
+async fn forward(to: usize, sockets: Vec<Arc<UdpSocket>>, rules: Arc<Mutex<Rules>>) {
     let mut buffer = vec![0; 65_536];
     loop {
         let Ok((length, source)) = sockets[to].recv_from(&mut buffer).await else { continue };
         let (route, delay) = {
-            let mut rules = locked(&rules);
+            let mut rules = lock_rules(&rules);
             (rules.route(source, to), rules.delay)
         };
         let Some((from, destination)) = route else { continue };
         let socket = sockets[from].clone();
-        // An instance that has died receives nothing, as on any network.
+        // Errors are ignored: a datagram to an instance that has died is lost, as on any network.
         if delay.is_zero() {
             let _ = socket.try_send_to(&buffer[..length], destination);
         } else {
