--- a/crates/test-peers/src/agent.rs
+++ b/crates/test-peers/src/agent.rs
@@ -1,4 +1,4 @@
-//! A discovery agent, and the platform configuration that names it.
+//! A discovery agent, and a configuration for a dispatcher that uses it.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -12,24 +12,25 @@
 
 use crate::http::{message, plain};
 
-/// A discovery agent: answers a list at once, and a watch once there is a newer list or the time that was asked for has
-/// passed; while it has no list it is silent.
+/// A discovery agent with one list of servers. A call without a known revision gets the list at once. A watch, which
+/// names the revision that the caller has, gets the list once it is newer, or an empty delta after the hold time. While
+/// the agent has no list it answers nothing.
 #[derive(Debug)]
 pub struct Agent {
-    /// Where it listens.
+    /// The address that the agent listens on.
     pub address: SocketAddr,
     list: watch::Sender<Option<Value>>,
-    /// Path and query of every call, as they came, and `closed` for a connection that the caller closed.
+    /// See [`Agent::log`].
     log: Log,
 }
 
 type Log = Arc<Mutex<Vec<String>>>;
 
 impl Agent {
-    /// Starts on a port that the system picks.
+    /// Starts an agent with this list on a free loopback port.
     ///
     /// # Panics
-    /// Where the system gives no port.
+    /// If no port can be bound.
     pub async fn start(list: Value) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
@@ -44,26 +45,27 @@
         Self { address, list, log }
     }
 
-    /// Path and query of every call, and `closed` where a caller closed.
+    /// Path and query of every call in the order of arrival, and `closed` for each connection that the caller closed.
     ///
     /// # Panics
-    /// Where another holder of the lock has panicked.
+    /// If another thread panicked while it held the lock.
     #[must_use]
     pub fn log(&self) -> Vec<String> {
         self.log.lock().unwrap().clone()
     }
 
-    /// What it has from now on; `None` keeps it silent.
+    /// Replaces the list and answers the watches that wait for a newer revision. With `None` the agent answers nothing
+    /// until it has a list again.
     pub fn tells(&self, list: Option<Value>) {
         self.list.send_replace(list);
     }
 }
 
-/// What a call asks for.
+/// The query of a call to the agent.
 struct Call {
-    /// The revision that the caller has; -1 where it wants the list at once.
+    /// The list revision that the caller has, `from`; -1 for the list at once.
     known_revision: i64,
-    /// How long it waits for a newer one.
+    /// How long a watch waits for a newer list, `hold_ms`.
     hold: Duration,
 }
 
@@ -82,7 +84,8 @@
     }
 }
 
-/// Answers the calls of a connection until it ends.
+/// Answers the calls on a connection until the caller closes it. The connection counts as closed, too, when anything
+/// arrives while a call waits for its answer.
 async fn serve(mut stream: TcpStream, mut lists: watch::Receiver<Option<Value>>, log: Log) {
     let mut read = Vec::new();
     while let Some((head, _)) = message(&mut stream, &mut read).await {
@@ -91,15 +94,15 @@
         let known = call.known_revision;
         let is_newer =
             |list: &Option<Value>| list.as_ref().is_some_and(|list| list["revision"].as_i64() > Some(known));
-        let mut unmuted = lists.clone();
-        let nothing_new = async {
+        let mut availability = lists.clone();
+        let hold_expired = async {
             sleep(call.hold).await;
-            let _ = unmuted.wait_for(Option::is_some).await;
+            let _ = availability.wait_for(Option::is_some).await;
         };
         let list = tokio::select! {
             biased;
             list = lists.wait_for(is_newer) => list.map(|list| list.clone()),
-            () = nothing_new, if call.is_watch() => {
+            () = hold_expired, if call.is_watch() => {
                 Ok(Some(json!({"revision": known, "complete": false, "members": []})))
             }
             _ = stream.read_buf(&mut read) => break,
@@ -112,14 +115,16 @@
     log.lock().unwrap().push("closed".to_owned());
 }
 
-/// A server's entry in the list.
+/// The list entry of a server. `kind` is `prefill` (a reader), `decode` (a writer) or `both`; `phase` is `up` or
+/// `draining`.
 #[must_use]
 pub fn member(address: SocketAddr, id: u32, kind: &str, phase: &str) -> Value {
     json!({"id": format!("s-{id:08x}"), "host_port": address.to_string(), "locality": "a",
         "flavor": kind, "cell": 1, "phase": phase, "size": 1.0, "up_since_ms": 0})
 }
 
-/// A platform configuration, as JSON.
+/// The JSON configuration of a dispatcher that uses this agent; `known` is the list that it starts with. The unknown
+/// setting `a_setting_of_tomorrow` stands for one of a later version, which must be accepted.
 #[must_use]
 pub fn config(agent: SocketAddr, known: &Value) -> String {
     let class = |name: &str, effect: &str| json!({"name": name, "aim_s": 0.4, "give_up_s": 1.0, "effect": effect, "group": "all", "worth": 2.0});
--- a/crates/test-peers/src/fleet.rs
+++ b/crates/test-peers/src/fleet.rs
@@ -1,6 +1,7 @@
-//! A small fleet that reads and writes in two steps: readers keep states, writers fetch them, once each; what is held is
-//! released by lease calls; servers drain, report load and fail by script. The fleet records every request that a writer
-//! started to answer, by id and content, so that a test can ask whether a booking ran twice.
+//! A fleet of readers and writers. A reader holds the state of each prompt that it has read; a writer takes the state,
+//! once, and streams the answer; `DELETE /kv/leases/ID` releases a held state. The servers drain, report their load and
+//! fail as the test asks. The fleet records the id and body of every request that a writer started to answer, so that a
+//! test can check whether an at-most-once request ran twice.
 
 mod answer;
 mod connection;
@@ -17,37 +18,38 @@
 
 use crate::agent::{member, Agent};
 
-/// How a writer fails a request.
+/// How a writer fails a request. The request counts as started, except with [`Fault::TurnsAway`] and
+/// [`Fault::Forgets`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It does not.
+    /// The request does not fail.
     None,
-    /// It turns the request away: it never ran.
+    /// Rejects the request with 503 and `X-Turned-Away`: it did not run, and its state stays held.
     TurnsAway,
-    /// It answers 500 after having begun.
+    /// Starts the request, then answers 500.
     Fails,
-    /// It begins, and closes the connection without an answer.
+    /// Starts the request, then closes the connection without an answer.
     Vanishes,
-    /// It closes the connection after so many events.
+    /// Closes the connection after this many events.
     Cuts(usize),
-    /// It falls silent after so many events, until the caller closes.
+    /// Sends nothing more after this many events, until the caller closes.
     Stalls(usize),
-    /// It forgets the state: the request is turned away with 410.
+    /// Drops the held state and rejects the request with 410 and `X-Turned-Away`: it did not run.
     Forgets,
 }
 
-/// What a fleet is like.
+/// Size and speed of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct Shape {
-    /// Servers that read.
+    /// Number of readers.
     pub readers: usize,
-    /// Servers that write.
+    /// Number of writers.
     pub writers: usize,
-    /// A read takes so long.
+    /// How long a reader takes to read a prompt.
     pub read: Duration,
-    /// Events of an answer.
+    /// Content events of an answer, unless the request limits its tokens.
     pub events: usize,
-    /// Time between two events.
+    /// Pause after each event; none if zero.
     pub pause: Duration,
 }
 
@@ -61,45 +63,47 @@
 /// A request that a writer started to answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StartedRequest {
-    /// Its `X-Txn`.
+    /// The request's id, `X-Txn`.
     pub id: String,
-    /// Its body.
+    /// The request's body.
     pub body: String,
-    /// Which writer.
+    /// Index of the writer among all servers; readers come first.
     pub writer: usize,
-    /// Events that were written.
+    /// How far the answer was written: the position after its last event. If the answer continues a given text, the
+    /// events of that text count too.
     pub events: usize,
-    /// Whether its last event was written.
+    /// Whether the end of the answer was written.
     pub complete: bool,
 }
 
-/// What all servers of a fleet share.
+/// State that all servers of a fleet share.
 #[derive(Debug)]
 struct State {
-    /// Ids of requests whose states are held by readers.
+    /// Ids of the requests whose state a reader holds.
     held: HashSet<String>,
     started: Vec<StartedRequest>,
-    /// Faults of the next requests at writers, in order.
+    /// Faults for the next requests at writers, in order.
     script: VecDeque<Fault>,
-    /// Faults once the script is over.
+    /// Faults after the script, for requests whose prompt asks for none.
     random: RandomFaults,
     releases: usize,
     reads: usize,
-    /// Requests that came whole.
+    /// `POST /v1/...` requests that were received completely.
     received: usize,
-    /// Of each server.
+    /// Whether each server drains, by index.
     draining: Vec<bool>,
-    /// Answers that are being written.
+    /// Answers that writers are writing; stalled ones are not counted.
     open: usize,
+    /// Highest value of `open` so far.
     max_open: usize,
 }
 
-/// Faults that are drawn.
+/// Faults drawn at random, reproducible by seed.
 #[derive(Debug)]
 struct RandomFaults {
-    /// In so many of a thousand requests.
+    /// How many of a thousand requests fail.
     permille: u32,
-    /// Out of these.
+    /// The faults to choose from, with equal probability; none if empty.
     faults: Vec<Fault>,
     rng: Pcg64Mcg,
 }
@@ -134,7 +138,8 @@
         }
     }
 
-    /// The fault of the next request at a writer.
+    /// The fault for the next request at a writer: from the script, else the one that its prompt asks for, else a
+    /// random one.
     fn next_fault(&mut self, body: &str) -> Fault {
         if let Some(fault) = self.script.pop_front().or_else(|| requested_fault(body)) {
             return fault;
@@ -142,8 +147,8 @@
         self.random.draw()
     }
 
-    /// Takes a request's read state and records that a writer starts to answer it, at which position; `None` where
-    /// there is no such state.
+    /// Takes the held state of a request and records that a writer starts to answer it. Returns the position in
+    /// `started`, or `None` if no reader holds the state or the fault is [`Fault::Forgets`].
     fn start_answer(&mut self, id: String, body: &str, writer: usize, fault: Fault) -> Option<usize> {
         let has_state = self.held.remove(&id);
         if fault == Fault::Forgets || !has_state {
@@ -157,8 +162,8 @@
     }
 }
 
-/// The fault that a prompt asks for by name, as `{fault:cuts:2}`, so that one who can only send requests can try
-/// failures too.
+/// The fault that a prompt asks for by name, such as `{fault:cuts:2}`, so that a test which can only send requests,
+/// like the conformance suite, can cause failures too.
 fn requested_fault(body: &str) -> Option<Fault> {
     let mut words = body.split_once("{fault:")?.1.split_once('}')?.0.split(':');
     let kind = words.next()?;
@@ -173,10 +178,10 @@
     }
 }
 
-/// The fleet with its discovery agent; it ends with the runtime.
+/// A fleet and its discovery agent. Its servers run until the Tokio runtime ends.
 #[derive(Debug)]
 pub struct Fleet {
-    /// The agent that lists it.
+    /// The agent that serves the list of this fleet's servers.
     pub agent: Agent,
     shape: Shape,
     addresses: Vec<SocketAddr>,
@@ -189,10 +194,10 @@
 }
 
 impl Fleet {
-    /// Starts servers and agent on ports that the system picks.
+    /// Starts the servers and the agent on free loopback ports.
     ///
     /// # Errors
-    /// What the system says.
+    /// If a server's port can't be bound.
     pub async fn start(shape: Shape) -> std::io::Result<Self> {
         let count = shape.readers + shape.writers;
         let state = Arc::new(Mutex::new(State::new(count)));
@@ -214,7 +219,7 @@
         Ok(fleet)
     }
 
-    /// The present list, in discovery's form.
+    /// The current list of servers, as the agent sends it.
     #[must_use]
     pub fn listing(&self) -> Value {
         let state = lock(&self.state);
@@ -233,59 +238,61 @@
         self.agent.tells(Some(self.listing()));
     }
 
-    /// Has all servers drain, or take work again, and the agent report so.
+    /// Makes all servers drain, or accept requests again, and publishes a list that says so.
     pub fn drain(&self, draining: bool) {
         lock(&self.state).draining.fill(draining);
         self.publish_list();
     }
 
-    /// Faults of the next requests at writers, in order; after them none, or those of [`fail`](Self::fail).
+    /// Sets the faults for the next requests at writers, in order. Later requests get those that their prompt or
+    /// [`fail`](Self::fail) asks for.
     pub fn script(&self, faults: impl IntoIterator<Item = Fault>) {
         lock(&self.state).script = faults.into_iter().collect();
     }
 
-    /// Faults in so many of a thousand requests at writers, drawn from these by the seed.
+    /// Makes on average `permille` of a thousand requests at writers fail, each with one of these faults, drawn with
+    /// this seed.
     pub fn fail(&self, permille: u32, faults: &[Fault], seed: u64) {
         lock(&self.state).random = RandomFaults::new(permille, faults, seed);
     }
 
-    /// Every request that a writer started to answer, in order.
+    /// Every request that a writer started to answer, in the order of the starts.
     #[must_use]
     pub fn started(&self) -> Vec<StartedRequest> {
         lock(&self.state).started.clone()
     }
 
-    /// How many requests were started whose body holds this text.
+    /// Number of started requests whose body contains this text.
     #[must_use]
     pub fn runs_of(&self, text: &str) -> usize {
         lock(&self.state).started.iter().filter(|request| request.body.contains(text)).count()
     }
 
-    /// Prompts that were read.
+    /// Number of prompts that were read.
     #[must_use]
     pub fn reads(&self) -> usize {
         lock(&self.state).reads
     }
 
-    /// Requests that came whole, at readers and writers, whatever became of them.
+    /// Number of `POST /v1/...` requests that readers and writers received completely, rejected ones included.
     #[must_use]
     pub fn received(&self) -> usize {
         lock(&self.state).received
     }
 
-    /// Read states that readers still hold.
+    /// Number of states that readers hold.
     #[must_use]
     pub fn held_states(&self) -> usize {
         lock(&self.state).held.len()
     }
 
-    /// Lease calls that released something.
+    /// Number of release calls that released a held state.
     #[must_use]
     pub fn releases(&self) -> usize {
         lock(&self.state).releases
     }
 
-    /// The most answers that were being written at once.
+    /// Most answers that writers were writing at the same time.
     #[must_use]
     pub fn max_open(&self) -> usize {
         lock(&self.state).max_open
--- a/crates/test-peers/src/fleet/answer.rs
+++ b/crates/test-peers/src/fleet/answer.rs
@@ -1,4 +1,4 @@
-//! The stream of a writer's answer.
+//! Streams a writer's answer.
 
 use std::time::Duration;
 
@@ -9,15 +9,15 @@
 use super::{lock, Fault};
 use crate::http::{chunk, LAST_CHUNK, STREAM_HEAD};
 
-/// Which events of an answer are written: those from one position to another.
+/// The events of an answer to write: from position `from` up to, but not including, `to`.
 struct EventRange {
     from: usize,
     to: usize,
 }
 
 impl EventRange {
-    /// The events that a request wants: it may limit their number, and have an answer go on from a beginning of its
-    /// own, as published for `continue_final_message`.
+    /// The events that a request asks for. It can limit their number, and with `continue_final_message` have the answer
+    /// continue its last assistant message, each word of which counts as one event.
     fn of(request: &Value, default_events: usize) -> Self {
         let limits = ["max_completion_tokens", "max_tokens"];
         let limit = limits.iter().find_map(|name| request[name].as_u64()).unwrap_or(u64::MAX) as usize;
@@ -31,7 +31,7 @@
     }
 }
 
-/// An event of an answer.
+/// The content event at position `event`; the last one has a `finish_reason`.
 fn content_event(event: usize, is_last: bool) -> String {
     let finish = if is_last { "\"stop\"" } else { "null" };
     format!(
@@ -39,9 +39,9 @@
     )
 }
 
-/// The events of an answer that calls a tool twice, the pieces of both calls in turns.
+/// The events of an answer that calls a tool twice; the fragments of both calls are interleaved.
 fn tool_call_events(tool: &str) -> [Value; 7] {
-    let piece = |index: usize, is_first: bool, arguments: &str| {
+    let fragment = |index: usize, is_first: bool, arguments: &str| {
         let mut call = json!({"index": index, "function": {"arguments": arguments}});
         if is_first {
             call["id"] = json!(format!("call_{index}"));
@@ -51,18 +51,19 @@
         json!({"choices": [{"index": 0, "delta": {"tool_calls": [call]}, "finish_reason": null}]})
     };
     [
-        piece(0, true, ""),
-        piece(1, true, "{\"day\":"),
-        piece(0, false, "{\"day\":\"fri"),
-        piece(1, false, "\"sat\"}"),
-        piece(0, false, "\"}"),
+        fragment(0, true, ""),
+        fragment(1, true, "{\"day\":"),
+        fragment(0, false, "{\"day\":\"fri"),
+        fragment(1, false, "\"sat\"}"),
+        fragment(0, false, "\"}"),
         json!({"choices": [{"index": 0, "delta": {}, "finish_reason": "tool_calls"}]}),
         json!({"choices": [], "usage": {"prompt_tokens": 9, "completion_tokens": 8, "total_tokens": 17}}),
     ]
 }
 
 impl Connection {
-    /// Streams an answer; whether the connection goes on. `started` is its position among the started requests.
+    /// Streams an answer; returns whether the connection stays open. `started` is the request's position in
+    /// [`State::started`](super::State).
     pub(super) async fn stream_answer(&mut self, started: usize, fault: Fault, body: &str) -> bool {
         let request: Value = serde_json::from_str(body).unwrap_or_default();
         let max_events = match fault {
@@ -83,7 +84,7 @@
         self.end_stream(started, &tail).await
     }
 
-    /// Writes the events of a range; whether all were written.
+    /// Writes the events of a range, at most `max_events`; returns whether all of the range were written.
     async fn stream_events(&mut self, started: usize, range: &EventRange, max_events: usize) -> bool {
         for event in range.from..range.to {
             if event - range.from >= max_events {
@@ -100,6 +101,7 @@
         true
     }
 
+    /// Streams an answer with two tool calls, at most `max_events` events; returns whether it was written completely.
     async fn stream_tool_calls(&mut self, started: usize, request: &Value, max_events: usize) -> bool {
         let tool = request["tools"][0]["function"]["name"].as_str().unwrap_or("none");
         for (written, event) in tool_call_events(tool).iter().enumerate() {
@@ -111,7 +113,7 @@
         self.end_stream(started, "data: [DONE]\n\n").await
     }
 
-    /// The usage, the last event and the load report of an answer.
+    /// The end of an answer: the usage, `[DONE]` and the load report as a comment.
     fn tail(&self, events: usize, prompt_tokens: usize) -> String {
         let usage = json!({"choices": [], "usage": {"prompt_tokens": prompt_tokens, "completion_tokens": events,
             "total_tokens": prompt_tokens + events, "prompt_tokens_details": {"cached_tokens": 0}}});
@@ -119,7 +121,7 @@
         format!("data: {usage}\n\ndata: [DONE]\n\n: X-Pressure: {report}\n\n")
     }
 
-    /// Writes the end of a stream, and records whether it was taken.
+    /// Writes the end of a stream and the last chunk, and records whether that succeeded.
     async fn end_stream(&mut self, started: usize, tail: &str) -> bool {
         let complete = self.write(&(chunk(tail) + LAST_CHUNK)).await;
         lock(&self.state).started[started].complete = complete;
--- a/crates/test-peers/src/fleet/connection.rs
+++ b/crates/test-peers/src/fleet/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a server of the fleet.
+//! Serves one connection to a server of the fleet.
 
 use std::sync::{Arc, Mutex};
 
@@ -9,11 +9,11 @@
 use super::{lock, Fault, Shape, State};
 use crate::http::{field, message, plain};
 
-/// States that a reader has room for, by the load that it reports.
+/// Held states at which a reader would report a load of 1.
 const STATES_PER_READER: usize = 64;
 const TURNED_AWAY: &str = "X-Turned-Away: 1\r\n";
 
-/// Serves a connection until it ends.
+/// Answers requests until the caller closes the connection or an answer ends it.
 pub(super) async fn serve(stream: TcpStream, server: usize, shape: Shape, state: Arc<Mutex<State>>) {
     let mut connection = Connection { stream, read: Vec::new(), server, shape, state };
     while let Some((head, body)) = message(&mut connection.stream, &mut connection.read).await {
@@ -24,10 +24,10 @@
     }
 }
 
-/// The load report of a fleet.
+/// The load report that every server of the fleet sends: held states over the capacity of all readers.
 pub(super) fn load_report(state: &State, shape: &Shape) -> String {
-    let room = STATES_PER_READER * shape.readers.max(1);
-    format!("TEXT x0={:.3}, x1=0.0", state.held.len() as f64 / room as f64)
+    let capacity = STATES_PER_READER * shape.readers.max(1);
+    format!("TEXT x0={:.3}, x1=0.0", state.held.len() as f64 / capacity as f64)
 }
 
 pub(super) struct Connection {
@@ -39,12 +39,12 @@
 }
 
 impl Connection {
-    /// Writes a text; whether it was taken.
+    /// Writes a text; returns false if the connection failed.
     pub(super) async fn write(&mut self, text: &str) -> bool {
         self.stream.write_all(text.as_bytes()).await.is_ok()
     }
 
-    /// Answers a request; whether the connection goes on.
+    /// Answers a request; returns whether the connection stays open for the next one.
     async fn answer(&mut self, head: &str, body: String) -> bool {
         let line = head.lines().next().unwrap_or("");
         let id = field(head, "x-txn").unwrap_or_default();
@@ -55,7 +55,7 @@
             return self.release(rest.split(' ').next().unwrap_or("")).await;
         }
         if line.starts_with("POST /kv/leases/") {
-            // Reserving places ahead is not known here, which is what a caller is told.
+            // This fleet doesn't support reservations before a read; 404 says so to the caller.
             return self.write(&plain(404, "", "")).await;
         }
         if line.starts_with("GET ") {
@@ -71,6 +71,7 @@
         self.write_answer(id, body).await
     }
 
+    /// Releases the held state of a request, if there is one; answers 204 in either case.
     async fn release(&mut self, id: &str) -> bool {
         {
             let mut state = lock(&self.state);
@@ -79,7 +80,7 @@
         self.write(&plain(204, "", "")).await
     }
 
-    /// Reads a prompt and holds its state. The state of a caller that has gone away meanwhile is not held.
+    /// Reads a prompt and holds its state, unless the caller closes the connection during the read.
     async fn read_prompt(&mut self, id: String) -> bool {
         tokio::select! {
             () = sleep(self.shape.read) => {}
@@ -97,7 +98,7 @@
         self.write(&plain(202, &headers, "{\"cached_tokens\":0}")).await
     }
 
-    /// Answers at a writer, with the fault that is due.
+    /// Answers a request at a writer, with the next fault.
     async fn write_answer(&mut self, id: String, body: String) -> bool {
         let (fault, started) = {
             let mut state = lock(&self.state);
@@ -112,7 +113,7 @@
             let status = if fault == Fault::TurnsAway { 503 } else { 410 };
             return self.write(&plain(status, TURNED_AWAY, "")).await;
         };
-        let goes_on = match fault {
+        let stays_open = match fault {
             Fault::Fails => self.write(&plain(500, "", "no")).await,
             Fault::Vanishes => false,
             _ => self.stream_answer(started, fault, &body).await,
@@ -122,6 +123,6 @@
             let _ = self.stream.read_buf(&mut self.read).await; // until the caller closes
             return false;
         }
-        goes_on
+        stays_open
     }
 }
--- a/crates/test-peers/src/server.rs
+++ b/crates/test-peers/src/server.rs
@@ -1,4 +1,4 @@
-//! A server with a given behavior.
+//! A model server that treats every request alike.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -10,60 +10,60 @@
 
 use crate::http::{chunk, field, message, plain, LAST_CHUNK, STREAM_HEAD};
 
-/// The time between two events of a stream.
+/// Pause after each event of a stream.
 const EVENT_INTERVAL: Duration = Duration::from_millis(4);
-/// The time between two texts of [`Behavior::Endless`].
+/// Pause between two texts of [`Behavior::Endless`].
 const ENDLESS_INTERVAL: Duration = Duration::from_millis(1);
 
-/// What a server does with a request.
+/// How a server treats each request. A release (`DELETE`) gets 204 whatever the behavior.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Behavior {
-    /// Answers 202, as a reader that has read the prompt.
+    /// Answers 202 with 12 cached tokens, like a reader that has read the prompt.
     Read,
-    /// Writes so many events, the usage and the last chunk.
+    /// Writes this many events, then [`LAST_EVENTS`] and the last chunk.
     Stream(usize),
-    /// Writes so many events, then closes the connection.
+    /// Writes this many events, then closes the connection before the last chunk.
     Cut(usize),
-    /// The same, without chunks or a length.
+    /// Writes this many events without chunks or `Content-Length`, then closes the connection.
     Unframed(usize),
-    /// Writes so many events, then falls silent.
+    /// Writes this many events, then nothing more until the caller closes or sends something.
     Stall(usize),
-    /// Answers with this status and `X-Turned-Away`.
+    /// Rejects with this status and `X-Turned-Away`: the request did not run.
     TurnAway(u16),
-    /// Answers 500.
+    /// Answers 500 without `X-Turned-Away`: the request may have run.
     Fail,
     /// Closes the connection without an answer.
     Close,
-    /// Stays silent.
+    /// Answers nothing until the caller closes or sends something.
     Nothing,
-    /// Writes these bytes, then stays silent.
+    /// Writes this text as the whole answer and keeps the connection open for further requests.
     Raw(&'static str),
-    /// Writes the first text once, then the second one over and over, for as long as it is taken.
+    /// Writes the first text once, then repeats the second until a write fails.
     Endless(&'static str, &'static str),
 }
 
-/// A server that behaves the same with every request, until its behavior is changed.
+/// A server that treats every request the same way until its behavior is changed.
 #[derive(Debug)]
 pub struct Server {
-    /// Where it listens.
+    /// The address that the server listens on.
     pub address: SocketAddr,
     behavior: Arc<Mutex<Behavior>>,
     log: Log,
 }
 
-/// Method, path and id of every request, as they came.
+/// See [`Server::log`].
 type Log = Arc<Mutex<Vec<String>>>;
 
 impl Server {
-    /// Starts on a port that the system picks.
+    /// Starts a server without a connection limit on a free loopback port.
     pub async fn start(behavior: Behavior) -> Self {
         Self::with_connection_limit(behavior, usize::MAX).await
     }
 
-    /// Starts one that holds so many connections at once, and drops those that come beyond them.
+    /// Starts a server that serves at most `limit` connections at once and closes further ones after accepting them.
     ///
     /// # Panics
-    /// Where the system gives no port.
+    /// If no port can be bound.
     pub async fn with_connection_limit(behavior: Behavior, limit: usize) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
@@ -73,46 +73,46 @@
         Self { address, behavior, log }
     }
 
-    /// Changes what it does with requests from now on.
+    /// Sets the behavior for later requests; those that are being answered keep theirs.
     ///
     /// # Panics
-    /// Where another holder of the lock has panicked.
+    /// If another thread panicked while it held the lock.
     pub fn set_behavior(&self, behavior: Behavior) {
         *self.behavior.lock().unwrap() = behavior;
     }
 
-    /// How many requests came, releases aside.
+    /// Number of `POST` requests received, so without releases.
     ///
     /// # Panics
-    /// Where another holder of the lock has panicked.
+    /// If another thread panicked while it held the lock.
     #[must_use]
     pub fn posts(&self) -> usize {
         self.log.lock().unwrap().iter().filter(|line| line.starts_with("POST")).count()
     }
 
-    /// Method, path and id of every request, as they came.
+    /// `METHOD PATH ID` of every request in the order of arrival; the id is its `X-Txn`, empty without one.
     ///
     /// # Panics
-    /// Where another holder of the lock has panicked.
+    /// If another thread panicked while it held the lock.
     #[must_use]
     pub fn log(&self) -> Vec<String> {
         self.log.lock().unwrap().clone()
     }
 }
 
-/// An event of an answer's stream.
+/// Event number `at` of an answer, with the content `w{at} `.
 #[must_use]
 pub fn event(at: usize) -> String {
     format!("data: {{\"choices\":[{{\"index\":0,\"delta\":{{\"content\":\"w{at} \"}},\"finish_reason\":null}}]}}\n\n")
 }
 
-/// What a stream ends with.
+/// The events that end a complete answer: the usage and `[DONE]`.
 pub const LAST_EVENTS: &str =
     "data: {\"choices\":[],\"usage\":{\"completion_tokens\":3}}\n\ndata: [DONE]\n\n";
 
-/// Serves connections, so many at once; what comes beyond them is dropped.
+/// Accepts connections; one that would exceed the limit is closed at once.
 async fn accept(listener: TcpListener, limit: usize, behavior: Arc<Mutex<Behavior>>, log: Log) {
-    // Each open connection holds a clone.
+    // Each open connection holds a clone, so the strong count is the number of connections and one more.
     let open = Arc::new(());
     while let Ok((stream, _)) = listener.accept().await {
         if Arc::strong_count(&open) > limit {
@@ -136,7 +136,7 @@
 }
 
 impl Connection {
-    /// Answers requests until the connection ends.
+    /// Answers requests until the connection closes or a behavior ends it.
     async fn serve(mut self) {
         while let Some((head, _)) = message(&mut self.stream, &mut self.read).await {
             let line = head.lines().next().unwrap_or("").trim_end_matches(" HTTP/1.1").to_owned();
@@ -153,12 +153,12 @@
         }
     }
 
-    /// Writes a text; whether it was taken.
+    /// Writes a text; returns false if the connection failed.
     async fn write(&mut self, text: &str) -> bool {
         self.stream.write_all(text.as_bytes()).await.is_ok()
     }
 
-    /// Answers a request; whether the connection goes on.
+    /// Answers a request; returns whether the connection stays open for the next one.
     async fn answer(&mut self, behavior: Behavior) -> bool {
         match behavior {
             Behavior::Read => self.write(&plain(202, "", "{\"cached_tokens\":12}")).await,
@@ -169,11 +169,11 @@
             Behavior::Raw(text) => self.write(text).await,
             Behavior::Endless(first, text) => self.write_endlessly(first, text).await,
             Behavior::Stream(events) => {
-                let goes_on = self.write_events(events).await;
-                if goes_on {
+                let stays_open = self.write_events(events).await;
+                if stays_open {
                     self.write(&(chunk(LAST_EVENTS) + LAST_CHUNK)).await;
                 }
-                goes_on
+                stays_open
             }
             Behavior::Cut(events) => {
                 self.write_events(events).await;
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Waits until the caller closes or sends something; the connection does not go on then.
+    /// Waits until the caller closes or sends something; returns false, as the connection is then closed.
     async fn stay_silent(&mut self) -> bool {
         let _ = self.stream.read_buf(&mut self.read).await;
         false
@@ -203,7 +203,7 @@
         false
     }
 
-    /// Writes the head of a stream and so many events; whether all were taken.
+    /// Writes the head of a chunked stream and the events; returns false if the connection failed.
     async fn write_events(&mut self, events: usize) -> bool {
         if !self.write(STREAM_HEAD).await {
             return false;
@@ -217,7 +217,7 @@
         true
     }
 
-    /// The same, without chunks.
+    /// Writes a head without `Content-Length` or chunks, and the events.
     async fn write_unframed(&mut self, events: usize) {
         if !self.write("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n").await {
             return;
