--- a/crates/scale/src/page.rs
+++ b/crates/scale/src/page.rs
@@ -1,4 +1,5 @@
-//! Renders the tables of the capacity page from recorded samples, each between its two marks.
+//! Renders the tables of the capacity page from recorded samples. Each table stands between a pair of markers,
+//! `<!-- name -->` and `<!-- /name -->`; the text outside of them is kept.
 
 mod needs;
 mod tables;
@@ -7,18 +8,18 @@
 
 use crate::results::Results;
 
-/// Why a page can't be rendered; one plain line.
+/// Why a page can't be rendered, as one line for the user.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum PageError {
-    /// A place for a table is not there, or has no end.
-    #[error("the page has no place `<!-- {0} -->` with an end `<!-- /{0} -->`")]
-    NoPlace(&'static str),
+    /// The start or end marker of the named table is missing.
+    #[error("the page lacks a line `<!-- {0} -->` or the marker `<!-- /{0} -->` after it")]
+    MissingMarkers(&'static str),
 }
 
-/// The page with all tables as the samples give them.
+/// Returns the page with all tables rendered from the samples.
 ///
 /// # Errors
-/// A page without a place for one of them.
+/// The page lacks the markers of a table.
 pub fn render(page: &str, results: &Results) -> Result<String, PageError> {
     let parts: [(&'static str, String); 9] = [
         ("needs", needs::table(results)),
@@ -33,14 +34,16 @@
     ];
     let mut rendered = page.to_owned();
     for (name, table) in parts {
-        rendered = put(&rendered, name, &table)?;
+        rendered = replace_table(&rendered, name, &table)?;
     }
     Ok(rendered)
 }
 
-fn put(page: &str, name: &'static str, table: &str) -> Result<String, PageError> {
+/// Replaces everything between the markers of one table.
+fn replace_table(page: &str, name: &'static str, table: &str) -> Result<String, PageError> {
     let (start, end) = (format!("<!-- {name} -->\n"), format!("<!-- /{name} -->"));
-    let places = page.split_once(&start).and_then(|(before, rest)| Some((before, rest.split_once(&end)?.1)));
-    let (before, after) = places.ok_or(PageError::NoPlace(name))?;
+    let surroundings =
+        page.split_once(&start).and_then(|(before, rest)| Some((before, rest.split_once(&end)?.1)));
+    let (before, after) = surroundings.ok_or(PageError::MissingMarkers(name))?;
     Ok(format!("{before}{start}{table}{end}{after}"))
 }
--- a/crates/scale/src/page/needs.rs
+++ b/crates/scale/src/page/needs.rs
@@ -1,4 +1,5 @@
-//! What each role needs at the target, computed from the samples, against what it may have.
+//! Resource needs of each role at the [target](crate::target) size, computed from the samples and compared with
+//! their budgets.
 
 mod control;
 mod data_path;
@@ -7,25 +8,27 @@
 
 use crate::results::Results;
 
-/// The role of a dispatcher's decisions and talk with others.
+/// Role of a dispatcher's decisions and its communication with agents and other dispatchers.
 const CONTROL: &str = "dispatcher, control";
-/// The role of a dispatcher's relaying.
+/// Role of a dispatcher's relaying of streams.
 const DATA_PATH: &str = "dispatcher, data path";
-/// A need over this part of its budget is listed as missing.
+/// A need above this share of its budget is listed in the table of missing capacity.
 const MISSING_ABOVE: f64 = 0.5;
 
-/// How a need is known.
+/// How the amount of a need was obtained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Evidence {
-    /// A sample was taken at the target's size.
+    /// From a sample at the target size.
     Measured,
-    /// From samples of smaller sizes, by a line through them.
+    /// From a line that was fitted through samples of smaller sizes.
     Extrapolated,
-    /// On paper.
+    /// By calculation from figures of the target, of the program or of other samples; the need itself was not
+    /// measured.
     Computed,
 }
 
 impl Evidence {
+    /// The word for it in the table.
     fn text(self) -> &'static str {
         match self {
             Self::Measured => "measured",
@@ -35,16 +38,19 @@
     }
 }
 
-/// Whether `run` of the deploy file has what makes a need.
+/// Whether the dispatcher, as `run` of the deploy file starts it, uses the part of the program that causes a need.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Activation {
+    /// The part is in use.
     On,
+    /// The part is in the program and not in use.
     Off,
-    /// The program had it before the index.
+    /// The part was replaced by the index; its need is shown for comparison and never counts as missing.
     BeforeIndex,
 }
 
 impl Activation {
+    /// The remark behind the name of the need.
     fn text(self) -> &'static str {
         match self {
             Self::On => "",
@@ -56,6 +62,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Unit {
+    /// Share of one core.
     Core,
     Bytes,
     BytesPerSecond,
@@ -64,6 +71,7 @@
 }
 
 impl Unit {
+    /// The amount with its unit, scaled for reading.
     fn text(self, amount: f64) -> String {
         match self {
             Self::Core => format!("{:.3}% of a core", amount * 100.0),
@@ -75,23 +83,25 @@
     }
 }
 
-/// One need of one role.
+/// A resource need of a role: one row of the table.
 #[derive(Clone, Debug)]
 struct Need {
     role: &'static str,
-    what: &'static str,
+    name: &'static str,
     amount: f64,
-    /// What it may have, if anything says so.
+    /// Largest allowed amount; `None` if no budget is stated.
     budget: Option<f64>,
     unit: Unit,
     evidence: Evidence,
+    /// The calculation that leads to the amount, with its figures.
     arithmetic: String,
-    /// What keeps it bounded, and in which file.
+    /// The mechanism that bounds the need, and the file that implements it.
     mechanism: &'static str,
     activation: Activation,
 }
 
 impl Need {
+    /// The amount as a share of the budget.
     fn ratio(&self) -> Option<f64> {
         self.budget.map(|budget| self.amount / budget)
     }
@@ -107,7 +117,7 @@
         format!(
             "| {} | {}{} | {} | {budget} | {ratio} | {}: {} | {} |\n",
             self.role,
-            self.what,
+            self.name,
             self.activation.text(),
             self.unit.text(self.amount),
             self.evidence.text(),
@@ -117,8 +127,8 @@
     }
 }
 
-/// All needs, role by role.
-fn all(results: &Results) -> Vec<Need> {
+/// The needs of all roles, role by role.
+fn all_needs(results: &Results) -> Vec<Need> {
     let mut needs = control::processor(results);
     needs.extend(control::memory(results));
     needs.extend(control::bytes(results));
@@ -140,12 +150,12 @@
 
 /// The table of all needs.
 pub(super) fn table(results: &Results) -> String {
-    rows(&all(results))
+    rows(&all_needs(results))
 }
 
-/// The table of needs over half of their budget, the highest ratio first.
+/// The table of needs over [`MISSING_ABOVE`] of their budget, the highest ratio first.
 pub(super) fn missing(results: &Results) -> String {
-    let mut missing = all(results);
+    let mut missing = all_needs(results);
     missing.retain(Need::is_missing);
     missing.sort_by(|a, b| b.ratio().unwrap_or(0.0).total_cmp(&a.ratio().unwrap_or(0.0)));
     if missing.is_empty() {
--- a/crates/scale/src/page/needs/others.rs
+++ b/crates/scale/src/page/needs/others.rs
@@ -1,4 +1,4 @@
-//! What roles need other than dispatchers: replicas, discovery, and machines of control.
+//! Needs of the roles other than dispatchers: replicas, discovery, and the machines reserved for control.
 
 use super::{samples, Activation, Evidence, Need, Unit};
 use crate::results::{ListChange, ListSample, Results};
@@ -6,16 +6,17 @@
 
 const READER: &str = "replica, reader";
 const WRITER: &str = "replica, writer";
-const POOL: &str =
+const POOL_MECHANISM: &str =
     "pool of kept connections, 0.6 x 4 / 510 of the keep-alive of 30 s: `src/edge/connections.rs`";
-/// A read takes so long (s).
-const READING_S: f64 = 0.3;
-/// A connection is kept for so long after its use (s).
-const KEPT_S: f64 = 0.141;
+/// Assumed duration of a read (s).
+const READ_DURATION_S: f64 = 0.3;
+/// How long a dispatcher keeps an idle connection to a server: 0.6 x 4 / 510 of the keep-alive of 30 s (s).
+const IDLE_LIFETIME_S: f64 = 0.141;
 
+/// A need without a budget that was calculated.
 fn computed(
     role: &'static str,
-    what: &'static str,
+    name: &'static str,
     amount: f64,
     unit: Unit,
     arithmetic: String,
@@ -23,7 +24,7 @@
 ) -> Need {
     Need {
         role,
-        what,
+        name,
         amount,
         budget: None,
         unit,
@@ -34,90 +35,92 @@
     }
 }
 
-/// Needs of replicas.
+/// Needs of one reader and of one writer.
 pub(super) fn replicas() -> Vec<Need> {
-    let mut needs = readers(target::REPLICAS * target::READERS);
-    needs.extend(writers(target::REPLICAS - target::REPLICAS * target::READERS));
+    let mut needs = readers(target::REPLICAS * target::READER_SHARE);
+    needs.extend(writers(target::REPLICAS - target::REPLICAS * target::READER_SHARE));
     needs
 }
 
+/// Needs of one of `count` readers.
 fn readers(count: f64) -> Vec<Need> {
-    let reads = target::REQUESTS / count;
+    let reads = target::REQUESTS_PER_SECOND / count;
     vec![
         computed(
             READER,
             "reads, each on a new connection",
             reads,
             Unit::PerSecond,
-            format!("{:.0} requests a second over {count:.0}; a pair of dispatcher and reader meets each {:.0} s, so that a kept connection is seldom used again", target::REQUESTS, target::DISPATCHERS / reads),
-            POOL,
+            format!("{:.0} requests a second over {count:.0}; a pair of dispatcher and reader meets each {:.0} s, so that a kept connection is seldom used again", target::REQUESTS_PER_SECOND, target::DISPATCHERS / reads),
+            POOL_MECHANISM,
         ),
         computed(
             READER,
             "connections open",
-            reads * (READING_S + KEPT_S),
+            reads * (READ_DURATION_S + IDLE_LIFETIME_S),
             Unit::Descriptors,
-            format!("{reads:.1} a second x ({READING_S} s of reading + {KEPT_S} s kept)"),
-            POOL,
+            format!("{reads:.1} a second x ({READ_DURATION_S} s of reading + {IDLE_LIFETIME_S} s kept)"),
+            POOL_MECHANISM,
         ),
     ]
 }
 
+/// Needs of one of `count` writers.
 fn writers(count: f64) -> Vec<Need> {
-    let answers = target::REQUESTS / count;
-    let stream_s = target::STREAMS / target::requests_of_one();
+    let answers = target::REQUESTS_PER_SECOND / count;
+    let stream_s = target::STREAMS_PER_DISPATCHER / target::requests_per_dispatcher();
     vec![
         computed(
             WRITER,
             "answers, each on a new connection",
             answers,
             Unit::PerSecond,
-            format!("{:.0} requests a second over {count:.0}", target::REQUESTS),
-            POOL,
+            format!("{:.0} requests a second over {count:.0}", target::REQUESTS_PER_SECOND),
+            POOL_MECHANISM,
         ),
         computed(
             WRITER,
             "connections open",
-            answers * (stream_s + KEPT_S),
+            answers * (stream_s + IDLE_LIFETIME_S),
             Unit::Descriptors,
-            format!("{answers:.1} a second x ({stream_s:.1} s of stream + {KEPT_S} s kept)"),
-            POOL,
+            format!("{answers:.1} a second x ({stream_s:.1} s of stream + {IDLE_LIFETIME_S} s kept)"),
+            POOL_MECHANISM,
         ),
         computed(
             WRITER,
             "prompt memory handed over to it",
-            target::HANDED_OVER / count,
+            target::PROMPT_STATE_BYTES_PER_SECOND / count,
             Unit::BytesPerSecond,
             format!(
                 "{:.0} GB a second over {count:.0}, in the reader's cell where that has room",
-                target::HANDED_OVER / 1e9
+                target::PROMPT_STATE_BYTES_PER_SECOND / 1e9
             ),
             "cells: a writer beside the reader, `crates/router/src/writers.rs`",
         ),
     ]
 }
 
-/// Needs of all agents of discovery together.
+/// Needs of all discovery agents together.
 pub(super) fn discovery(results: &Results) -> Vec<Need> {
     let mut needs = Vec::new();
     if let Some(whole) = samples::list(results, ListChange::Whole) {
-        let what = "all dispatchers start at once";
-        needs.push(all_agents(what, whole, target::DISPATCHERS, "dispatchers"));
+        let name = "all dispatchers start at once";
+        needs.push(all_agents(name, whole, target::DISPATCHERS, "dispatchers"));
     }
     if let Some(zone) = samples::list(results, ListChange::Zone) {
         needs.push(all_agents("a zone lost and back", zone, target::DISPATCHERS, "dispatchers"));
     }
     if let Some(replaced) = samples::list(results, ListChange::Replaced) {
-        let times = target::DISPATCHERS * target::RESTARTS;
+        let times = target::DISPATCHERS * target::RESTARTS_PER_DAY;
         needs.push(all_agents("a day's replacements", replaced, times, "changes heard"));
     }
     needs
 }
 
-fn all_agents(what: &'static str, sample: &ListSample, times: f64, per: &str) -> Need {
+fn all_agents(name: &'static str, sample: &ListSample, times: f64, per: &str) -> Need {
     computed(
         "discovery, all agents together",
-        what,
+        name,
         sample.bytes as f64 * times,
         Unit::Bytes,
         format!("{} bytes x {times:.0} {per}", sample.bytes),
@@ -125,7 +128,7 @@
     )
 }
 
-/// Machines set aside for control.
+/// Need of machines that are reserved for control.
 pub(super) fn control_machines() -> Need {
     let need = computed(
         "control machines",
--- a/crates/scale/src/page/needs/samples.rs
+++ b/crates/scale/src/page/needs/samples.rs
@@ -1,4 +1,4 @@
-//! The samples that were taken at the target's size.
+//! Picks the samples that were taken at the [target] size, and fits lines through others.
 
 use crate::results::{
     DataPathSample, Decider, DecisionSample, GossipSample, ListChange, ListSample, MembershipEvent,
@@ -6,7 +6,7 @@
 };
 use crate::target;
 
-/// Of the servers of an ordinary day, so many of a hundred are taken to be in slow start.
+/// Share of the servers that is assumed to be in slow start on an ordinary day (percent).
 pub(super) const SLOW_START_PERCENT: u32 = 10;
 
 pub(super) fn decisions(results: &Results, decider: Decider) -> Option<&DecisionSample> {
@@ -48,15 +48,15 @@
     results.data_path.as_ref()?.samples.last()
 }
 
-/// A line through points, `y = start + slope * x`.
+/// The line `y = intercept + slope * x`.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Line {
-    pub(super) start: f64,
+    pub(super) intercept: f64,
     pub(super) slope: f64,
 }
 
 impl Line {
-    /// The line through points (x, y) by least squares; `None` where they have not two different x.
+    /// Fits a line through points (x, y) by least squares; `None` unless there are two different values of x.
     pub(super) fn fit(points: &[(f64, f64)]) -> Option<Self> {
         let count = points.len() as f64;
         let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
@@ -66,10 +66,10 @@
         if points.len() < 2 || variance <= 0.0 {
             return None;
         }
-        Some(Self { start: mean_y - covariance / variance * mean_x, slope: covariance / variance })
+        Some(Self { intercept: mean_y - covariance / variance * mean_x, slope: covariance / variance })
     }
 
-    pub(super) fn at(self, x: f64) -> f64 {
-        self.start + self.slope * x
+    pub(super) fn value_at(self, x: f64) -> f64 {
+        self.intercept + self.slope * x
     }
 }
--- a/crates/scale/src/page/tables.rs
+++ b/crates/scale/src/page/tables.rs
@@ -1,4 +1,4 @@
-//! A table for each part, of its samples as they were taken.
+//! Renders a table for each part of the results, one row per sample in the recorded order.
 
 use crate::results::{
     Decider, DecisionSample, ListChange, MembershipEvent, Part, Results, RunEvent, RunSample,
@@ -6,6 +6,8 @@
 
 const NOT_MEASURED: &str = "Not measured.\n";
 
+/// The commit and the cores of a part, and the table of its samples; `header` and `row` give cells without outer
+/// bars.
 fn part<T>(part: &Option<Part<T>>, header: &str, row: impl Fn(&T) -> String) -> String {
     let Some(part) = part else { return NOT_MEASURED.to_owned() };
     let columns = header.split('|').count();
@@ -22,7 +24,8 @@
     format!("{:.1}", bytes as f64 / 1e6)
 }
 
-/// The mean time of a request at a size, where that was measured at the first number of dispatchers and classes.
+/// Mean time of a request in the first sample with this number of servers and percentage in slow start; later
+/// samples of the same size vary the number of dispatchers or classes.
 fn request_at(samples: &[DecisionSample], decider: Decider, servers: u32, cold: u32) -> Option<f64> {
     let found = samples.iter().find(|sample| {
         (sample.decider, sample.servers, sample.slow_start_percent) == (decider, servers, cold)
@@ -30,8 +33,9 @@
     found.map(|sample| sample.request_mean)
 }
 
-/// How a request's cost grows from the fewest servers to the most, and with a fifth of them in slow start.
-fn growth(results: &Results) -> String {
+/// How the cost of a request grows from the smallest number of servers to the largest, and with 20% of them in slow
+/// start.
+fn cost_growth(results: &Results) -> String {
     let Some(samples) = results.decisions.as_ref().map(|part| &part.samples) else { return String::new() };
     let servers = samples.iter().map(|sample| sample.servers);
     let Some((fewest, most)) = servers.clone().min().zip(servers.max()) else { return String::new() };
@@ -51,7 +55,7 @@
 }
 
 pub(super) fn decisions(results: &Results) -> String {
-    growth(results) + &decision_table(results)
+    cost_growth(results) + &decision_table(results)
 }
 
 fn decision_table(results: &Results) -> String {
--- a/crates/scale/src/target.rs
+++ b/crates/scale/src/target.rs
@@ -1,48 +1,50 @@
-//! The size that the operators name, and what control may cost (issue "the size that is coming").
+//! The target size of the fleet and the budgets for control, as the operators state them (issue "the size that is
+//! coming"). Control is everything but the relaying of streams: decisions, and communication with agents and other
+//! dispatchers.
 
-/// Dispatchers.
+/// Number of dispatchers.
 pub const DISPATCHERS: f64 = 510.0;
-/// Replicas.
+/// Number of replicas, readers and writers.
 pub const REPLICAS: f64 = 2_900.0;
-/// Requests a second, all dispatchers together, at the peak.
-pub const REQUESTS: f64 = 22_000.0;
-/// Tokens that are put out a second, at the peak; one event each.
-pub const TOKENS: f64 = 5_500_000.0;
-/// The part of the replicas that read prompts.
-pub const READERS: f64 = 0.45;
-/// Prompt memory that is handed over a second (bytes).
-pub const HANDED_OVER: f64 = 4e12;
-/// Time between two tokens (s).
-pub const TOKEN_GAP: f64 = 0.032;
-/// Streams that are open at a dispatcher.
-pub const STREAMS: f64 = 345.0;
-/// Changes of configuration a day, each in force everywhere in this time (s).
-pub const CHANGES: f64 = 7_000.0;
-/// See [`CHANGES`].
-pub const IN_FORCE: f64 = 10.0;
-/// Replicas restarted or replaced a day.
-pub const RESTARTS: f64 = 1_300.0;
-/// Zones.
+/// Peak requests a second to all dispatchers together.
+pub const REQUESTS_PER_SECOND: f64 = 22_000.0;
+/// Peak output tokens a second of the fleet; each token is one event of a stream.
+pub const TOKENS_PER_SECOND: f64 = 5_500_000.0;
+/// Share of the replicas that are readers.
+pub const READER_SHARE: f64 = 0.45;
+/// Memory of read prompts that writers fetch from readers, in the whole fleet (bytes a second).
+pub const PROMPT_STATE_BYTES_PER_SECOND: f64 = 4e12;
+/// Time between two tokens of a stream (s).
+pub const TOKEN_INTERVAL_S: f64 = 0.032;
+/// Streams that are open at one dispatcher.
+pub const STREAMS_PER_DISPATCHER: f64 = 345.0;
+/// Configuration changes a day.
+pub const CONFIG_CHANGES_PER_DAY: f64 = 7_000.0;
+/// Time within which a configuration change has to be in force at all dispatchers (s).
+pub const CONFIG_APPLY_TIME_S: f64 = 10.0;
+/// Replicas that are restarted or replaced a day.
+pub const RESTARTS_PER_DAY: f64 = 1_300.0;
+/// Number of zones.
 pub const ZONES: f64 = 5.0;
-/// Part of a core that control may take at a dispatcher.
-pub const CONTROL_PROCESSOR: f64 = 0.014;
-/// Memory that control may take at a dispatcher (bytes).
-pub const CONTROL_MEMORY: f64 = 256e6;
-/// Bytes a second that control may take at a dispatcher.
-pub const CONTROL_BYTES: f64 = 3_000.0;
-/// Machines set aside for control.
+/// Share of one core that control may use at a dispatcher.
+pub const CONTROL_CPU_SHARE: f64 = 0.014;
+/// Memory that control may use at a dispatcher (bytes).
+pub const CONTROL_MEMORY_BYTES: f64 = 256e6;
+/// Network traffic that control may cause at a dispatcher (bytes a second).
+pub const CONTROL_BYTES_PER_SECOND: f64 = 3_000.0;
+/// Number of machines reserved for control.
 pub const CONTROL_MACHINES: f64 = 12.0;
-/// Seconds of a day.
-pub const DAY: f64 = 86_400.0;
+/// Number of seconds in a day.
+pub const SECONDS_PER_DAY: f64 = 86_400.0;
 
-/// Requests a second of one dispatcher.
+/// Peak requests a second to one dispatcher.
 #[must_use]
-pub fn requests_of_one() -> f64 {
-    REQUESTS / DISPATCHERS
+pub fn requests_per_dispatcher() -> f64 {
+    REQUESTS_PER_SECOND / DISPATCHERS
 }
 
-/// Events a second that one dispatcher relays.
+/// Peak events a second that one dispatcher relays.
 #[must_use]
-pub fn events_of_one() -> f64 {
-    TOKENS / DISPATCHERS
+pub fn events_per_dispatcher() -> f64 {
+    TOKENS_PER_SECOND / DISPATCHERS
 }
--- a/crates/scale/tests/page.rs
+++ b/crates/scale/tests/page.rs
@@ -1,4 +1,4 @@
-//! The page's tables are those that the recorded samples give.
+//! The tables of the capacity page match the recorded samples.
 
 use std::path::{Path, PathBuf};
 
@@ -10,10 +10,13 @@
 }
 
 #[test]
-fn the_capacity_page_is_what_its_recorded_samples_give() {
+fn the_capacity_page_matches_the_recorded_samples() {
     let results = Results::read(&docs("capacity.json")).expect("recorded samples");
     let page = std::fs::read_to_string(docs("CAPACITY.md")).expect("the page");
-    assert!(render(&page, &results).expect("a page with all places") == page, "render it anew: `-- page`");
+    assert!(
+        render(&page, &results).expect("a page with all markers") == page,
+        "outdated, render it with `-- page`"
+    );
 }
 
 #[test]
@@ -22,17 +25,17 @@
     let page = std::fs::read_to_string(docs("CAPACITY.md")).expect("the page");
     let decisions = results.decisions.as_mut().expect("decisions are recorded");
     decisions.samples[0].request_mean += 1.0;
-    assert!(render(&page, &results).expect("a page with all places") != page);
+    assert!(render(&page, &results).expect("a page with all markers") != page);
 }
 
 #[test]
-fn a_page_without_a_place_for_a_table_is_refused() {
+fn a_page_without_a_marker_of_a_table_is_rejected() {
     let page = std::fs::read_to_string(docs("CAPACITY.md")).expect("the page");
     let results = Results::empty();
     for name in ["needs", "missing", "decisions", "membership", "gossip", "list", "data-path", "run"] {
-        for mark in [format!("<!-- {name} -->\n"), format!("<!-- /{name} -->")] {
-            let refused = render(&page.replace(&mark, ""), &results);
-            assert!(matches!(refused, Err(PageError::NoPlace(place)) if place == name), "{mark}");
+        for marker in [format!("<!-- {name} -->\n"), format!("<!-- /{name} -->")] {
+            let rejected = render(&page.replace(&marker, ""), &results);
+            assert!(matches!(rejected, Err(PageError::MissingMarkers(table)) if table == name), "{marker}");
         }
     }
 }
