--- a/crates/soak/src/agent.rs
+++ b/crates/soak/src/agent.rs
@@ -1,4 +1,5 @@
-//! A test agent of discovery for each dispatcher. It reports drains as the plan has them, and can be silent.
+//! Discovery agents for tests, one for each dispatcher. They serve the list of servers, with drains as the plan has
+//! them, and can be made silent by the plan.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,27 +14,29 @@
 use crate::event_log::EventLog;
 use crate::plan::{FaultKind, Plan};
 
-/// How often an agent looks at the plan.
-const LOOK_INTERVAL: Duration = Duration::from_millis(5);
+/// Interval at which an agent that has not answered yet checks the plan again.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What the agents of a play know.
+/// The list of servers over time, as all agents of a run report it.
 #[derive(Clone)]
 pub struct Registry {
     plan: Arc<Plan>,
     event_log: EventLog,
     addresses: Vec<SocketAddr>,
-    /// Unix time at the start of the play (ms): when servers that start within it started.
+    /// Reported start time of the last server of each role: the start of the run (Unix time, ms). All others report 0.
     up_since_ms: u64,
 }
 
 impl Registry {
-    /// The registry of a plan's servers; `up_since_ms` is when the last of each role started (Unix time, ms).
+    /// The registry of a plan's servers. `up_since_ms` is the reported start time of the last server of each role (Unix
+    /// time, ms).
     #[must_use]
     pub fn new(plan: Arc<Plan>, event_log: EventLog, addresses: Vec<SocketAddr>, up_since_ms: u64) -> Self {
         Self { plan, event_log, addresses, up_since_ms }
     }
 
-    fn drains(&self, before_ms: u64) -> impl Iterator<Item = usize> + '_ {
+    /// The servers whose drain has begun by a time.
+    fn draining_servers(&self, before_ms: u64) -> impl Iterator<Item = usize> + '_ {
         self.plan.faults.iter().filter(move |fault| fault.from_ms <= before_ms).filter_map(
             |fault| match fault.kind {
                 FaultKind::Drain { server } => Some(server),
@@ -42,33 +45,33 @@
         )
     }
 
-    /// The revision at a time.
+    /// The list revision at a time: each drain raises it by one.
     fn revision(&self, now_ms: u64) -> u64 {
-        1 + self.drains(now_ms).count() as u64
+        1 + self.draining_servers(now_ms).count() as u64
     }
 
-    /// The whole list at a time.
+    /// The whole list of servers at a time (ms since the start of the run), in the format of the agent.
     #[must_use]
     pub fn list(&self, now_ms: u64) -> Value {
-        let draining: Vec<usize> = self.drains(now_ms).collect();
-        let per_role = self.plan.servers_per_role;
-        let member = |(at, address): (usize, &SocketAddr)| {
+        let draining: Vec<usize> = self.draining_servers(now_ms).collect();
+        let servers_of_role = self.plan.servers_per_role;
+        let member = |(index, address): (usize, &SocketAddr)| {
             let (flavor, phase) = (
-                if at < per_role { "prefill" } else { "decode" },
-                if draining.contains(&at) { "draining" } else { "up" },
+                if index < servers_of_role { "prefill" } else { "decode" },
+                if draining.contains(&index) { "draining" } else { "up" },
             );
-            let started = if at % per_role + 1 == per_role { self.up_since_ms } else { 0 };
-            json!({"id": format!("s-{:08x}", at + 1), "host_port": address.to_string(), "locality": "a",
+            let started = if index % servers_of_role + 1 == servers_of_role { self.up_since_ms } else { 0 };
+            json!({"id": format!("s-{:08x}", index + 1), "host_port": address.to_string(), "locality": "a",
                 "flavor": flavor, "cell": 1, "phase": phase, "size": 1.0, "up_since_ms": started})
         };
         let members: Vec<Value> = self.addresses.iter().enumerate().map(member).collect();
         json!({"revision": self.revision(now_ms), "complete": true, "members": members})
     }
 
-    /// Starts the agent of a dispatcher; where it listens.
+    /// Starts the agent of a dispatcher. Returns the address at which it listens.
     ///
     /// # Errors
-    /// What the system says.
+    /// The system's error if the agent can't listen.
     pub async fn start(&self, dispatcher: usize) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -79,7 +82,7 @@
                     Ok((stream, _)) => {
                         tokio::spawn(serve(stream, registry.clone(), dispatcher));
                     }
-                    Err(_) => sleep(LOOK_INTERVAL).await,
+                    Err(_) => sleep(POLL_INTERVAL).await,
                 }
             }
         });
@@ -90,20 +93,20 @@
         self.event_log.now() / 1_000
     }
 
-    /// Whether a connection that was opened at a time is silent for good, or the agent is silent now.
+    /// Whether the agent is down now, or a connection that was opened at a time has been silenced for good.
     fn is_silent(&self, dispatcher: usize, opened_ms: u64) -> bool {
         let now_ms = self.now_ms();
         self.plan.faults.iter().any(|fault| match fault.kind {
-            FaultKind::AgentDown { dispatcher: of } => of == dispatcher && fault.is_in_force(now_ms),
-            FaultKind::WatchSilent { dispatcher: of } => {
-                of == dispatcher && opened_ms < fault.from_ms && fault.from_ms <= now_ms
+            FaultKind::AgentDown { dispatcher: target } => target == dispatcher && fault.is_in_force(now_ms),
+            FaultKind::WatchSilent { dispatcher: target } => {
+                target == dispatcher && opened_ms < fault.from_ms && fault.from_ms <= now_ms
             }
             _ => false,
         })
     }
 
-    /// What a call is answered with now: the list, or, where the caller has it already, that nothing has changed once
-    /// its time is over. `None` where the call waits on.
+    /// The answer to a call at this moment: the list if the caller does not have this revision, or an empty change once
+    /// the time that the call waits is over. `None` if the call keeps waiting.
     fn answer_now(&self, call: Call) -> Option<Value> {
         let now_ms = self.now_ms();
         match call.known_revision {
@@ -116,12 +119,12 @@
     }
 }
 
-/// A call of a dispatcher.
+/// A dispatcher's call for the list: a long poll if it names a revision.
 #[derive(Clone, Copy)]
 struct Call {
-    /// The revision that the caller has; `None` where it wants the list at once.
+    /// The list revision that the caller has; `None` asks for the list at once.
     known_revision: Option<u64>,
-    /// Until when it waits for a newer one (ms).
+    /// Until when the call waits for a newer revision (ms since the start of the run).
     until_ms: u64,
 }
 
@@ -135,7 +138,7 @@
     }
 }
 
-/// Answers the calls of a connection until it ends.
+/// Answers the calls on a connection until it ends.
 async fn serve(mut stream: TcpStream, registry: Registry, dispatcher: usize) {
     let opened_ms = registry.now_ms();
     let mut read = Vec::new();
@@ -148,7 +151,7 @@
                 }
             }
             tokio::select! {
-                () = sleep(LOOK_INTERVAL) => {}
+                () = sleep(POLL_INTERVAL) => {}
                 read = stream.read_buf(&mut read) => if matches!(read, Ok(0) | Err(_)) {
                     return;
                 },
--- a/crates/soak/src/campaign.rs
+++ b/crates/soak/src/campaign.rs
@@ -1,4 +1,4 @@
-//! A campaign: plays plans, several at once, and prints what became of them.
+//! A campaign: runs plans, several at the same time, and prints the results.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -7,57 +7,58 @@
 use tokio::task::{JoinError, JoinSet};
 
 use crate::failed_seeds;
-use crate::harness::{play, Options, PlayError};
+use crate::harness::{run_plan, Options, RunError};
 use crate::options::Settings;
 use crate::oracle::{check, counts, Counts, Rule, Violation, LIMITS};
 use crate::plan::Plan;
 use crate::shrink::shrink;
 
-/// Why a campaign could not be played to its end: one plain line.
+/// Why a campaign could not be completed. Displays as one line.
 #[derive(Debug, Error)]
 pub enum CampaignError {
-    /// A file can't be read or written.
+    /// The plan can't be read, or the file of failed seeds can't be written.
     #[error("{}: {source}", path.display())]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system says.
+        /// The system's error.
         source: std::io::Error,
     },
-    /// A file has no plan.
+    /// The file does not contain a valid plan.
     #[error(transparent)]
     Plan(#[from] serde_json::Error),
-    /// A play could not be played.
+    /// A plan could not be run.
     #[error(transparent)]
-    Play(#[from] PlayError),
-    /// A play's task failed.
+    Run(#[from] RunError),
+    /// The task of a run panicked.
     #[error(transparent)]
     Task(#[from] JoinError),
 }
 
-/// What became of a play.
-struct PlayResult {
+/// Result of one run.
+struct RunResult {
     counts: Counts,
     violations: Vec<Violation>,
 }
 
-/// All plays so far.
+/// Sums over all runs so far.
 #[derive(Default)]
 struct Totals {
-    plays: usize,
+    runs: usize,
     faults: usize,
     counts: Counts,
     violations: BTreeMap<Rule, usize>,
-    /// Plans that violated a rule.
+    /// Plans that violated a rule, with their violations.
     failed: Vec<(Plan, Vec<Violation>)>,
 }
 
-/// Plays all plans of the settings; whether none violated a rule.
+/// Runs all plans of the settings, and adds and shrinks those that failed as the settings ask. Returns whether no plan
+/// violated a rule.
 ///
 /// # Errors
-/// A plan that could not be read or played, or a file of seeds that could not be written.
+/// A plan that could not be read or run, or a file of failed seeds that could not be written.
 pub async fn run(settings: &Settings) -> Result<bool, CampaignError> {
-    let totals = play_all(plans(settings)?, settings).await?;
+    let totals = run_all(plans(settings)?, settings).await?;
     totals.print();
     if let Some(path) = &settings.failed_seeds {
         let seeds: Vec<u64> = totals.failed.iter().map(|(plan, _)| plan.seed).collect();
@@ -72,7 +73,7 @@
     Ok(totals.failed.is_empty())
 }
 
-/// The plans to play: the one that is named, or those that failed once and then the others.
+/// The plans to run: the one given by `--plan`, or else those of the seeds that failed before, then those of the range.
 fn plans(settings: &Settings) -> Result<Vec<Plan>, CampaignError> {
     if let Some(path) = &settings.plan {
         let text = std::fs::read_to_string(path)
@@ -87,45 +88,45 @@
     Ok(seeds.into_iter().map(|seed| draw(seed, settings.processes, settings.seconds)).collect())
 }
 
-async fn play_all(plans: Vec<Plan>, settings: &Settings) -> Result<Totals, CampaignError> {
-    let mut waiting = plans.into_iter();
-    let mut playing = JoinSet::new();
+async fn run_all(plans: Vec<Plan>, settings: &Settings) -> Result<Totals, CampaignError> {
+    let mut pending = plans.into_iter();
+    let mut running = JoinSet::new();
     let mut totals = Totals::default();
     loop {
-        while playing.len() < settings.parallel {
-            let Some(plan) = waiting.next() else { break };
+        while running.len() < settings.parallel {
+            let Some(plan) = pending.next() else { break };
             let options = settings.harness.clone();
-            playing.spawn(async move {
-                let result = play_and_check(&plan, &options).await;
+            running.spawn(async move {
+                let result = run_and_check(&plan, &options).await;
                 (plan, result)
             });
         }
-        let Some(played) = playing.join_next().await else { return Ok(totals) };
-        let (plan, result) = played?;
+        let Some(finished) = running.join_next().await else { return Ok(totals) };
+        let (plan, result) = finished?;
         let result = result?;
         result.print(&plan);
         totals.add(plan, result);
     }
 }
 
-async fn play_and_check(plan: &Plan, options: &Options) -> Result<PlayResult, PlayError> {
-    let entries = play(plan, options).await?;
-    Ok(PlayResult { counts: counts(&entries), violations: check(plan, &entries, &LIMITS) })
+async fn run_and_check(plan: &Plan, options: &Options) -> Result<RunResult, RunError> {
+    let entries = run_plan(plan, options).await?;
+    Ok(RunResult { counts: counts(&entries), violations: check(plan, &entries, &LIMITS) })
 }
 
 async fn shrink_and_print(plan: &Plan, rule: Rule, options: &Options) {
     let smallest = shrink(plan, rule, |plan| async move {
-        // A plan that can't be played shows no violation.
-        play_and_check(&plan, options).await.map(|result| result.violations).unwrap_or_default()
+        // A plan that can't be run counts as one without a violation.
+        run_and_check(&plan, options).await.map(|result| result.violations).unwrap_or_default()
     });
     let smallest = smallest.await;
     println!("seed {} shrunk: {}", plan.seed, serde_json::to_string(&smallest).unwrap_or_default());
 }
 
-impl PlayResult {
+impl RunResult {
     fn print(&self, plan: &Plan) {
         println!(
-            "seed {}: {} requests, {} served, {} broken rules",
+            "seed {}: {} requests, {} served, {} violations",
             plan.seed,
             self.counts.asked,
             self.counts.served,
@@ -142,9 +143,9 @@
 }
 
 impl Totals {
-    fn add(&mut self, plan: Plan, result: PlayResult) {
-        let PlayResult { counts, violations } = result;
-        self.plays += 1;
+    fn add(&mut self, plan: Plan, result: RunResult) {
+        let RunResult { counts, violations } = result;
+        self.runs += 1;
         self.faults += plan.faults.len();
         self.counts.asked += counts.asked;
         self.counts.served += counts.served;
@@ -162,9 +163,9 @@
     fn print(&self) {
         let counts = &self.counts;
         println!(
-            "{} plans, {} troubles, {} requests: {} served, {} refused, {} failed; {} attempts; \
-             {} plans broke a rule: {:?}",
-            self.plays,
+            "{} plans, {} faults, {} requests: {} served, {} refused, {} failed; {} attempts; \
+            {} plans violated a rule: {:?}",
+            self.runs,
             self.faults,
             counts.asked,
             counts.served,
--- a/crates/soak/src/clients.rs
+++ b/crates/soak/src/clients.rs
@@ -1,4 +1,5 @@
-//! Clients of a dispatcher: they send requests, read their answers, leave, and behave badly as the plan says.
+//! Clients of a dispatcher: they send requests and read the responses; some disconnect early, and some misbehave as the
+//! plan says.
 
 mod half_requests;
 
@@ -17,15 +18,15 @@
 use crate::event_log::{Class, ClientOutcome, EventLog, Micros, Observation};
 use crate::plan::{FaultKind, Plan};
 
-/// A client waits so much longer than it says for a final answer, before it gives up.
+/// Time that a client waits for a response beyond the request's timeout. Also the timeout of its connect.
 const GIVE_UP_AFTER: Duration = Duration::from_millis(1_500);
-/// And so long for the rest of a stream.
+/// Time that a client waits for the rest of a stream from its first event on; before, each read starts it again.
 const STREAM_TIMEOUT: Duration = Duration::from_secs(10);
-/// Bytes of a piece, where a request is sent in pieces.
+/// Bytes per write of a request that is sent in pieces.
 const PIECE_BYTES: usize = 7;
-/// The time between two pieces.
+/// Time between two pieces of a request.
 const PIECE_INTERVAL: Duration = Duration::from_millis(2);
-/// The end of a stream.
+/// The last chunk of a stream.
 const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 const END_OF_HEAD: &[u8] = b"\r\n\r\n";
 const EVENT_START: &[u8] = b"data: ";
@@ -37,12 +38,12 @@
     event_log: EventLog,
     dispatcher: usize,
     address: SocketAddr,
-    /// Counts the requests of all clients of the play.
+    /// Counts the requests of all clients of the run, so that their ids are unique.
     next_request: Arc<AtomicU64>,
     pool: ConnectionPool,
 }
 
-/// Connections that wait for their next request.
+/// Kept connections that are idle.
 #[derive(Clone, Default)]
 struct ConnectionPool(Arc<Mutex<Vec<TcpStream>>>);
 
@@ -60,15 +61,15 @@
     }
 }
 
-/// A request that is to be sent.
+/// A request to be sent, with its client's behavior.
 struct Request {
     id: u64,
     class: Class,
-    /// How long its client waits for the first token.
+    /// How long the client waits for the first token; sent as `X-Remaining`.
     timeout: Micros,
-    /// The client closes its connection so long after it has sent the request.
+    /// Time after sending at which the client closes its connection; `None` if it waits for the response.
     leaves_after: Option<Duration>,
-    /// The connection is kept for a next request.
+    /// Whether the connection is kept for further requests.
     keeps_connection: bool,
     is_sent_in_pieces: bool,
 }
@@ -88,7 +89,7 @@
         )
     }
 
-    /// Writes it, whole or in pieces.
+    /// Writes the request, whole or in pieces.
     async fn write(&self, stream: &mut TcpStream) -> std::io::Result<()> {
         let text = self.text();
         if !self.is_sent_in_pieces {
@@ -101,8 +102,8 @@
         Ok(())
     }
 
-    /// Completes when its client leaves; never where it stays.
-    async fn leave(&self) {
+    /// Completes when the client disconnects; never if it waits for the response.
+    async fn client_leaves(&self) {
         match self.leaves_after {
             Some(after) => sleep(after).await,
             None => std::future::pending().await,
@@ -111,7 +112,7 @@
 }
 
 impl Clients {
-    /// Clients of the dispatcher at an address; `next_request` counts the requests of all dispatchers' clients.
+    /// The clients of the dispatcher at an address. `next_request` is shared by the clients of all dispatchers.
     #[must_use]
     pub fn new(
         plan: Arc<Plan>,
@@ -123,19 +124,19 @@
         Self { plan, event_log, dispatcher, address, next_request, pool: ConnectionPool::default() }
     }
 
-    /// Whether a fault of a kind is in force for this dispatcher.
+    /// Whether a fault that satisfies `is_kind` is in force for this dispatcher.
     fn has(&self, is_kind: impl Fn(&FaultKind) -> bool) -> bool {
         let now_ms = self.event_log.now() / 1_000;
         self.plan.has(now_ms, |kind| is_kind(kind) && kind.dispatcher() == Some(self.dispatcher))
     }
 
-    /// Sends requests until so many milliseconds after the start, then waits for what is open.
+    /// Sends requests until a time (ms since the start of the run), then waits for those in flight.
     pub async fn run(self, until_ms: u64) {
         let seed = self.plan.seed ^ (self.dispatcher as u64 + 1).wrapping_mul(0x9e37_79b9);
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let interval_us = 1_000_000 / u64::from(self.plan.requests_per_second.max(1));
-        let mut open = JoinSet::new();
-        let idle = tokio::spawn(half_requests::run(
+        let mut in_flight = JoinSet::new();
+        let idle_clients = tokio::spawn(half_requests::run(
             self.plan.clone(),
             self.event_log.clone(),
             self.dispatcher,
@@ -146,20 +147,20 @@
             let request = self.draw_request(&mut rng);
             let is_new_wanted = rng.next_u64().is_multiple_of(3);
             let kept = if is_new_wanted { None } else { self.pool.take() };
-            open.spawn(self.clone().exchange(request, kept));
-            while open.try_join_next().is_some() {}
+            in_flight.spawn(self.clone().exchange(request, kept));
+            while in_flight.try_join_next().is_some() {}
         }
-        while open.join_next().await.is_some() {}
-        // Those that wait for the end of their half requests log what they saw.
-        drop(idle.await);
+        while in_flight.join_next().await.is_some() {}
+        // Clients that sent half a request log whether the dispatcher ended it in time.
+        drop(idle_clients.await);
         self.pool.clear();
     }
 
     fn draw_request(&self, rng: &mut Pcg64Mcg) -> Request {
         let class = match rng.next_u64() % 10 {
-            0..=4 => Class::Ask,
-            5..=7 => Class::Book,
-            _ => Class::Note,
+            0..=4 => Class::Idempotent,
+            5..=7 => Class::AtMostOnce,
+            _ => Class::Deduplicated,
         };
         let is_short = self.has(|kind| matches!(kind, FaultKind::ShortTime { .. }));
         let timeout = match is_short {
@@ -179,14 +180,14 @@
         Request { id, class, timeout, leaves_after, keeps_connection, is_sent_in_pieces }
     }
 
-    /// Sends a request, on a kept connection or a new one, and logs what becomes of it.
+    /// Sends a request, on a kept connection or a new one, and logs its outcome.
     async fn exchange(self, request: Request, kept: Option<TcpStream>) {
         let on_new_connection = kept.is_none();
         let mut stream = match kept {
             Some(stream) => stream,
             None => match timeout(GIVE_UP_AFTER, TcpStream::connect(self.address)).await {
                 Ok(Ok(stream)) => stream,
-                _ => return, // nobody listens: nothing was sent
+                _ => return, // not connected, so nothing was sent and there is nothing to log
             },
         };
         if request.write(&mut stream).await.is_err() {
@@ -194,25 +195,25 @@
         }
         let (id, dispatcher) = (request.id, self.dispatcher);
         let (class, timeout) = (request.class, request.timeout);
-        self.event_log.write(id, Observation::Asked { dispatcher, class, timeout, on_new_connection });
+        self.event_log.write(id, Observation::RequestSent { dispatcher, class, timeout, on_new_connection });
         let until = Instant::now() + Duration::from_micros(timeout) + GIVE_UP_AFTER;
         let outcome = tokio::select! {
             outcome = read_answer(&mut stream, id, &self.event_log, until) => outcome,
-            () = request.leave() => None,
+            () = request.client_leaves() => None,
         };
         let Some(outcome) = outcome else {
             drop(stream);
-            self.event_log.write(id, Observation::Left);
+            self.event_log.write(id, Observation::ClientLeft);
             return;
         };
-        self.event_log.write(id, Observation::Ended(outcome));
+        self.event_log.write(id, Observation::ExchangeEnded(outcome));
         if request.keeps_connection && outcome == ClientOutcome::Served {
             self.pool.put(stream);
         }
     }
 }
 
-/// Reads an answer and logs its events; `None` where no answer came and the client has waited long enough.
+/// Reads a response and logs its events. Returns `None` if the client gave up waiting, or the status line is malformed.
 async fn read_answer(
     stream: &mut TcpStream,
     id: u64,
@@ -234,7 +235,7 @@
             }
             let received = count(&read, EVENT_START);
             for event in events..received {
-                event_log.write(id, Observation::EventCame(event));
+                event_log.write(id, Observation::EventReceived(event));
             }
             events = received;
             if read.ends_with(LAST_CHUNK) {
--- a/crates/soak/src/clients/half_requests.rs
+++ b/crates/soak/src/clients/half_requests.rs
@@ -1,4 +1,4 @@
-//! Clients that open connections and send nothing, or stop in the middle of a request, as the plan has them.
+//! Clients that open connections on which they send nothing, or only a part of a request (a half request).
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,9 +12,10 @@
 use crate::event_log::{EventLog, Observation};
 use crate::plan::{FaultKind, Plan};
 
-/// A client that stops in the middle of its request is owed an error or a close within this, and some time to see it.
+/// A client that stops in the middle of a request must receive an error or a close within this time, which includes
+/// some time for the client to notice.
 const ENDED_WITHIN: Duration = Duration::from_millis(3_200);
-/// Requests that stop: in a head, behind it, in a body, in a chunk.
+/// Parts of requests: they stop in the head, after the head, in the body and in a chunk.
 const HALF_REQUESTS: [&str; 4] = [
     "POST /v1/chat/completions HTTP/1.1\r\nHost: b\r\nX-Txn",
     "POST /v1/chat/completions HTTP/1.1\r\nHost: b\r\nX-Txn: 01\r\nX-Lane: ask\r\nContent-Length: 9\r\n\r\n",
@@ -22,20 +23,20 @@
     "POST /v1/chat/completions HTTP/1.1\r\nHost: b\r\nX-Txn: 03\r\nX-Lane: ask\r\nTransfer-Encoding: chunked\r\n\r\n9\r\n{\"",
 ];
 
-/// Opens such connections for each fault that asks for them, one fault after the other.
+/// Opens the connections of each `Idlers` fault of the dispatcher, one fault after the other in the plan's order.
 pub(super) async fn run(plan: Arc<Plan>, event_log: EventLog, dispatcher: usize, address: SocketAddr) {
     for fault in &plan.faults {
-        let FaultKind::Idlers { dispatcher: of, count } = fault.kind else { continue };
-        if of != dispatcher {
+        let FaultKind::Idlers { dispatcher: target, count } = fault.kind else { continue };
+        if target != dispatcher {
             continue;
         }
         sleep_until(event_log.instant(fault.from_ms)).await;
         let mut idle = Vec::new();
         let mut half_requests = JoinSet::new();
-        for at in 0..count {
+        for index in 0..count {
             let Ok(stream) = TcpStream::connect(address).await else { continue };
-            // Half of them send a part of a request, each part in turn.
-            match HALF_REQUESTS.get(at % (2 * HALF_REQUESTS.len())) {
+            // Half of the clients send a part of a request, each part in turn.
+            match HALF_REQUESTS.get(index % (2 * HALF_REQUESTS.len())) {
                 Some(part) => {
                     half_requests.spawn(stop_and_stay(stream, part, event_log.clone(), dispatcher));
                 }
@@ -48,13 +49,13 @@
     }
 }
 
-/// Writes a part of a request, and logs where it is neither answered nor closed in time.
+/// Writes a part of a request, and logs if the dispatcher neither responds nor closes in time.
 async fn stop_and_stay(mut stream: TcpStream, part: &str, event_log: EventLog, dispatcher: usize) {
     let began = event_log.now();
     if stream.write_all(part.as_bytes()).await.is_err() {
         return;
     }
-    // Any byte is the start of an error; no byte, or a failed read, is the end.
+    // A byte is the start of an error response; an end of file or a failed read is a close.
     if timeout(ENDED_WITHIN, stream.read_u8()).await.is_err() {
         event_log.write(0, Observation::HalfRequestIgnored { dispatcher, began });
     }
--- a/crates/soak/src/event_log.rs
+++ b/crates/soak/src/event_log.rs
@@ -1,181 +1,184 @@
-//! What clients, servers and agents saw, on one monotonic clock.
+//! Log of what clients, servers and the harness observed in a run, on one monotonic clock. The oracle checks the rules
+//! against this log.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Microseconds since the play began.
+/// Microseconds: a duration, or a time since the start of the run.
 pub type Micros = u64;
 
-/// One entry of the log.
+/// One observation with its time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogEntry {
-    /// When it was seen.
+    /// Time of the observation, since the start of the run.
     pub at: Micros,
-    /// The request that it is about; 0 for none.
+    /// Id of the request that the observation is about; 0 if it is about none.
     pub id: u64,
-    /// What was seen.
+    /// What was observed.
     pub observation: Observation,
 }
 
-/// How a client's exchange ended.
+/// How an exchange ended for the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientOutcome {
-    /// A 200, and its stream came to its last chunk.
+    /// Status 200, and the stream was received up to its last chunk.
     Served,
-    /// A 429 or 503.
+    /// Status 429 or 503.
     Refused,
     /// Any other status.
     Failed,
-    /// A 200 whose stream was cut.
+    /// Status 200, but the connection ended before the last chunk of the stream.
     Cut,
-    /// The connection ended without an answer.
+    /// The connection ended before the head of a response was received.
     Closed,
 }
 
-/// What a peer saw.
+/// What a test peer or the harness observed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Observation {
-    /// A client has written the last byte of a request.
-    Asked {
-        /// The dispatcher that it asked.
+    /// A client wrote the last byte of a request.
+    RequestSent {
+        /// Index of the dispatcher that the request was sent to.
         dispatcher: usize,
-        /// What may happen to it.
+        /// The class of the request.
         class: Class,
-        /// How long the client waits for the first token.
+        /// How long the client waits for the first token; sent as `X-Remaining`.
         timeout: Micros,
         /// Whether it is the first request on its connection.
         on_new_connection: bool,
     },
-    /// The client has its final answer.
-    Ended(ClientOutcome),
-    /// The client closed its connection before that.
-    Left,
-    /// An event reached the client.
-    EventCame(usize),
+    /// A client received the end of its response, or the connection ended instead.
+    ExchangeEnded(ClientOutcome),
+    /// A client closed its connection before the response was complete.
+    ClientLeft,
+    /// A client received the event of this index, from 0.
+    EventReceived(usize),
     /// The first byte of an attempt reached a server.
     AttemptBegan {
-        /// The server.
+        /// Index of the server.
         server: usize,
     },
-    /// The last byte of an attempt reached a server that runs.
+    /// A server read the last byte of an attempt; a server that is stalled does so once it continues.
     AttemptArrived {
-        /// The server.
+        /// Index of the server.
         server: usize,
-        /// Whether the server reads prompts only.
+        /// Whether the server is a reader.
         is_reader: bool,
-        /// The time left by `X-Remaining`, if that was there.
+        /// The remaining time by the attempt's `X-Remaining`; `None` if the header is missing.
         remaining: Option<Micros>,
     },
-    /// A server turned an attempt away: it never ran.
+    /// A server rejected an attempt before running it.
     TurnedAway {
-        /// The server.
+        /// Index of the server.
         server: usize,
     },
-    /// A read ended well: its state is held from now on.
+    /// A reader has read the prompt; it holds the state from now on.
     ReadEnded {
-        /// The server.
+        /// Index of the server.
         server: usize,
     },
-    /// A writer took the state and began to answer.
+    /// A writer fetched the state and began to run the request.
     WriteBegan {
-        /// The server.
+        /// Index of the server.
         server: usize,
     },
-    /// A writer wrote an event.
+    /// A writer wrote the event of this index, from 0.
     EventWritten(usize),
-    /// A writer wrote its last chunk.
+    /// A writer wrote the last chunk of its stream.
     StreamEnded {
-        /// The server.
+        /// Index of the server.
         server: usize,
     },
-    /// The attempt is not out any more: it was answered whole, or its connection has ended.
-    AttemptOver {
-        /// The server.
+    /// An attempt is no longer in flight: its response is complete, or its connection has ended.
+    AttemptEnded {
+        /// Index of the server.
         server: usize,
     },
-    /// A server was asked to release everything that it holds.
-    Released,
-    /// A process was started.
+    /// A server received the request to release the state of this request.
+    ReleaseReceived,
+    /// A dispatcher process was started.
     Started {
-        /// The dispatcher that it belongs to.
+        /// Index of the dispatcher.
         dispatcher: usize,
     },
-    /// A process was ready.
+    /// A dispatcher process reported that it is ready.
     Ready {
-        /// The dispatcher that it belongs to.
+        /// Index of the dispatcher.
         dispatcher: usize,
     },
-    /// The processes of a dispatcher that run were told to end.
-    EndRequested {
-        /// The dispatcher.
+    /// The running processes of a dispatcher were told to shut down, in a plan that kills them at the earliest time.
+    ShutdownRequested {
+        /// Index of the dispatcher.
         dispatcher: usize,
     },
-    /// A process that was told to end was killed at the earliest time.
-    KilledAtEnd {
-        /// The dispatcher.
+    /// A process still ran at the earliest time at which the platform may kill it, and was killed.
+    KilledInShutdown {
+        /// Index of the dispatcher.
         dispatcher: usize,
-        /// When it had been told.
+        /// When it was told to shut down.
         signaled_at: Micros,
     },
-    /// A process was killed or stopped as the plan says: time rules do not bind it until `until`.
-    Excused {
-        /// The dispatcher.
+    /// A process was killed or paused by the plan: time limits do not apply to the dispatcher until `until`.
+    PlannedOutage {
+        /// Index of the dispatcher.
         dispatcher: usize,
-        /// Until when.
+        /// End of the outage, since the start of the run.
         until: Micros,
-        /// Whether what it had taken is excused too.
+        /// Whether the process was killed, which excuses the requests that it had accepted too.
         killed: bool,
     },
-    /// A client that stopped in the middle of a request, and stayed, has got neither an error nor an end of its connection.
+    /// A client sent a part of a request and kept its connection open, but received neither an error nor a close in
+    /// time.
     HalfRequestIgnored {
-        /// The dispatcher.
+        /// Index of the dispatcher.
         dispatcher: usize,
-        /// When the client began.
+        /// When the client began to write.
         began: Micros,
     },
-    /// A process ended although nobody had told it to, or did not end when told.
+    /// A process could not be started, was not ready in time, ended by itself, or did not end properly when told to.
+    /// An error of the harness that affects the dispatcher is logged as this too.
     BadExit {
-        /// The dispatcher.
+        /// Index of the dispatcher.
         dispatcher: usize,
-        /// What was seen.
+        /// Description for the report.
         what: String,
     },
-    /// A process held more of something after the play than it should.
+    /// A process held more of a resource after the run than allowed, or reported a violated invariant.
     Leak {
-        /// The dispatcher.
+        /// Index of the dispatcher.
         dispatcher: usize,
-        /// What was seen.
+        /// Description for the report.
         what: String,
     },
 }
 
-/// What may happen to a class's requests.
+/// The request classes of a run; they differ in their effect, that is in how often a request may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Class {
-    /// They may run any number of times.
-    Ask,
-    /// They may run once.
-    Book,
-    /// Servers know a repeat for a while.
-    Note,
+    /// A request may run any number of times.
+    Idempotent,
+    /// A request may run at most once.
+    AtMostOnce,
+    /// A request may be sent again within the deduplication window, in which servers recognize the repeat.
+    Deduplicated,
 }
 
 impl Class {
-    /// All of them.
-    pub const ALL: [Self; 3] = [Self::Ask, Self::Book, Self::Note];
+    /// All classes.
+    pub const ALL: [Self; 3] = [Self::Idempotent, Self::AtMostOnce, Self::Deduplicated];
 
-    /// The name that the settings have for it.
+    /// The name of the class in the dispatcher's settings and in `X-Lane`.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
-            Self::Ask => "ask",
-            Self::Book => "book",
-            Self::Note => "note",
+            Self::Idempotent => "ask",
+            Self::AtMostOnce => "book",
+            Self::Deduplicated => "note",
         }
     }
 }
 
-/// The event log of a play, shared by all peers.
+/// The event log of a run. Clones share the same entries and clock.
 #[derive(Clone, Debug)]
 pub struct EventLog {
     start: Instant,
@@ -189,30 +192,30 @@
 }
 
 impl EventLog {
-    /// Microseconds since the play began.
+    /// Time since the start of the run, which is when the log was created.
     #[must_use]
     pub fn now(&self) -> Micros {
         u64::try_from(self.start.elapsed().as_micros()).unwrap_or(u64::MAX)
     }
 
-    /// The instant that is so many milliseconds after the play began.
+    /// The instant at a number of milliseconds after the start of the run.
     #[must_use]
     pub fn instant(&self, milliseconds: u64) -> tokio::time::Instant {
         (self.start + Duration::from_millis(milliseconds)).into()
     }
 
-    /// Writes an entry, now.
+    /// Adds an observation that was made now.
     pub fn write(&self, id: u64, observation: Observation) {
         self.write_at(self.now(), id, observation);
     }
 
-    /// Writes an entry that was seen at another time.
+    /// Adds an observation that was made at another time.
     pub fn write_at(&self, at: Micros, id: u64, observation: Observation) {
         let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
         entries.push(LogEntry { at, id, observation });
     }
 
-    /// All entries, by time.
+    /// All entries, ordered by time.
     #[must_use]
     pub fn entries(&self) -> Vec<LogEntry> {
         let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner).clone();
--- a/crates/soak/src/harness.rs
+++ b/crates/soak/src/harness.rs
@@ -1,5 +1,5 @@
-//! The harness: plays a plan. It starts servers, agents, dispatchers and clients, brings the faults about, and ends all
-//! of them in good order.
+//! The harness: runs a plan. It starts the servers, agents, dispatchers and clients, injects the faults, and shuts the
+//! dispatchers down at the end.
 
 mod dispatcher;
 
@@ -19,35 +19,35 @@
 use crate::servers::Servers;
 use dispatcher::Dispatcher;
 
-/// After the play, before resources are compared.
-const QUIET: Duration = Duration::from_millis(3_500);
+/// Time between the end of the load and the comparison of resources.
+const SETTLE_TIME: Duration = Duration::from_millis(3_500);
 
-/// What a play needs from outside.
+/// What a run needs besides its plan.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The program.
+    /// The dispatcher's executable.
     pub program: PathBuf,
-    /// The fault shim; without it its rules are not played.
+    /// The fault shim; with `None` the shim rules of plans have no effect.
     pub shim: Option<PathBuf>,
-    /// Where files, logs and traces go.
+    /// Output directory: each run replaces the subdirectory `seed-N` with its plan, configurations, logs and traces.
     pub folder: PathBuf,
-    /// What is added to the environment of processes.
+    /// Additional environment variables of the dispatcher processes.
     pub environment: Vec<(String, String)>,
 }
 
-/// Why a plan could not be played: it has no result.
+/// Why a plan could not be run, so that there is no result.
 #[derive(Debug, thiserror::Error)]
-pub enum PlayError {
-    /// The system refused something that the harness itself needs.
-    #[error("the bed: {0}")]
+pub enum RunError {
+    /// A system call of the harness itself failed.
+    #[error("the harness failed: {0}")]
     System(#[from] std::io::Error),
 }
 
-/// Plays a plan; all that its peers saw.
+/// Runs a plan. Returns everything that was observed, ordered by time.
 ///
 /// # Errors
-/// See [`PlayError`].
-pub async fn play(plan: &Plan, options: &Options) -> Result<Vec<LogEntry>, PlayError> {
+/// See [`RunError`].
+pub async fn run_plan(plan: &Plan, options: &Options) -> Result<Vec<LogEntry>, RunError> {
     let plan = Arc::new(plan.clone());
     let event_log = EventLog::default();
     let folder = prepare_folder(&plan, options)?;
@@ -60,13 +60,13 @@
         usage_before.push(dispatcher.resource_usage().await);
     }
     run_all(&plan, &event_log, &dispatchers).await;
-    tokio::time::sleep(QUIET).await;
-    compare_all(&dispatchers, usage_before).await;
-    end_all(dispatchers).await;
+    tokio::time::sleep(SETTLE_TIME).await;
+    compare_all_resources(&dispatchers, usage_before).await;
+    shut_down_all(dispatchers).await;
     Ok(event_log.entries())
 }
 
-/// A new folder for the play, with its plan.
+/// Creates an empty directory for the run, with its plan. The directory of an earlier run of the same seed is removed.
 fn prepare_folder(plan: &Plan, options: &Options) -> std::io::Result<PathBuf> {
     let folder = options.folder.join(format!("seed-{}", plan.seed));
     if folder.exists() {
@@ -78,6 +78,7 @@
     Ok(folder)
 }
 
+/// Unix time (ms).
 fn unix_ms() -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(now.as_millis()).unwrap_or(0)
@@ -90,11 +91,11 @@
     folder: &Path,
     registry: &Registry,
 ) -> std::io::Result<Vec<Arc<Dispatcher>>> {
-    let known = registry.list(0);
+    let server_list = registry.list(0);
     let mut dispatchers = Vec::new();
-    for number in 0..plan.processes {
-        let agent: SocketAddr = registry.start(number).await?;
-        let dispatcher = Dispatcher::new(number, plan, event_log, options, folder, agent, &known)?;
+    for index in 0..plan.processes {
+        let agent: SocketAddr = registry.start(index).await?;
+        let dispatcher = Dispatcher::new(index, plan, event_log, options, folder, agent, &server_list)?;
         dispatchers.push(Arc::new(dispatcher));
     }
     Ok(dispatchers)
@@ -109,7 +110,7 @@
     while starting.join_next().await.is_some() {}
 }
 
-/// Runs clients and faults until the play is over.
+/// Runs clients and faults until the run's length is over and all of them have finished.
 async fn run_all(plan: &Arc<Plan>, event_log: &EventLog, dispatchers: &[Arc<Dispatcher>]) {
     let mut tasks = JoinSet::new();
     let next_request = Arc::new(AtomicU64::new(0));
@@ -117,31 +118,31 @@
         let clients = Clients::new(
             plan.clone(),
             event_log.clone(),
-            dispatcher.number,
+            dispatcher.index,
             dispatcher.address,
             next_request.clone(),
         );
         tasks.spawn(clients.run(plan.length_ms));
-        tasks.spawn(dispatcher.clone().watch(plan.length_ms));
+        tasks.spawn(dispatcher.clone().watch_processes(plan.length_ms));
     }
     for fault in plan.faults.clone() {
-        if let Some(dispatcher) = fault.kind.dispatcher().and_then(|number| dispatchers.get(number)) {
+        if let Some(dispatcher) = fault.kind.dispatcher().and_then(|index| dispatchers.get(index)) {
             tasks.spawn(dispatcher.clone().inject(fault));
         }
     }
     while tasks.join_next().await.is_some() {}
 }
 
-async fn compare_all(dispatchers: &[Arc<Dispatcher>], usage_before: Vec<Option<ResourceUsage>>) {
+async fn compare_all_resources(dispatchers: &[Arc<Dispatcher>], usage_before: Vec<Option<ResourceUsage>>) {
     for (dispatcher, before) in dispatchers.iter().zip(usage_before) {
         dispatcher.compare_resources(before).await;
     }
 }
 
-async fn end_all(dispatchers: Vec<Arc<Dispatcher>>) {
+async fn shut_down_all(dispatchers: Vec<Arc<Dispatcher>>) {
     let mut ending = JoinSet::new();
     for dispatcher in dispatchers {
-        ending.spawn(async move { dispatcher.end_all().await });
+        ending.spawn(async move { dispatcher.shut_down_all().await });
     }
     while ending.join_next().await.is_some() {}
 }
--- a/crates/soak/src/harness/dispatcher.rs
+++ b/crates/soak/src/harness/dispatcher.rs
@@ -1,4 +1,5 @@
-//! One dispatcher of a play: its processes, from start to end, and the faults that are brought about from outside.
+//! One dispatcher of a run: starts and ends its processes, injects the faults that affect processes, and compares the
+//! resources that they hold.
 
 mod shutdown;
 
@@ -16,61 +17,64 @@
 use super::Options;
 use crate::event_log::{EventLog, Observation};
 use crate::plan::{Fault, FaultKind, Plan};
-use crate::process::{signal_to, Launch, Process, ResourceUsage};
-
-/// A process that was told to end does so within the longest deadline (taken as 3 s), what a release may take, and a
-/// second more.
-const ENDS_WITHIN: Duration = Duration::from_secs(8);
-/// Descriptors that a process may hold more after a play than when it was ready: connections kept to servers.
-const MAX_MORE_DESCRIPTORS: usize = 40;
-/// The memory that the configuration allows.
+use crate::process::{send_signal, Launch, Process, ResourceUsage};
+
+/// A process that was told to end exits within this time: the longest deadline (taken as 3 s), the time that a release
+/// may take, and one second of slack.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(8);
+/// Descriptors that a process may hold after the run in addition to those when it was ready: kept connections to
+/// servers.
+const MAX_EXTRA_DESCRIPTORS: usize = 40;
+/// The dispatcher's memory limit in its configuration, and the allowed peak of its resident memory.
 const MAX_MEMORY_MB: u64 = 192;
-/// A pause lasts no longer (ms).
+/// Maximum time for which a process is paused (ms).
 const MAX_PAUSE_MS: u64 = 2_000;
-/// How often [`Dispatcher::watch`] looks.
+/// Interval at which [`Dispatcher::watch_processes`] checks for exited processes.
 const WATCH_INTERVAL: Duration = Duration::from_millis(20);
-/// Between the two signals of a reload.
+/// Time between the two SIGHUPs of a reload, and between SIGTERM and a SIGHUP during the shutdown.
 const RELOAD_INTERVAL: Duration = Duration::from_millis(10);
-/// A reload has read its file by then.
+/// A process has read its configuration file this long after the SIGHUP.
 const RELOADED_AFTER: Duration = Duration::from_millis(200);
 
-/// One dispatcher of a play, with its processes.
+/// One dispatcher of a run, with its processes.
 pub(super) struct Dispatcher {
-    pub(super) number: usize,
+    pub(super) index: usize,
     pub(super) address: SocketAddr,
     launch: Launch,
     plan: Arc<Plan>,
     event_log: EventLog,
     folder: PathBuf,
-    /// What its configuration says.
+    /// The valid content of its configuration file.
     settings: Value,
-    /// Keeps its address taken, whoever ends and starts.
+    /// Bound to the dispatcher's address but not listening: it reserves the address while processes start and end.
     _reserved: Socket,
     processes: Mutex<Vec<Process>>,
-    /// Held while a start or a planned end is under way.
+    /// Held during each planned end or replacement of processes, so that only one is in progress.
     lifecycle: Mutex<()>,
-    /// Ids of all processes that are to run, for signals that must not wait.
-    running: std::sync::Mutex<Vec<u32>>,
-    starts: AtomicUsize,
+    /// Ids of all processes that are expected to run. It has a lock of its own, so that signals need not wait for
+    /// a start or an end in progress.
+    expected_running: std::sync::Mutex<Vec<u32>>,
+    start_count: AtomicUsize,
 }
 
 impl Dispatcher {
-    /// A dispatcher with its folder, address and configuration, without a process. `known` is the list of servers.
+    /// Creates the dispatcher's directory, address and configuration, but starts no process. `server_list` is the list
+    /// of servers that the configuration contains.
     pub(super) fn new(
-        number: usize,
+        index: usize,
         plan: &Arc<Plan>,
         event_log: &EventLog,
         options: &Options,
         folder: &Path,
         agent: SocketAddr,
-        known: &Value,
+        server_list: &Value,
     ) -> std::io::Result<Self> {
-        let folder = folder.join(format!("n{number}"));
+        let folder = folder.join(format!("n{index}"));
         let shared = folder.join("shared");
         std::fs::create_dir_all(&shared)?;
         let reserved = reserve_address()?;
         let address = reserved.local_addr()?.as_socket().ok_or(std::io::ErrorKind::AddrNotAvailable)?;
-        let settings = settings(agent, address, number, plan, known);
+        let settings = settings(agent, address, index, plan, server_list);
         let config = folder.join("config.json");
         std::fs::write(&config, settings.to_string())?;
         let launch = Launch {
@@ -81,7 +85,7 @@
             environment: options.environment.clone(),
         };
         Ok(Self {
-            number,
+            index,
             address,
             launch,
             plan: plan.clone(),
@@ -91,8 +95,8 @@
             _reserved: reserved,
             processes: Mutex::default(),
             lifecycle: Mutex::default(),
-            running: std::sync::Mutex::default(),
-            starts: AtomicUsize::new(0),
+            expected_running: std::sync::Mutex::default(),
+            start_count: AtomicUsize::new(0),
         })
     }
 
@@ -101,34 +105,37 @@
     }
 
     fn log_bad_exit(&self, what: impl Into<String>) {
-        self.log(Observation::BadExit { dispatcher: self.number, what: what.into() });
+        self.log(Observation::BadExit { dispatcher: self.index, what: what.into() });
     }
 
     fn log_outage(&self, until_us: u64, killed: bool) {
-        self.log(Observation::Excused { dispatcher: self.number, until: until_us, killed });
+        self.log(Observation::PlannedOutage { dispatcher: self.index, until: until_us, killed });
     }
 
-    fn running(&self) -> MutexGuard<'_, Vec<u32>> {
-        self.running.lock().unwrap_or_else(PoisonError::into_inner)
+    fn expected_running(&self) -> MutexGuard<'_, Vec<u32>> {
+        self.expected_running.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn running_ids(&self) -> Vec<u32> {
-        self.running().clone()
+    fn expected_ids(&self) -> Vec<u32> {
+        self.expected_running().clone()
     }
 
-    /// Whether a process is to run: one that the plan has ended or killed is not.
-    fn is_to_run(&self, id: u32) -> bool {
-        self.running().contains(&id)
+    /// Whether a process is expected to run: it is not once the plan has ended or killed it, or once its unplanned exit
+    /// has been logged.
+    fn is_expected_to_run(&self, id: u32) -> bool {
+        self.expected_running().contains(&id)
     }
 
-    fn forget(&self, id: u32) {
-        self.running().retain(|one| *one != id);
+    /// Marks a process as no longer expected to run.
+    fn expect_exit(&self, id: u32) {
+        self.expected_running().retain(|one| *one != id);
     }
 
+    /// Sends a signal to all processes that are expected to run, and returns their ids.
     fn signal_all(&self, signal: &str) -> Vec<u32> {
-        let ids = self.running_ids();
+        let ids = self.expected_ids();
         for id in &ids {
-            signal_to(*id, signal);
+            send_signal(*id, signal);
         }
         ids
     }
@@ -137,48 +144,48 @@
 
     /// Starts a process and waits until it is ready.
     pub(super) async fn start(&self) {
-        let count = self.starts.fetch_add(1, Ordering::Relaxed);
-        let rules = self.plan.shim_rules(self.number, count == 0);
-        let log_file = self.folder.join(format!("log-{count}"));
-        self.log(Observation::Started { dispatcher: self.number });
+        let start_number = self.start_count.fetch_add(1, Ordering::Relaxed);
+        let rules = self.plan.shim_rules(self.index, start_number == 0);
+        let log_file = self.folder.join(format!("log-{start_number}"));
+        self.log(Observation::Started { dispatcher: self.index });
         let mut process = match self.launch.start(&rules, &log_file) {
             Ok(process) => process,
-            Err(error) => return self.log_bad_exit(format!("it could not be started: {error}")),
+            Err(error) => return self.log_bad_exit(format!("could not be started: {error}")),
         };
-        self.running().push(process.id);
+        self.expected_running().push(process.id);
         if process.ready().await {
-            self.log(Observation::Ready { dispatcher: self.number });
-        } else if self.is_to_run(process.id) {
-            // One that the plan killed or paused meanwhile did nothing wrong itself.
-            match process.ended() {
-                Some(how) => self.log_bad_exit(format!("not ready: it ended with {how}")),
+            self.log(Observation::Ready { dispatcher: self.index });
+        } else if self.is_expected_to_run(process.id) {
+            // A process that the plan killed meanwhile is not at fault.
+            match process.exited() {
+                Some(status) => self.log_bad_exit(format!("not ready: it ended with {status}")),
                 None => self.log_bad_exit("not ready in 10 s"),
             }
         }
-        if self.is_to_run(process.id) && process.ended().is_none() {
+        if self.is_expected_to_run(process.id) && process.exited().is_none() {
             self.processes.lock().await.push(process);
         }
     }
 
-    /// Tells processes to end, and waits for that.
-    async fn end(&self, processes: Vec<Process>) {
+    /// Sends SIGTERM to processes and waits for their end.
+    async fn shut_down(&self, processes: Vec<Process>) {
         for process in &processes {
             process.signal("-TERM");
         }
-        self.await_end(processes).await;
+        self.await_exit(processes).await;
     }
 
-    /// Waits for the end of processes that have just been told to.
-    async fn await_end(&self, processes: Vec<Process>) {
+    /// Waits for the end of processes that were just sent SIGTERM, and kills those that do not exit in time.
+    async fn await_exit(&self, processes: Vec<Process>) {
         if self.plan.kills_at_earliest {
             return self.kill_at_earliest(processes).await;
         }
         for mut process in processes {
-            let ended = process.ends_within(ENDS_WITHIN).await;
-            let was_to_run = self.is_to_run(process.id);
-            self.forget(process.id);
-            let Err(error) = ended else { continue };
-            if was_to_run {
+            let exited = process.exits_within(SHUTDOWN_TIMEOUT).await;
+            let was_expected_to_run = self.is_expected_to_run(process.id);
+            self.expect_exit(process.id);
+            let Err(error) = exited else { continue };
+            if was_expected_to_run {
                 self.log_bad_exit(error.to_string());
             }
             process.kill().await;
@@ -189,42 +196,43 @@
         std::mem::take(&mut *self.processes.lock().await)
     }
 
-    /// Ends all processes in good order.
-    pub(super) async fn end_all(&self) {
+    /// Shuts down all processes, once no other planned end is in progress.
+    pub(super) async fn shut_down_all(&self) {
         let _lifecycle = self.lifecycle.lock().await;
         let all = self.take_processes().await;
-        self.end(all).await;
+        self.shut_down(all).await;
     }
 
-    /// Logs processes that end by themselves, until a time since the start of the play.
-    pub(super) async fn watch(self: Arc<Self>, until_ms: u64) {
+    /// Logs processes that end by themselves, until a time (ms since the start of the run).
+    pub(super) async fn watch_processes(self: Arc<Self>, until_ms: u64) {
         while self.event_log.now() / 1_000 < until_ms {
             sleep(WATCH_INTERVAL).await;
-            for (id, how) in self.remove_ended().await {
-                if self.is_to_run(id) {
-                    self.forget(id);
-                    self.log_bad_exit(format!("it ended by itself with {how}"));
+            for (id, status) in self.remove_exited().await {
+                if self.is_expected_to_run(id) {
+                    self.expect_exit(id);
+                    self.log_bad_exit(format!("ended by itself with {status}"));
                 }
             }
         }
     }
 
-    /// Removes the processes that have ended: their ids, and how they ended.
-    async fn remove_ended(&self) -> Vec<(u32, String)> {
-        let mut ended = Vec::new();
-        self.processes.lock().await.retain_mut(|process| match process.ended() {
-            Some(how) => {
-                ended.push((process.id, how));
+    /// Removes the processes that have exited, and returns their ids and exit statuses.
+    async fn remove_exited(&self) -> Vec<(u32, String)> {
+        let mut exited = Vec::new();
+        self.processes.lock().await.retain_mut(|process| match process.exited() {
+            Some(status) => {
+                exited.push((process.id, status));
                 false
             }
             None => true,
         });
-        ended
+        exited
     }
 
     // ---- Faults ----
 
-    /// Brings a fault about at its time, if it is one of processes.
+    /// Waits for a fault's time and injects it, if it affects processes. Clients, servers and agents apply the others
+    /// themselves.
     pub(super) async fn inject(self: Arc<Self>, fault: Fault) {
         sleep_until(self.event_log.instant(fault.from_ms)).await;
         match fault.kind {
@@ -242,13 +250,13 @@
         let _lifecycle = self.lifecycle.lock().await;
         let old = self.take_processes().await;
         self.start().await;
-        self.end(old).await;
+        self.shut_down(old).await;
     }
 
     async fn restart(&self) {
         let _lifecycle = self.lifecycle.lock().await;
         let old = self.take_processes().await;
-        self.end(old).await;
+        self.shut_down(old).await;
         self.start().await;
     }
 
@@ -257,16 +265,16 @@
         let paused = self.signal_all("-STOP");
         sleep_until(self.event_log.instant(until_ms)).await;
         for id in paused {
-            signal_to(id, "-CONT");
+            send_signal(id, "-CONT");
         }
     }
 
     async fn kill(&self) {
         self.log_outage(self.event_log.now(), true);
-        let ids = self.running_ids();
+        let ids = self.expected_ids();
         for id in &ids {
-            self.forget(*id);
-            signal_to(*id, "-KILL");
+            self.expect_exit(*id);
+            send_signal(*id, "-KILL");
         }
         let _lifecycle = self.lifecycle.lock().await;
         let mut all = self.processes.lock().await;
@@ -281,9 +289,10 @@
         }
     }
 
-    /// Sends SIGHUP twice, with the second file broken where that is said, and writes the right file afterwards.
+    /// Sends SIGHUP twice, each after writing the configuration file; the second file may be truncated, and so invalid.
+    /// Restores the valid file afterwards.
     async fn reload(&self, is_second_broken: bool) {
-        let ids = self.running_ids();
+        let ids = self.expected_ids();
         let text = self.settings.to_string();
         let second = if is_second_broken { text[..text.len() / 2].to_owned() } else { text.clone() };
         for text in [&text, &second] {
@@ -291,24 +300,26 @@
                 return;
             }
             for id in &ids {
-                signal_to(*id, "-HUP");
+                send_signal(*id, "-HUP");
             }
             sleep(RELOAD_INTERVAL).await;
         }
         sleep(RELOADED_AFTER).await;
         if let Err(error) = std::fs::write(&self.launch.config, &text) {
-            self.log_bad_exit(format!("the bed could not write a configuration: {error}"));
+            self.log_bad_exit(format!("the harness could not write a configuration: {error}"));
         }
     }
 
     // ---- Resources ----
 
-    /// What the latest process holds.
+    /// Resource usage of the most recently started process.
     pub(super) async fn resource_usage(&self) -> Option<ResourceUsage> {
         self.processes.lock().await.last().and_then(Process::resource_usage)
     }
 
-    /// Logs what the latest process holds more than it should, and guards that it reports as broken.
+    /// Logs a leak for each resource of which the most recently started process holds more than allowed, and for each
+    /// violated invariant (`.guard_broken.`) in its statistics. `before` is the usage of the first process when it
+    /// was ready; it is compared only if no other process was started since.
     pub(super) async fn compare_resources(&self, before: Option<ResourceUsage>) {
         let processes = self.processes.lock().await;
         let Some(process) = processes.last() else { return };
@@ -316,16 +327,16 @@
             let stats = process.stats().await.unwrap_or_default();
             for line in stats.lines().filter(|line| line.contains(".guard_broken.") && !line.contains(":0|"))
             {
-                self.log_leak(format!("by its own account {line}"));
+                self.log_leak(format!("reported by the process itself: {line}"));
             }
         }
         let Some(after) = process.resource_usage() else { return };
         if after.peak_kib > MAX_MEMORY_MB * 1_024 {
             self.log_leak(format!("{} KiB of memory at its peak", after.peak_kib));
         }
-        let is_first_process = self.starts.load(Ordering::Relaxed) == 1;
+        let is_first_process = self.start_count.load(Ordering::Relaxed) == 1;
         let Some(before) = before.filter(|_| is_first_process) else { return };
-        if after.descriptors > before.descriptors + MAX_MORE_DESCRIPTORS {
+        if after.descriptors > before.descriptors + MAX_EXTRA_DESCRIPTORS {
             self.log_leak(format!("{} descriptors, {} at the start", after.descriptors, before.descriptors));
         }
         if after.threads != before.threads {
@@ -333,19 +344,21 @@
         }
     }
 
-    /// Whether the plan pauses a process: then it is late for all that it had open, and the oracle excuses that too.
+    /// Whether the plan pauses this dispatcher's process: then the process is late with everything that was in flight,
+    /// which the oracle excuses too.
     fn is_paused_by_plan(&self) -> bool {
         let is_pause =
-            |fault: &Fault| matches!(fault.kind, FaultKind::Stop { dispatcher } if dispatcher == self.number);
+            |fault: &Fault| matches!(fault.kind, FaultKind::Stop { dispatcher } if dispatcher == self.index);
         self.plan.faults.iter().any(is_pause)
     }
 
     fn log_leak(&self, what: String) {
-        self.log(Observation::Leak { dispatcher: self.number, what });
+        self.log(Observation::Leak { dispatcher: self.index, what });
     }
 }
 
-/// A socket that keeps an address taken, at which processes can listen.
+/// Binds a socket to a free port without listening, so that nothing else takes the port. Processes can listen on the
+/// port, as `SO_REUSEPORT` is set.
 fn reserve_address() -> std::io::Result<Socket> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_reuse_port(true)?;
@@ -354,17 +367,17 @@
     Ok(socket)
 }
 
-/// A dispatcher's configuration.
-fn settings(agent: SocketAddr, listen: SocketAddr, number: usize, plan: &Plan, known: &Value) -> Value {
+/// The content of a dispatcher's configuration file.
+fn settings(agent: SocketAddr, listen: SocketAddr, index: usize, plan: &Plan, server_list: &Value) -> Value {
     let (dispatchers, objective_s) = (plan.processes, plan.objective_ms as f64 / 1e3);
     let deadline_s = plan.deadline_ms as f64 / 1e3;
     let class = |name: &str, effect: &str| {
         json!({"name": name, "aim_s": objective_s, "give_up_s": deadline_s, "effect": effect, "group": "all",
             "worth": 2.0, "dedup_window_s": 0.4})
     };
-    json!({"name": format!("n{number}"), "listen": listen, "discovery": agent, "admin_addr": "127.0.0.1:0",
-        "seed": format!("{:016x}", number + 1),
-        "limits": {"cores": 1.0, "memory_mb": MAX_MEMORY_MB, "sockets": 512}, "known": known,
+    json!({"name": format!("n{index}"), "listen": listen, "discovery": agent, "admin_addr": "127.0.0.1:0",
+        "seed": format!("{:016x}", index + 1),
+        "limits": {"cores": 1.0, "memory_mb": MAX_MEMORY_MB, "sockets": 512}, "known": server_list,
         "settings": {"balancers": dispatchers, "locality": 0, "failure_domains": ["a"],
             "kinds": ["prefill", "decode"],
             "domain": {"role_by_kind": ["read", "write"], "kind_memory_tokens": [100_000, 100_000],
--- a/crates/soak/src/harness/dispatcher/shutdown.rs
+++ b/crates/soak/src/harness/dispatcher/shutdown.rs
@@ -1,4 +1,5 @@
-//! How processes of a dispatcher are told to end by series of signals, and killed where they still run.
+//! Shutdowns of dispatcher processes by series of signals, and kills of processes that still run at the earliest time
+//! at which the platform may kill them.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -8,45 +9,47 @@
 use super::{Dispatcher, RELOAD_INTERVAL};
 use crate::event_log::Observation;
 use crate::plan::SignalSeries;
-use crate::process::{EndError, Process};
+use crate::process::{ExitError, Process};
 
-/// The platform counts deadlines as this at most, and kills so long after the longest one.
+/// The platform counts longer deadlines as this.
 const MAX_DEADLINE: Duration = Duration::from_secs(3);
+/// The platform kills a process this long after the longest deadline, counted from the request to end.
 const GRACE_PERIOD: Duration = Duration::from_millis(700);
-/// A process that is stopped as it is told to end goes on after this.
+/// How long a process stays paused by SIGSTOP when it is sent SIGTERM meanwhile.
 const STOPPED_FOR: Duration = Duration::from_millis(150);
-/// A process that is told to end at its start has run for less than this (ms).
+/// A process that is told to end at its start has run for less than this (ms), so it is not ready yet.
 const MAX_UNREADY_MS: u64 = 100;
 
 impl Dispatcher {
-    /// Kills those that still run at the earliest time at which the platform may do so.
+    /// Waits for the end of processes that were just sent SIGTERM, and kills those that still run at the earliest time
+    /// at which the platform may do so.
     pub(super) async fn kill_at_earliest(&self, processes: Vec<Process>) {
-        let (signaled_at, dispatcher) = (self.event_log.now(), self.number);
-        self.log(Observation::EndRequested { dispatcher });
+        let (signaled_at, dispatcher) = (self.event_log.now(), self.index);
+        self.log(Observation::ShutdownRequested { dispatcher });
         let deadline = Duration::from_millis(self.plan.deadline_ms).min(MAX_DEADLINE);
         let kill_at = Instant::now() + deadline + GRACE_PERIOD;
         for mut process in processes {
-            let left = kill_at.saturating_duration_since(Instant::now());
-            let ended = process.ends_within(left).await;
-            let was_to_run = self.is_to_run(process.id);
-            self.forget(process.id);
-            match ended {
-                Err(EndError::Timeout(_)) => {
+            let remaining = kill_at.saturating_duration_since(Instant::now());
+            let exited = process.exits_within(remaining).await;
+            let was_expected_to_run = self.is_expected_to_run(process.id);
+            self.expect_exit(process.id);
+            match exited {
+                Err(ExitError::Timeout(_)) => {
                     process.kill().await;
-                    self.log(Observation::KilledAtEnd { dispatcher, signaled_at });
+                    self.log(Observation::KilledInShutdown { dispatcher, signaled_at });
                 }
-                Err(error) if was_to_run => self.log_bad_exit(error.to_string()),
+                Err(error) if was_expected_to_run => self.log_bad_exit(error.to_string()),
                 _ => {}
             }
         }
     }
 
-    /// Sends a series of signals by which processes are told to end, and starts a new one.
+    /// Sends a series of signals that shuts the processes down, and starts a new process.
     pub(super) async fn signal_series(&self, series: SignalSeries) {
         let _lifecycle = self.lifecycle.lock().await;
         let mut old = self.take_processes().await;
         if series == SignalSeries::TermAtStart {
-            self.end(std::mem::take(&mut old)).await;
+            self.shut_down(std::mem::take(&mut old)).await;
             old.extend(self.start_unready().await);
         }
         let signal_all = |signal: &str| old.iter().for_each(|process| process.signal(signal));
@@ -74,16 +77,16 @@
             }
             SignalSeries::HupHupTerm | SignalSeries::TermAtStart => {}
         }
-        self.await_end(old).await;
+        self.await_exit(old).await;
         self.start().await;
     }
 
-    /// Starts a process and lets it run for a moment, less than it needs to be ready.
+    /// Starts a process without shim rules and lets it run for less than [`MAX_UNREADY_MS`].
     async fn start_unready(&self) -> Option<Process> {
-        let count = self.starts.fetch_add(1, Ordering::Relaxed);
-        let log_file = self.folder.join(format!("log-{count}"));
+        let start_number = self.start_count.fetch_add(1, Ordering::Relaxed);
+        let log_file = self.folder.join(format!("log-{start_number}"));
         let process = self.launch.start("", &log_file).ok()?;
-        self.running().push(process.id);
+        self.expected_running().push(process.id);
         sleep(Duration::from_millis(self.event_log.now() % MAX_UNREADY_MS)).await;
         Some(process)
     }
--- a/crates/soak/src/oracle.rs
+++ b/crates/soak/src/oracle.rs
@@ -1,4 +1,4 @@
-//! The oracle: checks a play against the rules, by its event log alone.
+//! The oracle: checks a run against the rules, using only its plan and its event log.
 
 mod outages;
 mod planned_kills;
@@ -14,55 +14,57 @@
 use planned_kills::PlannedKills;
 use request::RequestHistory;
 
+/// One millisecond.
 const MS: Micros = 1_000;
-/// Every time limit is this much longer on sockets (the protocol page), with as much again for the log's own lag.
+/// Added to every time limit: the tolerance that the protocol page grants on sockets, and as much again for the lag of
+/// the event log itself.
 const TOLERANCE: Micros = 100 * MS;
 
-/// What the settings of a play say.
+/// Time limits from the dispatcher's settings.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// New work to a server ends so long after its drain was reported.
+    /// Time after the report of a server's drain within which a dispatcher stops sending it new work.
     pub stop_sending: Micros,
-    /// What is held is released within this.
+    /// Time within which held state is released.
     pub release_within: Micros,
-    /// Servers know a repeat of a `note` for so long.
+    /// Time for which servers recognize a repeat of a request of the deduplicated class (`note`).
     pub deduplication_window: Micros,
 }
 
-/// The limits of a play's settings.
+/// The limits that the harness writes into the dispatchers' settings.
 pub const LIMITS: Limits =
     Limits { stop_sending: 1_000 * MS, release_within: 500 * MS, deduplication_window: 400 * MS };
 
-/// A rule of the platform. Its name is printed with each violation.
+/// The rules that dispatchers are checked against. The name of the rule is printed with each violation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
-    /// A request that was read got no final answer within its time.
+    /// A request that the dispatcher read received no final response within its time.
     Dropped,
-    /// A request ran more often than its class allows.
+    /// A request ran, or may have run, more often than its class allows.
     RunTwice,
-    /// Work went to a server after its drain.
+    /// A server received new work too long after its drain was reported.
     SentToDraining,
-    /// An attempt began after its client had left.
+    /// An attempt began too long after its client had disconnected.
     SentAfterClientLeft,
-    /// A state was held for too long with no attempt in flight for it.
+    /// A state was held for too long while its request had no attempt in flight.
     Held,
-    /// A server was told of more time than is left.
+    /// A server was told a longer remaining time than the request had.
     DeadlineTold,
-    /// An event came late, or a stream that its server ended did not come to its end.
+    /// An event reached the client late, or a stream that the server completed was cut on its way to the client.
     Stream,
-    /// A client that stopped in the middle of a request got neither an error nor a close in time.
+    /// A client that stopped in the middle of a request received neither an error nor a close in time.
     HalfRequest,
-    /// A process was not ready in time.
+    /// A process was not ready in time ([`READY_TIMEOUT`](crate::process::READY_TIMEOUT)).
     NotReady,
-    /// A process ended by itself, or did not end when told.
+    /// A process could not be started, ended by itself, or did not end properly when told to.
     Exit,
-    /// A process held more after the play than before.
+    /// A process held more resources after the run than allowed, or reported a violated invariant.
     Leak,
 }
 
 impl Rule {
-    /// All of them.
+    /// All rules.
     pub const ALL: [Self; 11] = [
         Self::Dropped,
         Self::RunTwice,
@@ -81,41 +83,41 @@
 /// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Violation {
-    /// The rule.
+    /// The violated rule.
     pub rule: Rule,
-    /// When, since the start of the play.
+    /// Time of the violation, since the start of the run.
     pub at: Micros,
-    /// The request; 0 for none.
+    /// Id of the request; 0 if the violation is not about a request.
     pub id: u64,
-    /// What was seen.
+    /// Description for the report.
     pub what: String,
 }
 
-/// How often something was seen in a play.
+/// Numbers of requests and attempts in a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// Requests of clients.
+    /// Requests that clients sent.
     pub asked: usize,
-    /// Of these, served.
+    /// Requests that were served: status 200 and a complete stream.
     pub served: usize,
-    /// Refused.
+    /// Requests that were refused: status 429 or 503.
     pub refused: usize,
-    /// Failed.
+    /// Requests that failed with any other status.
     pub failed: usize,
-    /// Attempts that arrived at servers.
+    /// Attempts that arrived completely at servers.
     pub attempts: usize,
 }
 
-/// Counts what became of the requests of a play.
+/// Counts the requests of a run by their outcome, and the attempts.
 #[must_use]
 pub fn counts(entries: &[LogEntry]) -> Counts {
     let mut counts = Counts::default();
     for entry in entries {
         match entry.observation {
-            Observation::Asked { .. } => counts.asked += 1,
-            Observation::Ended(ClientOutcome::Served) => counts.served += 1,
-            Observation::Ended(ClientOutcome::Refused) => counts.refused += 1,
-            Observation::Ended(ClientOutcome::Failed) => counts.failed += 1,
+            Observation::RequestSent { .. } => counts.asked += 1,
+            Observation::ExchangeEnded(ClientOutcome::Served) => counts.served += 1,
+            Observation::ExchangeEnded(ClientOutcome::Refused) => counts.refused += 1,
+            Observation::ExchangeEnded(ClientOutcome::Failed) => counts.failed += 1,
             Observation::AttemptArrived { .. } => counts.attempts += 1,
             _ => {}
         }
@@ -123,7 +125,7 @@
     counts
 }
 
-/// All violations of a play, by time.
+/// All violations in a run, ordered by time.
 #[must_use]
 pub fn check(plan: &Plan, entries: &[LogEntry], limits: &Limits) -> Vec<Violation> {
     let outages = PlannedOutages::new(plan, entries);
@@ -143,13 +145,13 @@
     violations
 }
 
-/// Times in which a dispatcher could not keep the rules, as the plan has it.
+/// Planned faults of dispatcher processes, which excuse violations of some rules.
 struct Excuses<'a> {
     outages: &'a PlannedOutages,
     kills: &'a PlannedKills,
 }
 
-/// The violation that an observation about a process, or about no request, is by itself.
+/// The violation that follows from a single observation that is not about a request, if it is one.
 fn check_process(entry: &LogEntry, outages: &PlannedOutages) -> Option<Violation> {
     let (rule, dispatcher, what) = match &entry.observation {
         Observation::BadExit { dispatcher, what } if what.starts_with("not ready") => {
@@ -158,11 +160,11 @@
         Observation::BadExit { dispatcher, what } => (Rule::Exit, dispatcher, what.as_str()),
         Observation::Leak { dispatcher, what } => (Rule::Leak, dispatcher, what.as_str()),
         Observation::HalfRequestIgnored { dispatcher, began } => {
-            let is_accepted_late = outages.accepted_from(*dispatcher, *began) > *began;
+            let is_accepted_late = outages.accept_possible_at(*dispatcher, *began) > *began;
             if is_accepted_late || outages.any_within(*dispatcher, *began, entry.at) {
                 return None;
             }
-            (Rule::HalfRequest, dispatcher, "a request that stopped in its middle is not ended")
+            (Rule::HalfRequest, dispatcher, "an incomplete request got neither an error nor a close")
         }
         _ => return None,
     };
--- a/crates/soak/src/oracle/planned_kills.rs
+++ b/crates/soak/src/oracle/planned_kills.rs
@@ -1,50 +1,51 @@
-//! Processes that were killed in their shutdown, at the earliest time at which the platform may do so, and what that
-//! excuses: less than an unplanned kill.
+//! Kills of processes that were still shutting down at the earliest time at which the platform may kill them, and what
+//! they excuse, which is less than what a kill without a shutdown excuses.
 
 use std::collections::BTreeMap;
 
 use super::MS;
 use crate::event_log::{LogEntry, Micros, Observation};
 
-/// A request that comes later than this after the process was told to end is lost where the kill finds it unanswered.
+/// A request that arrives within this time after the process was told to end is excused if the kill finds it
+/// unanswered. One that arrives later is not: it counts as dropped.
 const GRACE_PERIOD: Micros = 700 * MS;
-/// Connections that the kill ends are seen to end within this.
-const SEEN_WITHIN: Micros = 200 * MS;
+/// Time within which clients notice that the kill ended their connections.
+const DETECTED_WITHIN: Micros = 200 * MS;
 
-/// A shutdown that ended in a kill.
+/// A shutdown that ended in a kill: when the process was told to end, and when it was killed.
 #[derive(Clone, Copy)]
 struct Kill {
     signaled_at: Micros,
     at: Micros,
 }
 
-/// By dispatcher.
+/// The kills during shutdown, by dispatcher.
 pub(super) struct PlannedKills(BTreeMap<usize, Vec<Kill>>);
 
 impl PlannedKills {
-    /// The kills that a log has.
+    /// Collects the kills in the log.
     pub(super) fn new(entries: &[LogEntry]) -> Self {
         let mut kills: BTreeMap<usize, Vec<Kill>> = BTreeMap::new();
         for entry in entries {
-            if let Observation::KilledAtEnd { dispatcher, signaled_at } = entry.observation {
+            if let Observation::KilledInShutdown { dispatcher, signaled_at } = entry.observation {
                 kills.entry(dispatcher).or_default().push(Kill { signaled_at, at: entry.at });
             }
         }
         Self(kills)
     }
 
-    /// Whether a request that was sent at a time, and ended or would have to end by another, may have been ended by a kill
-    /// that excuses it: it came in time for the kill to find it under way.
-    pub(super) fn excuse(&self, dispatcher: usize, asked_at: Micros, over: Micros) -> bool {
+    /// Whether a kill may have ended a request and excuses it: the request was sent at most [`GRACE_PERIOD`] after the
+    /// process was told to end, and was still in flight at the kill. `over` is when it ended or had to end.
+    pub(super) fn excuses_request(&self, dispatcher: usize, asked_at: Micros, ended_at: Micros) -> bool {
         let mut kills = self.0.get(&dispatcher).into_iter().flatten();
         kills.any(|kill| {
             asked_at <= kill.signaled_at + GRACE_PERIOD
                 && asked_at <= kill.at
-                && over + SEEN_WITHIN >= kill.at
+                && ended_at + DETECTED_WITHIN >= kill.at
         })
     }
 
-    /// Whether a kill falls into a span: what a process held that is no more is freed by itself.
+    /// Whether a kill falls into a span. State held for a process that no longer exists is freed without a release.
     pub(super) fn any_within(&self, dispatcher: usize, from: Micros, to: Micros) -> bool {
         let mut kills = self.0.get(&dispatcher).into_iter().flatten();
         kills.any(|kill| (from..=to).contains(&kill.at))
--- a/crates/soak/src/oracle/request.rs
+++ b/crates/soak/src/oracle/request.rs
@@ -1,4 +1,4 @@
-//! The rules about one request, from the first byte that its client sent to the last release.
+//! Checks the rules about a single request, from the time at which its client sent it to the last release of its state.
 
 use super::outages::PlannedOutages;
 use super::{Excuses, Limits, Rule, Violation, MS, TOLERANCE};
@@ -6,22 +6,22 @@
 use crate::plan::{FaultKind, Plan};
 use crate::servers::EVENTS;
 
-/// A final answer may come so long after the client's time.
+/// Time after the request's deadline within which its final response is due.
 const MAX_LATE_ANSWER: Micros = 500 * MS;
-/// An attempt may begin so long after its client has left.
+/// Time after the client disconnected within which an attempt may still begin.
 const MAX_AFTER_LEAVING: Micros = 100 * MS;
-/// What is held is released within the settings' time and this.
+/// Time beyond [`Limits::release_within`] within which held state must be released.
 const MAX_HELD_BEYOND_SETTING: Micros = 300 * MS;
-/// A server may be told of so much more time than is left.
+/// Time by which the remaining time told to a server may exceed the actual one.
 const MAX_EXCESS_REMAINING: Micros = 150 * MS;
-/// An event reaches its client within this.
+/// Time from the write of an event by the server within which it must reach the client.
 const MAX_EVENT_DELAY: Micros = 300 * MS;
-/// A server whose process stood still has read by then what was sent meanwhile.
-const CATCH_UP: Micros = 100 * MS;
-/// A change counts as reported so long after a watch fell silent.
-const SILENT_WATCH_DETECTED: Micros = 6_000 * MS;
+/// Time after which a server that was stalled has read everything that was sent meanwhile.
+const CATCH_UP_TIME: Micros = 100 * MS;
+/// Time after a watch fell silent at which a change counts as reported: the dispatcher must have noticed by then.
+const SILENT_WATCH_TIMEOUT: Micros = 6_000 * MS;
 
-/// A request with all that the log has of it.
+/// A request with all its log entries.
 pub(super) struct RequestHistory<'a> {
     id: u64,
     dispatcher: usize,
@@ -33,17 +33,19 @@
 }
 
 impl<'a> RequestHistory<'a> {
-    /// The history of a request by its entries; `None` where its client never sent it whole.
+    /// Builds the history of a request from its entries; `None` if its client never sent it completely.
     pub(super) fn new(id: u64, entries: Vec<&'a LogEntry>) -> Option<Self> {
-        let asked = entries.iter().find(|entry| matches!(entry.observation, Observation::Asked { .. }))?;
-        let Observation::Asked { dispatcher, class, timeout, on_new_connection } = asked.observation else {
+        let asked =
+            entries.iter().find(|entry| matches!(entry.observation, Observation::RequestSent { .. }))?;
+        let Observation::RequestSent { dispatcher, class, timeout, on_new_connection } = asked.observation
+        else {
             return None;
         };
         let (asked_at, deadline) = (asked.at, asked.at + timeout);
         Some(Self { id, dispatcher, class, asked_at, deadline, on_new_connection, entries })
     }
 
-    /// Checks all rules about the request.
+    /// Checks all rules about the request and adds what it violates to `violations`.
     pub(super) fn check(
         &self,
         plan: &Plan,
@@ -66,31 +68,35 @@
         Violation { rule, at, id: self.id, what }
     }
 
+    /// Time of the first observation that satisfies `is_wanted`.
     fn first(&self, is_wanted: impl Fn(&Observation) -> bool) -> Option<Micros> {
         self.entries.iter().find(|entry| is_wanted(&entry.observation)).map(|entry| entry.at)
     }
 
+    /// Time of the last observation that satisfies `is_wanted`.
     fn last(&self, is_wanted: impl Fn(&Observation) -> bool) -> Option<Micros> {
         self.entries.iter().rfind(|entry| is_wanted(&entry.observation)).map(|entry| entry.at)
     }
 
-    /// The client's outcome, and when.
+    /// The client's outcome with its time; `None` if the client disconnected first.
     fn outcome(&self) -> Option<(Micros, ClientOutcome)> {
         self.entries.iter().find_map(|entry| match entry.observation {
-            Observation::Ended(outcome) => Some((entry.at, outcome)),
+            Observation::ExchangeEnded(outcome) => Some((entry.at, outcome)),
             _ => None,
         })
     }
 
+    /// Checks that the client received a final response in time ([`Rule::Dropped`]).
     fn check_answer(&self, plan: &Plan, excuses: &Excuses, violations: &mut Vec<Violation>) {
         let Excuses { outages, kills } = excuses;
-        let left = self.first(|seen| *seen == Observation::Left);
+        let left = self.first(|seen| *seen == Observation::ClientLeft);
         let outcome = self.outcome();
-        let over = outcome.map(|(at, _)| at).or(left).unwrap_or(Micros::MAX);
-        let first_event = self.first(|seen| matches!(seen, Observation::EventCame(0))).unwrap_or(over);
-        let due = self.deadline.max(self.accepted_by(outages)) + MAX_LATE_ANSWER + TOLERANCE;
-        if outages.any_within(self.dispatcher, self.asked_at, over.min(due))
-            || kills.excuse(self.dispatcher, self.asked_at, over.min(due))
+        let ended_at = outcome.map(|(at, _)| at).or(left).unwrap_or(Micros::MAX);
+        let first_event =
+            self.first(|seen| matches!(seen, Observation::EventReceived(0))).unwrap_or(ended_at);
+        let due = self.deadline.max(self.earliest_read(outages)) + MAX_LATE_ANSWER + TOLERANCE;
+        if outages.any_within(self.dispatcher, self.asked_at, ended_at.min(due))
+            || kills.excuses_request(self.dispatcher, self.asked_at, ended_at.min(due))
         {
             return;
         }
@@ -104,7 +110,7 @@
         match outcome {
             Some((at, _)) if first_event.min(at) > due => {
                 let late_ms = (first_event.min(at) - self.deadline) / MS;
-                let what = format!("the answer came {late_ms} ms after its time");
+                let what = format!("the answer came {late_ms} ms after the deadline");
                 violations.push(self.violation(Rule::Dropped, at, what));
             }
             None if left.is_none_or(|left| left > due) => {
@@ -114,17 +120,18 @@
         }
     }
 
-    /// By when a request on a new connection could be read at the latest: it waits where all accepts fail.
-    fn accepted_by(&self, outages: &PlannedOutages) -> Micros {
+    /// The earliest time at which the dispatcher could read the request: one on a new connection waits while all
+    /// accepts fail.
+    fn earliest_read(&self, outages: &PlannedOutages) -> Micros {
         if self.on_new_connection {
-            outages.accepted_from(self.dispatcher, self.asked_at)
+            outages.accept_possible_at(self.dispatcher, self.asked_at)
         } else {
             self.asked_at
         }
     }
 
     /// Whether the dispatcher may have closed the connection, at a time, before it read the request: a kept connection
-    /// at any time, a new one where idle clients fill the descriptors.
+    /// at any time, a new one while idle clients use up the descriptors.
     fn may_be_closed_unanswered(&self, plan: &Plan, at: Micros) -> bool {
         if self.first(|seen| matches!(seen, Observation::AttemptBegan { .. })).is_some() {
             return false;
@@ -136,11 +143,12 @@
         !self.on_new_connection || is_crowded
     }
 
+    /// Checks that the request did not run more often than its class allows ([`Rule::RunTwice`]).
     fn check_runs(&self, limits: &Limits, violations: &mut Vec<Violation>) {
-        if self.class == Class::Ask {
+        if self.class == Class::Idempotent {
             return;
         }
-        // The first attempt at a writer that was not turned away, and every one after it.
+        // The first attempt at a writer that was not rejected. It may have run, so every later attempt is a repeat.
         let mut first_run: Option<Micros> = None;
         for (at, entry) in self.entries.iter().enumerate() {
             let Observation::AttemptArrived { server, is_reader: false, .. } = entry.observation else {
@@ -148,7 +156,7 @@
             };
             if let Some(first_run) = first_run {
                 let age = entry.at - first_run;
-                if self.class == Class::Book || age > limits.deduplication_window + TOLERANCE {
+                if self.class == Class::AtMostOnce || age > limits.deduplication_window + TOLERANCE {
                     let what =
                         format!("sent to writer {server} again, {} ms after it may have run", age / MS);
                     violations.push(self.violation(Rule::RunTwice, entry.at, what));
@@ -162,22 +170,23 @@
         }
         let runs = self.entries.iter();
         let runs = runs.filter(|entry| matches!(entry.observation, Observation::WriteBegan { .. })).count();
-        if runs > 1 && self.class == Class::Book {
-            let what = format!("{runs} writers began it");
+        if runs > 1 && self.class == Class::AtMostOnce {
+            let what = format!("{runs} writers began to run it");
             violations.push(self.violation(Rule::RunTwice, self.asked_at, what));
         }
     }
 
+    /// Checks that no attempt begins long after the client disconnected ([`Rule::SentAfterClientLeft`]).
     fn check_attempts_after_leaving(
         &self,
         plan: &Plan,
         outages: &PlannedOutages,
         violations: &mut Vec<Violation>,
     ) {
-        let Some(left) = self.first(|seen| *seen == Observation::Left) else { return };
+        let Some(left) = self.first(|seen| *seen == Observation::ClientLeft) else { return };
         for entry in &self.entries {
             let Observation::AttemptBegan { server } = entry.observation else { continue };
-            if stood_still(plan, server, entry.at) {
+            if may_have_been_stalled(plan, server, entry.at) {
                 continue;
             }
             let late = entry.at.saturating_sub(left);
@@ -189,18 +198,19 @@
         }
     }
 
+    /// Checks that held state is released in time while no attempt is in flight ([`Rule::Held`]).
     fn check_held_states(&self, excuses: &Excuses, limits: &Limits, violations: &mut Vec<Violation>) {
         let mut in_flight: usize = 0;
         let mut is_held = false;
-        // Since when a state has been held with no attempt in flight.
+        // Since when state has been held with no attempt in flight.
         let mut idle_since: Option<Micros> = None;
         for entry in &self.entries {
             violations.extend(self.held_too_long(idle_since, entry.at, excuses, limits));
             match entry.observation {
                 Observation::ReadEnded { .. } => is_held = true,
-                Observation::WriteBegan { .. } | Observation::Released => is_held = false,
+                Observation::WriteBegan { .. } | Observation::ReleaseReceived => is_held = false,
                 Observation::AttemptArrived { .. } => in_flight += 1,
-                Observation::AttemptOver { .. } => in_flight = in_flight.saturating_sub(1),
+                Observation::AttemptEnded { .. } => in_flight = in_flight.saturating_sub(1),
                 _ => continue,
             }
             let is_idle = is_held && in_flight == 0;
@@ -209,6 +219,7 @@
         violations.extend(self.held_too_long(idle_since, Micros::MAX / 2, excuses, limits));
     }
 
+    /// The violation if state that has been held without an attempt in flight since `idle_since` is overdue at `now`.
     fn held_too_long(
         &self,
         idle_since: Option<Micros>,
@@ -225,30 +236,36 @@
         {
             return None;
         }
-        let what = format!("a state was held for {} ms with nothing out", (now - since) / MS);
+        let what = format!("a state was held for {} ms with no attempt in flight", (now - since) / MS);
         Some(self.violation(Rule::Held, due, what))
     }
 
+    /// Checks that servers are not told a longer remaining time than there is ([`Rule::DeadlineTold`]).
     fn check_deadlines(&self, plan: &Plan, outages: &PlannedOutages, violations: &mut Vec<Violation>) {
         for entry in &self.entries {
-            let Observation::AttemptArrived { server, remaining: Some(told), .. } = entry.observation else {
+            let Observation::AttemptArrived { server, remaining: Some(told_remaining), .. } =
+                entry.observation
+            else {
                 continue;
             };
-            if stood_still(plan, server, entry.at) {
+            if may_have_been_stalled(plan, server, entry.at) {
                 continue;
             }
             let left = self.deadline.saturating_sub(entry.at);
-            let is_excessive = told > left + MAX_EXCESS_REMAINING + TOLERANCE;
+            let is_excessive = told_remaining > left + MAX_EXCESS_REMAINING + TOLERANCE;
             if is_excessive && !outages.any_within(self.dispatcher, self.asked_at, entry.at) {
-                let what = format!("server {server} was told {} ms with {} ms left", told / MS, left / MS);
+                let what =
+                    format!("server {server} was told {} ms with {} ms left", told_remaining / MS, left / MS);
                 violations.push(self.violation(Rule::DeadlineTold, entry.at, what));
             }
         }
     }
 
+    /// Checks that events reach the client in time, and that a stream that its server completed is not cut
+    /// ([`Rule::Stream`]).
     fn check_stream(&self, plan: &Plan, outages: &PlannedOutages, violations: &mut Vec<Violation>) {
-        let over = self.entries.last().map_or(self.asked_at, |entry| entry.at);
-        if outages.any_within(self.dispatcher, self.asked_at, over) {
+        let ended_at = self.entries.last().map_or(self.asked_at, |entry| entry.at);
+        if outages.any_within(self.dispatcher, self.asked_at, ended_at) {
             return;
         }
         if !is_clock_held(plan) {
@@ -258,28 +275,29 @@
             }
         }
         let is_ended = self.first(|seen| matches!(seen, Observation::StreamEnded { .. })).is_some();
-        let cut = self.first(|seen| *seen == Observation::Ended(ClientOutcome::Cut));
+        let cut = self.first(|seen| *seen == Observation::ExchangeEnded(ClientOutcome::Cut));
         if let (true, Some(at)) = (is_ended, cut) {
-            let what = "its server ended the stream, and the client's was cut";
+            let what = "the server completed the stream, but it was cut on its way to the client";
             violations.push(self.violation(Rule::Stream, at, what));
         }
     }
 
-    /// The first event that reached the client late.
+    /// The violation for the first event that reached the client late.
     fn late_event(&self) -> Option<Violation> {
         for event in 0..EVENTS {
-            let written = self.last(|seen| *seen == Observation::EventWritten(event));
-            let came = self.last(|seen| *seen == Observation::EventCame(event));
-            let (Some(written), Some(came)) = (written, came) else { continue };
-            let late = came.saturating_sub(written);
+            let written_at = self.last(|seen| *seen == Observation::EventWritten(event));
+            let received_at = self.last(|seen| *seen == Observation::EventReceived(event));
+            let (Some(written_at), Some(received_at)) = (written_at, received_at) else { continue };
+            let late = received_at.saturating_sub(written_at);
             if late > MAX_EVENT_DELAY + TOLERANCE {
                 let what = format!("event {event} came {} ms late", late / MS);
-                return Some(self.violation(Rule::Stream, came, what));
+                return Some(self.violation(Rule::Stream, received_at, what));
             }
         }
         None
     }
 
+    /// Checks that no attempt begins at a server long after its drain was reported ([`Rule::SentToDraining`]).
     fn check_draining(
         &self,
         plan: &Plan,
@@ -289,22 +307,23 @@
     ) {
         for entry in &self.entries {
             let Observation::AttemptBegan { server } = entry.observation else { continue };
-            if stood_still(plan, server, entry.at) {
+            if may_have_been_stalled(plan, server, entry.at) {
                 continue;
             }
-            let Some(drained) = drained_at(plan, server) else { continue };
+            let Some(drained) = drain_start(plan, server) else { continue };
             let reported = self.drain_reported_at(plan, drained, entry.at);
             let due = reported + limits.stop_sending + TOLERANCE;
             if entry.at > due && !outages.any_within(self.dispatcher, reported, entry.at) {
                 let late_ms = (entry.at - reported) / MS;
-                let what = format!("sent to server {server} {late_ms} ms after its drain was told");
+                let what = format!("sent to server {server} {late_ms} ms after its drain was reported");
                 violations.push(self.violation(Rule::SentToDraining, entry.at, what));
             }
         }
     }
 
-    /// When a drain counts as reported to this dispatcher. An agent that is down reports nothing; a process that starts
-    /// while it is down can't know, so the end of every outage of the agent up to now counts.
+    /// When a drain counts as reported to this dispatcher. An agent that is down reports nothing, and a process that
+    /// starts meanwhile can't know of the drain; so the report counts from the end of the last agent outage that began
+    /// before now and ended after the drain.
     fn drain_reported_at(&self, plan: &Plan, drained: Micros, now: Micros) -> Micros {
         let mut reported = drained;
         for fault in plan.faults.iter().filter(|fault| fault.kind.dispatcher() == Some(self.dispatcher)) {
@@ -312,7 +331,7 @@
             match fault.kind {
                 FaultKind::AgentDown { .. } if from <= now && to > drained => reported = reported.max(to),
                 FaultKind::WatchSilent { .. } => {
-                    let detected = from + SILENT_WATCH_DETECTED;
+                    let detected = from + SILENT_WATCH_TIMEOUT;
                     if (from..detected).contains(&drained) {
                         reported = reported.max(detected);
                     }
@@ -324,16 +343,17 @@
     }
 }
 
-/// Whether a server reads, at a time, what may have been sent while its process stood still.
-fn stood_still(plan: &Plan, server: usize, at: Micros) -> bool {
+/// Whether what a server reads at a time may have been sent while its process was stalled: then the time of the read
+/// says nothing about the time of the send.
+fn may_have_been_stalled(plan: &Plan, server: usize, at: Micros) -> bool {
     plan.faults.iter().any(|fault| {
-        let is_of_server = matches!(fault.kind, FaultKind::StandStill { server: of } if of == server);
-        is_of_server && (fault.from_ms * MS..fault.to_ms * MS + CATCH_UP).contains(&at)
+        let is_of_server = matches!(fault.kind, FaultKind::StandStill { server: target } if target == server);
+        is_of_server && (fault.from_ms * MS..fault.to_ms * MS + CATCH_UP_TIME).contains(&at)
     })
 }
 
-/// When a server begins to drain, if it does.
-fn drained_at(plan: &Plan, server: usize) -> Option<Micros> {
+/// When a server begins to drain; `None` if it never does.
+fn drain_start(plan: &Plan, server: usize) -> Option<Micros> {
     let drains = plan
         .faults
         .iter()
@@ -341,7 +361,7 @@
     drains.map(|fault| fault.from_ms * MS).min()
 }
 
-/// Whether the plan holds some process's clock: then events may be relayed late.
+/// Whether the plan holds back the monotonic clock of any process: then events may be relayed late.
 fn is_clock_held(plan: &Plan) -> bool {
     plan.faults.iter().any(|fault| match &fault.kind {
         FaultKind::Shim { rule, .. } | FaultKind::ShimLater { rule, .. } => rule.starts_with("monotonic"),
--- a/crates/soak/src/process.rs
+++ b/crates/soak/src/process.rs
@@ -1,4 +1,4 @@
-//! Processes of a dispatcher: their start, signals, and what they hold.
+//! Dispatcher processes: their start, readiness, signals, end and resource usage.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -12,59 +12,59 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// A process is ready by then, or it counts as one that never was.
-pub const READY_WITHIN: Duration = Duration::from_secs(10);
-/// How often a process is asked whether it is ready.
+/// A process that is not ready within this time counts as one that never becomes ready.
+pub const READY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Interval at which a process is asked whether it is ready.
 const READY_INTERVAL: Duration = Duration::from_millis(20);
-/// A call of the second address ends within this.
+/// Timeout of connecting to the admin address, and of a call to it.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How a process is started.
+/// What the processes of a dispatcher are started with.
 #[derive(Clone, Debug)]
 pub struct Launch {
-    /// The program, as `run` of the deploy file starts it.
+    /// The dispatcher's executable, started as `run` of the deploy file does.
     pub program: PathBuf,
-    /// The fault shim, where one is loaded.
+    /// The fault shim; `None` loads none, so that its rules have no effect.
     pub shim: Option<PathBuf>,
-    /// Its configuration.
+    /// The configuration file.
     pub config: PathBuf,
-    /// `$TMPDIR`, which lasts.
+    /// `$TMPDIR` and working directory, shared by all processes of the dispatcher and kept between them.
     pub folder: PathBuf,
-    /// What is added to its environment.
+    /// Additional environment variables; the process inherits none.
     pub environment: Vec<(String, String)>,
 }
 
-/// The resources that a process holds.
+/// Resources that a process holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ResourceUsage {
-    /// Open descriptors.
+    /// Number of open file descriptors.
     pub descriptors: usize,
-    /// Threads.
+    /// Number of threads.
     pub threads: usize,
-    /// The most memory so far (KiB).
+    /// Peak resident memory since the start of the process (KiB).
     pub peak_kib: u64,
 }
 
-/// A running process.
+/// A dispatcher process. Dropping it kills the process.
 #[derive(Debug)]
 pub struct Process {
-    /// Its system id.
+    /// The process id.
     pub id: u32,
     child: Child,
     admin: watch::Receiver<Option<SocketAddr>>,
 }
 
 impl Launch {
-    /// Starts a process with these rules of the fault shim; its log goes to a file.
+    /// Starts a process with the given rules of the fault shim, if any. Its standard error is copied to `log_file`.
     ///
     /// # Errors
-    /// What the system says.
+    /// The system's error if the process can't be started.
     pub fn start(&self, shim_rules: &str, log_file: &Path) -> std::io::Result<Process> {
         let mut child = self.command(shim_rules, log_file).spawn()?;
         let (sender, admin) = watch::channel(None);
         let id = child.id().unwrap_or(0);
         if let Some(stderr) = child.stderr.take() {
-            tokio::spawn(keep_log(BufReader::new(stderr).lines(), log_file.to_owned(), sender));
+            tokio::spawn(copy_log(BufReader::new(stderr).lines(), log_file.to_owned(), sender));
         }
         Ok(Process { id, child, admin })
     }
@@ -82,8 +82,8 @@
     }
 }
 
-/// Writes a process's log to a file, and tells the second address that it names.
-async fn keep_log(
+/// Copies a process's log to a file, and publishes the admin address that the process logs as `second address`.
+async fn copy_log(
     mut lines: Lines<BufReader<ChildStderr>>,
     log_file: PathBuf,
     admin: watch::Sender<Option<SocketAddr>>,
@@ -97,26 +97,26 @@
             return;
         }
     }
-    // A log that is lost at its end changes no result.
+    // Losing the end of the log changes no result: the oracle does not read it.
     drop(file.flush().await);
 }
 
-/// Why a process did not end in good order.
+/// Why a process that was told to end did not exit successfully.
 #[derive(Debug, Error)]
-pub enum EndError {
-    /// It ended with an error or by a signal.
+pub enum ExitError {
+    /// It exited with an error or was ended by a signal.
     #[error("told to end, it ended with {0}")]
     Status(ExitStatus),
-    /// Its end could not be waited for.
+    /// The system could not wait for its end.
     #[error(transparent)]
     System(#[from] std::io::Error),
-    /// It did not end in time.
+    /// It did not exit within the given time.
     #[error("told to end, it ran on for {0:?}")]
     Timeout(Duration),
 }
 
 impl Process {
-    /// Waits until it is ready; whether it is in time.
+    /// Waits until the process is ready. Returns false if it ends before, or is not ready within [`READY_TIMEOUT`].
     pub async fn ready(&mut self) -> bool {
         let ready = async {
             let mut admin = self.admin.clone();
@@ -124,75 +124,78 @@
                 return std::future::pending().await;
             };
             loop {
-                if call(address, "READY\n").await.is_some_and(|said| said.starts_with("OK")) {
+                if call_admin(address, "READY\n").await.is_some_and(|response| response.starts_with("OK")) {
                     return;
                 }
                 sleep(READY_INTERVAL).await;
             }
         };
         tokio::select! {
-            ready = timeout(READY_WITHIN, ready) => ready.is_ok(),
+            ready = timeout(READY_TIMEOUT, ready) => ready.is_ok(),
             _ = self.child.wait() => false,
         }
     }
 
-    /// What its second address says to `STATS`.
+    /// The response of the admin address to `STATS`; `None` if the process has not logged the address or does not
+    /// respond.
     pub async fn stats(&self) -> Option<String> {
         let address = *self.admin.borrow();
-        call(address?, "STATS\n").await
+        call_admin(address?, "STATS\n").await
     }
 
-    /// Sends a signal by the `kill` command; one that has ended gets none.
+    /// Sends a signal, named as the `kill` command takes it (`-TERM`). Has no effect if the process has ended.
     pub fn signal(&self, signal: &str) {
-        signal_to(self.id, signal);
+        send_signal(self.id, signal);
     }
 
-    /// How it has ended, if it has.
-    pub fn ended(&mut self) -> Option<String> {
+    /// The exit status of the process, as text; `None` while it runs.
+    pub fn exited(&mut self) -> Option<String> {
         self.child.try_wait().ok().flatten().map(|status| status.to_string())
     }
 
-    /// Waits for its end in good order, for so long.
+    /// Waits for the process to exit successfully within a time.
     ///
     /// # Errors
-    /// How it ended instead, or that it did not.
-    pub async fn ends_within(&mut self, time: Duration) -> Result<(), EndError> {
-        let Ok(status) = timeout(time, self.child.wait()).await else { return Err(EndError::Timeout(time)) };
+    /// How it ended instead, or that it still runs.
+    pub async fn exits_within(&mut self, time: Duration) -> Result<(), ExitError> {
+        let Ok(status) = timeout(time, self.child.wait()).await else { return Err(ExitError::Timeout(time)) };
         match status? {
             status if status.success() => Ok(()),
-            status => Err(EndError::Status(status)),
+            status => Err(ExitError::Status(status)),
         }
     }
 
-    /// Kills it and waits for its end.
+    /// Kills the process and waits for its end.
     pub async fn kill(&mut self) {
-        // One that has ended by itself needs no kill.
+        // Fails only where the process has ended already.
         drop(self.child.kill().await);
     }
 
-    /// The resources that it holds now.
+    /// The resources that the process holds now; `None` if `/proc` can't be read, for example as it has ended.
     #[must_use]
     pub fn resource_usage(&self) -> Option<ResourceUsage> {
-        let of = Path::new("/proc").join(self.id.to_string());
-        let descriptors = std::fs::read_dir(of.join("fd")).ok()?.count();
-        let status = std::fs::read_to_string(of.join("status")).ok()?;
-        let number = |name: &str| {
+        let proc_dir = Path::new("/proc").join(self.id.to_string());
+        let descriptors = std::fs::read_dir(proc_dir.join("fd")).ok()?.count();
+        let status = std::fs::read_to_string(proc_dir.join("status")).ok()?;
+        let field = |name: &str| {
             let line = status.lines().find_map(|line| line.strip_prefix(name))?;
             line.trim().split(' ').next()?.parse::<u64>().ok()
         };
-        let threads = usize::try_from(number("Threads:")?).ok()?;
-        Some(ResourceUsage { descriptors, threads, peak_kib: number("VmHWM:")? })
+        let threads = usize::try_from(field("Threads:")?).ok()?;
+        Some(ResourceUsage { descriptors, threads, peak_kib: field("VmHWM:")? })
     }
 }
 
-/// Sends a signal to a process by its id.
-pub fn signal_to(id: u32, signal: &str) {
-    let told =
+/// Sends a signal to a process by its id, with the `kill` command.
+pub fn send_signal(id: u32, signal: &str) {
+    let result =
         std::process::Command::new("kill").args([signal, &id.to_string()]).stderr(Stdio::null()).status();
-    drop(told); // one that has ended gets none
+    drop(result); // fails where the process has ended already, which is no error
 }
 
-async fn call(address: SocketAddr, line: &str) -> Option<String> {
+/// Sends a line to an admin address and returns the whole response. The first connection only tests the address:
+/// [`until_close`] panics if it can't connect.
+async fn call_admin(address: SocketAddr, line: &str) -> Option<String> {
     let connected = timeout(CALL_TIMEOUT, tokio::net::TcpStream::connect(address)).await;
     drop(connected.ok()?.ok()?);
     timeout(CALL_TIMEOUT, until_close(address, line)).await.ok()
--- a/crates/soak/src/servers.rs
+++ b/crates/soak/src/servers.rs
@@ -1,4 +1,4 @@
-//! Test servers: readers keep states, writers fetch them. What they do wrong, and when, the plan says.
+//! Test servers: readers hold state, writers fetch it. They apply the faults of servers in the plan.
 
 mod connection;
 
@@ -15,58 +15,60 @@
 use crate::event_log::EventLog;
 use crate::plan::{FaultKind, Plan};
 
-/// Connections that wait to be accepted; when so many do, no further one comes up.
-const BACKLOG: i32 = 48;
-/// Connections by which a server that is cut off fills its queue.
+/// Length of the accept queue; once it is full, no further connection is established.
+const ACCEPT_QUEUE_LENGTH: i32 = 48;
+/// Connections that a server opens to itself to fill its accept queue when it is cut off.
 const FILLERS: usize = 64;
-/// A server that will be cut off accepts no more connections so long before (ms), as its queue takes a while to fill.
-const CUT_AHEAD_MS: u64 = 30;
-/// How often a server looks at the plan.
-const LOOK_INTERVAL: Duration = Duration::from_millis(10);
-/// Events of an answer.
+/// A server accepts no more connections this long before it is cut off (ms), as filling its accept queue takes time.
+const CUT_LEAD_MS: u64 = 30;
+/// Interval at which a server checks the plan.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Number of events in a writer's stream.
 pub const EVENTS: usize = 6;
 
-/// All servers of a play; the first half reads.
+/// The servers of a run; the first half are readers, the others writers.
 #[derive(Clone, Debug)]
 pub struct Servers {
-    /// Where each listens.
+    /// The address of each server, by index.
     pub addresses: Vec<SocketAddr>,
 }
 
-/// What the connections of a server share.
+/// Data that all connections of a server share.
 #[derive(Clone)]
 struct Shared {
     server: usize,
     is_reader: bool,
     plan: Arc<Plan>,
     event_log: EventLog,
-    /// Ids of requests whose states wait at readers, or are being read and will.
+    /// Held states, shared by all servers of the run.
     states: Arc<Mutex<States>>,
 }
 
-/// States of requests, by their ids, at all readers.
+/// Ids of the requests whose state a reader holds, and of those that are being read, over all readers.
 #[derive(Debug, Default)]
 struct States {
     held: HashSet<u64>,
-    /// Being read. A release while a prompt is being read lets go of what that read leaves too.
+    /// Requests whose prompt is being read. A release during the read removes the id, so that the read leaves no state.
     being_read: HashSet<u64>,
 }
 
 impl States {
-    fn read_begins(&mut self, id: u64) {
+    /// Marks the prompt of a request as being read.
+    fn begin_read(&mut self, id: u64) {
         self.being_read.insert(id);
     }
 
-    /// A read has ended well; whether its state is held.
-    fn read_ends(&mut self, id: u64) -> bool {
+    /// Ends a read that succeeded. Returns whether it left a held state that was not held before.
+    fn end_read(&mut self, id: u64) -> bool {
         self.being_read.remove(&id) && self.held.insert(id)
     }
 
-    /// A writer takes a state; whether it was there.
+    /// Removes a state that a writer fetches. Returns whether it was held.
     fn take(&mut self, id: u64) -> bool {
         self.held.remove(&id)
     }
 
+    /// Releases the state of a request, also one that is still being read.
     fn release(&mut self, id: u64) {
         self.held.remove(&id);
         self.being_read.remove(&id);
@@ -74,10 +76,10 @@
 }
 
 impl Servers {
-    /// Starts all servers of a plan.
+    /// Starts all servers of a plan on ports that the system picks.
     ///
     /// # Errors
-    /// What the system says.
+    /// The system's error if a server can't listen.
     pub fn start(plan: &Arc<Plan>, event_log: &EventLog) -> std::io::Result<Self> {
         let states = Arc::default();
         let mut addresses = Vec::new();
@@ -102,12 +104,12 @@
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
     socket.bind(&address.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(ACCEPT_QUEUE_LENGTH)?;
     TcpListener::from_std(socket.into())
 }
 
-/// Connects without waiting for the connection to come up.
-fn filler(to: SocketAddr) -> std::io::Result<Socket> {
+/// Starts a connect without waiting until the connection is established.
+fn open_filler(to: SocketAddr) -> std::io::Result<Socket> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_nonblocking(true)?;
     match socket.connect(&to.into()) {
@@ -116,7 +118,7 @@
     }
 }
 
-/// Accepts connections, unless the plan has the server cut off or refuse them.
+/// Accepts connections, unless by the plan the server is cut off, refuses them or is stalled.
 async fn accept(listener: TcpListener, shared: Shared) {
     let Ok(address) = listener.local_addr() else { return };
     let mut listener = Some(listener);
@@ -127,39 +129,40 @@
         } else if listener.is_none() {
             listener = listen(address).ok();
         }
-        shared.stand_still().await;
+        shared.wait_while_stalled().await;
         let is_cut_off = shared.is_cut_off_soon();
         let Some(listening) = listener.as_ref().filter(|_| !is_cut_off) else {
             if is_cut_off && fillers.is_empty() {
-                fillers = (0..FILLERS).filter_map(|_| filler(address).ok()).collect();
+                fillers = (0..FILLERS).filter_map(|_| open_filler(address).ok()).collect();
             }
-            sleep(LOOK_INTERVAL).await;
+            sleep(POLL_INTERVAL).await;
             continue;
         };
         if !fillers.is_empty() {
-            reset_waiting(listening).await;
+            reset_accept_queue(listening).await;
             fillers.clear();
         }
         tokio::select! {
             accepted = listening.accept() => if let Ok((stream, _)) = accepted {
                 tokio::spawn(connection::serve(stream, shared.clone()));
             },
-            () = sleep(LOOK_INTERVAL) => {}
+            () = sleep(POLL_INTERVAL) => {}
         }
     }
 }
 
-/// Resets all connections that wait to be accepted: those that came up as the server was cut off are of no use.
-async fn reset_waiting(listener: &TcpListener) {
-    let at_once = || std::future::poll_fn(|context| Poll::Ready(listener.poll_accept(context)));
-    while let Poll::Ready(Ok((stream, _))) = at_once().await {
+/// Resets all connections in the accept queue: the fillers, and those that were established while the server was being
+/// cut off.
+async fn reset_accept_queue(listener: &TcpListener) {
+    let poll_once = || std::future::poll_fn(|context| Poll::Ready(listener.poll_accept(context)));
+    while let Poll::Ready(Ok((stream, _))) = poll_once().await {
         reset_on_close(&stream);
     }
 }
 
-/// Has the close of a stream be a reset.
+/// Makes the close of a stream send a reset.
 fn reset_on_close(stream: &TcpStream) {
-    // Where it can't be set, the close is an ordinary one.
+    // If the option can't be set, the close is an ordinary one.
     drop(SockRef::from(stream).set_linger(Some(Duration::ZERO)));
 }
 
@@ -168,29 +171,29 @@
         self.event_log.now() / 1_000
     }
 
-    /// Whether a fault of a kind is in force at this server.
+    /// Whether a fault that satisfies `is_kind` is in force at this server.
     fn has(&self, is_kind: impl Fn(&FaultKind) -> bool) -> bool {
         self.plan.has(self.now_ms(), |kind| is_kind(kind) && kind.server() == Some(self.server))
     }
 
-    /// Waits while the server's process stands still; whether it did.
-    async fn stand_still(&self) -> bool {
-        let mut stood = false;
+    /// Waits while the server's process is stalled. Returns whether it was.
+    async fn wait_while_stalled(&self) -> bool {
+        let mut was_stalled = false;
         while self.has(|kind| matches!(kind, FaultKind::StandStill { .. })) {
-            stood = true;
-            sleep(LOOK_INTERVAL).await;
+            was_stalled = true;
+            sleep(POLL_INTERVAL).await;
         }
-        stood
+        was_stalled
     }
 
-    /// Whether no connection may come up: from a moment before the server is cut off on.
+    /// Whether the server is cut off now or will be in [`CUT_LEAD_MS`], so that no connection may be established.
     fn is_cut_off_soon(&self) -> bool {
         let is_cut = |kind: &FaultKind| matches!(kind, FaultKind::Cut { server } if *server == self.server);
         let now_ms = self.now_ms();
-        self.plan.has(now_ms, is_cut) || self.plan.has(now_ms + CUT_AHEAD_MS, is_cut)
+        self.plan.has(now_ms, is_cut) || self.plan.has(now_ms + CUT_LEAD_MS, is_cut)
     }
 
-    /// Whether the server drains: once it does, it drains for good.
+    /// Whether the server's drain has begun; it lasts until the end of the run.
     fn is_draining(&self) -> bool {
         let now_ms = self.now_ms();
         self.plan.faults.iter().any(|fault| {
@@ -199,7 +202,7 @@
         })
     }
 
-    /// How much later the server answers now.
+    /// Additional delay of the server's responses now.
     fn delay(&self) -> Duration {
         let delays_ms = self.plan.faults_at(self.now_ms()).filter_map(|kind| match *kind {
             FaultKind::Slow { server, by_ms } if server == self.server => Some(by_ms),
@@ -208,7 +211,7 @@
         Duration::from_millis(delays_ms.max().unwrap_or(0))
     }
 
-    /// Until when (ms) a connection that was opened at a time is silent, if it is.
+    /// Until when (ms) a connection that was opened at a time is silent; `None` if it is not silent now.
     fn silent_until_ms(&self, opened_ms: u64) -> Option<u64> {
         let now_ms = self.now_ms();
         let silences = self.plan.faults.iter().filter(|fault| match fault.kind {
@@ -221,7 +224,7 @@
         silences.map(|fault| fault.to_ms.max(now_ms)).max()
     }
 
-    /// When (ms) a connection that was opened at a time is reset; `None` where the plan does not say so.
+    /// When (ms) a connection that was opened at a time is reset; `None` if the plan does not reset it.
     fn reset_at_ms(&self, opened_ms: u64) -> Option<u64> {
         let resets = self.plan.faults.iter().filter(|fault| {
             let is_reset = matches!(fault.kind, FaultKind::Reset { server } if server == self.server);
@@ -235,8 +238,8 @@
     }
 }
 
-/// A request's number by its `X-Txn`; 0 where it has none.
+/// Parses the hexadecimal request id of `X-Txn`; 0 if it is missing or malformed.
 #[must_use]
-pub fn id_of(text: &str) -> u64 {
+pub fn parse_id(text: &str) -> u64 {
     u64::from_str_radix(text, 16).unwrap_or(0)
 }
--- a/crates/soak/src/servers/connection.rs
+++ b/crates/soak/src/servers/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a test server: its exchanges, with what the plan has go wrong in them.
+//! One connection of a test server: its requests and responses, with the faults of the plan.
 
 use std::time::Duration;
 
@@ -7,39 +7,39 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep_until, Instant};
 
-use super::{id_of, reset_on_close, Shared, EVENTS, LOOK_INTERVAL};
+use super::{parse_id, reset_on_close, Shared, EVENTS, POLL_INTERVAL};
 use crate::event_log::{EventLog, Micros, Observation};
 use crate::plan::FaultKind;
 
-/// A read takes so long.
-const READ_TIME: Duration = Duration::from_millis(15);
-/// A writer takes so long to its first event.
+/// Time that a reader takes to read a prompt.
+const READ_DURATION: Duration = Duration::from_millis(15);
+/// Time that a writer takes until its first event.
 const FIRST_EVENT_AFTER: Duration = Duration::from_millis(25);
-/// And so long from one event to the next.
+/// Time between two events of a stream.
 const EVENT_INTERVAL: Duration = Duration::from_millis(12);
-/// A second answer comes so long after the first.
-const SECOND_ANSWER_AFTER: Duration = Duration::from_millis(6);
-/// A stream that breaks does so after so many events.
+/// Time between a reader's response and its repeat (`AnswerTwice`).
+const SECOND_RESPONSE_AFTER: Duration = Duration::from_millis(6);
+/// Events of a stream before it is cut (`Break`).
 const EVENTS_BEFORE_BREAK: usize = 2;
-/// A connection is closed on use only when it is older than this (ms): before, it is in its first use.
+/// Minimum age of a connection that is closed on use (`CloseOnUse`, ms): a younger one is in its first use.
 const MIN_AGE_TO_CLOSE_MS: u64 = 50;
-/// Longer than any play.
-const FOR_EVER: Duration = Duration::from_secs(600);
-/// The same, in milliseconds behind the end of a play.
+/// Longer than any run.
+const FOREVER: Duration = Duration::from_secs(600);
+/// Time after the end of a run at which nothing happens any more (ms).
 const NEVER_MS: u64 = 60_000;
 const END_OF_HEAD: &[u8] = b"\r\n\r\n";
 const STREAM_HEAD: &str =
     "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// Why a connection is not served any longer.
+/// Why a connection is no longer served.
 enum ConnectionEnd {
-    /// It has ended, or is to be closed in good order.
+    /// It has ended, or is to be closed normally.
     Closed,
-    /// It is to be reset.
+    /// The plan resets it, or it was silent.
     Reset,
 }
 
-/// Serves a connection until it ends, or the plan resets it.
+/// Serves a connection until it ends or the plan resets it.
 pub(super) async fn serve(stream: TcpStream, shared: Shared) {
     let opened_ms = shared.now_ms();
     let reset_at_ms = shared.reset_at_ms(opened_ms).unwrap_or(shared.plan.length_ms + NEVER_MS);
@@ -54,7 +54,7 @@
     }
 }
 
-/// Logs the end of an attempt when it is dropped.
+/// An attempt in flight. Dropping it logs the end of the attempt, so that no way out of the exchange misses it.
 struct InFlightAttempt {
     event_log: EventLog,
     id: u64,
@@ -63,21 +63,21 @@
 
 impl Drop for InFlightAttempt {
     fn drop(&mut self) {
-        self.event_log.write(self.id, Observation::AttemptOver { server: self.server });
+        self.event_log.write(self.id, Observation::AttemptEnded { server: self.server });
     }
 }
 
-/// A request as a server reads it.
+/// A request that was read completely.
 struct Message {
-    line: String,
+    request_line: String,
     head: String,
-    /// When its first byte was there.
+    /// When its first byte was available.
     first_byte: Micros,
 }
 
 struct Connection {
     stream: TcpStream,
-    /// What was read and belongs to no message yet.
+    /// Bytes that were read and not parsed yet.
     read: Vec<u8>,
     opened_ms: u64,
     shared: Shared,
@@ -98,15 +98,15 @@
 
     // ---- Reading and writing ----
 
-    /// Where the connection is silent, waits until it is to be reset.
+    /// Does nothing unless the connection is silent. If it is, waits until its reset is due or the other side closes.
     async fn end_if_silent(&mut self) -> Result<(), ConnectionEnd> {
         let Some(until_ms) = self.shared.silent_until_ms(self.opened_ms) else { return Ok(()) };
         let until = self.shared.event_log.instant(until_ms);
-        let mut lost = [0; 4_096];
+        let mut discarded = [0; 4_096];
         loop {
-            // What comes is lost; that the other side closes ends the attempt in flight.
+            // Received bytes are discarded; a close by the other side ends the attempt in flight.
             tokio::select! {
-                read = self.stream.read(&mut lost) => if matches!(read, Ok(0) | Err(_)) {
+                read = self.stream.read(&mut discarded) => if matches!(read, Ok(0) | Err(_)) {
                     return Err(ConnectionEnd::Reset);
                 },
                 () = sleep_until(until) => return Err(ConnectionEnd::Reset),
@@ -116,20 +116,20 @@
 
     /// Reads the next request.
     async fn message(&mut self) -> Result<Message, ConnectionEnd> {
-        let mut stood_still = false;
+        let mut was_stalled = false;
         let mut first_byte = (!self.read.is_empty()).then(|| self.shared.event_log.now());
         loop {
-            if let Some((line, head)) = self.take_message() {
-                if stood_still {
+            if let Some((request_line, head)) = self.take_message() {
+                if was_stalled {
                     self.end_if_closed()?;
                 }
                 let first_byte = first_byte.unwrap_or_else(|| self.shared.event_log.now());
-                return Ok(Message { line, head, first_byte });
+                return Ok(Message { request_line, head, first_byte });
             }
             if self.stream.readable().await.is_err() {
                 return Err(ConnectionEnd::Closed);
             }
-            stood_still |= self.shared.stand_still().await;
+            was_stalled |= self.shared.wait_while_stalled().await;
             self.end_if_silent().await?;
             if first_byte.is_none() && self.closes_on_use() {
                 return Err(ConnectionEnd::Closed);
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Takes a whole request from what was read: its first line and its head.
+    /// Removes a complete request from the bytes that were read. Returns its request line and its head.
     fn take_message(&mut self) -> Option<(String, String)> {
         let head_end = self.read.windows(END_OF_HEAD.len()).position(|window| window == END_OF_HEAD)?;
         let head = String::from_utf8_lossy(&self.read[..head_end]).into_owned();
@@ -155,11 +155,12 @@
             return None;
         }
         self.read.drain(..end);
-        let line = head.lines().next().unwrap_or("").to_owned();
-        Some((line, head))
+        let request_line = head.lines().next().unwrap_or("").to_owned();
+        Some((request_line, head))
     }
 
-    /// Ends where the other side has closed already: a process that stood still sees the request and the close at once.
+    /// Ends the connection if the other side has closed it already: a process that was stalled sees the request and
+    /// the close at the same time.
     fn end_if_closed(&mut self) -> Result<(), ConnectionEnd> {
         match self.stream.try_read_buf(&mut self.read) {
             Ok(0) => Err(ConnectionEnd::Closed),
@@ -167,31 +168,33 @@
         }
     }
 
+    /// Whether the plan closes the connection at its next use.
     fn closes_on_use(&self) -> bool {
         let is_old = self.shared.now_ms() > self.opened_ms + MIN_AGE_TO_CLOSE_MS;
         is_old && self.shared.has(|kind| matches!(kind, FaultKind::CloseOnUse { .. }))
     }
 
+    /// Writes a part of a response, unless by the plan the connection is silent or the response is lost.
     async fn write(&mut self, text: &str) -> Result<(), ConnectionEnd> {
-        self.shared.stand_still().await;
+        self.shared.wait_while_stalled().await;
         self.end_if_silent().await?;
         if self.shared.has(|kind| matches!(kind, FaultKind::LoseAnswers { .. })) {
-            return self.wait(FOR_EVER).await;
+            return self.wait(FOREVER).await;
         }
         self.stream.write_all(text.as_bytes()).await.map_err(|_| ConnectionEnd::Closed)
     }
 
-    /// Waits for so long; ends when the other side closes.
+    /// Waits for a time, in which the server works on a request; ends the connection if the other side closes.
     async fn wait(&mut self, time: Duration) -> Result<(), ConnectionEnd> {
         let end = Instant::now() + time;
         loop {
             tokio::select! {
-                biased; // a close that has come stops the work, though its time is over in the same moment
+                biased; // if the close arrives at the moment at which the time is over, it still stops the work
                 read = self.stream.read_buf(&mut self.read) => if matches!(read, Ok(0) | Err(_)) {
                     return Err(ConnectionEnd::Closed);
                 },
                 () = sleep_until(end) => {
-                    if self.shared.stand_still().await {
+                    if self.shared.wait_while_stalled().await {
                         self.end_if_closed()?;
                     }
                     return self.end_if_silent().await;
@@ -202,10 +205,11 @@
 
     // ---- Exchanges ----
 
+    /// Reads the next request and responds to it.
     async fn exchange(&mut self) -> Result<(), ConnectionEnd> {
         let message = self.message().await?;
-        match message.line.strip_prefix("DELETE /kv/leases/") {
-            Some(rest) => self.release(id_of(rest.split(' ').next().unwrap_or(""))).await,
+        match message.request_line.strip_prefix("DELETE /kv/leases/") {
+            Some(rest) => self.release(parse_id(rest.split(' ').next().unwrap_or(""))).await,
             None => self.attempt(&message).await,
         }
     }
@@ -213,28 +217,28 @@
     /// Releases the state of a request.
     async fn release(&mut self, id: u64) -> Result<(), ConnectionEnd> {
         self.shared.states().release(id);
-        self.log(id, Observation::Released);
-        self.hang().await?;
+        self.log(id, Observation::ReleaseReceived);
+        self.wait_while_hanging().await?;
         self.write(&plain(204, "", "")).await
     }
 
-    /// Answers an attempt, as a reader or a writer.
+    /// Responds to an attempt, as a reader or a writer.
     async fn attempt(&mut self, message: &Message) -> Result<(), ConnectionEnd> {
-        let id = id_of(&field(&message.head, "x-txn").unwrap_or_default());
+        let id = parse_id(&field(&message.head, "x-txn").unwrap_or_default());
         let _in_flight = self.log_attempt(id, message);
         if self.shared.is_draining() || self.shared.has(|kind| matches!(kind, FaultKind::TurnAway { .. })) {
             return self.turn_away(id, 503).await;
         }
-        self.hang().await?;
+        self.wait_while_hanging().await?;
         let delay = self.shared.delay();
         if self.shared.is_reader {
-            self.shared.states().read_begins(id);
-            self.wait(READ_TIME + delay).await?;
-            let is_held = self.shared.states().read_ends(id);
+            self.shared.states().begin_read(id);
+            self.wait(READ_DURATION + delay).await?;
+            let is_held = self.shared.states().end_read(id);
             if is_held {
                 self.log(id, Observation::ReadEnded { server: self.shared.server });
             }
-            return self.write_read_answer().await;
+            return self.write_read_response().await;
         }
         let has_state = self.shared.states().take(id);
         if !has_state {
@@ -245,7 +249,7 @@
         self.write_stream(id).await
     }
 
-    /// Logs an attempt that has arrived; its end is logged when the result is dropped.
+    /// Logs the arrival of an attempt. Its end is logged when the result is dropped.
     fn log_attempt(&self, id: u64, message: &Message) -> InFlightAttempt {
         let (event_log, server) = (self.shared.event_log.clone(), self.shared.server);
         event_log.write_at(message.first_byte, id, Observation::AttemptBegan { server });
@@ -256,35 +260,36 @@
         InFlightAttempt { event_log, id, server }
     }
 
-    /// Writes a reader's answer, spoilt where the plan says so.
-    async fn write_read_answer(&mut self) -> Result<(), ConnectionEnd> {
-        let answer = plain(202, "", "{\"cached_tokens\":0}");
+    /// Writes a reader's response; by the plan, it stays incomplete (`NeverEnd`) or is sent twice (`AnswerTwice`).
+    async fn write_read_response(&mut self) -> Result<(), ConnectionEnd> {
+        let response = plain(202, "", "{\"cached_tokens\":0}");
         if self.shared.has(|kind| matches!(kind, FaultKind::NeverEnd { .. })) {
-            self.write(&answer[..answer.len() - 2]).await?;
-            return self.wait(FOR_EVER).await;
+            self.write(&response[..response.len() - 2]).await?;
+            return self.wait(FOREVER).await;
         }
-        self.write(&answer).await?;
+        self.write(&response).await?;
         if self.shared.has(|kind| matches!(kind, FaultKind::AnswerTwice { .. })) {
-            self.wait(SECOND_ANSWER_AFTER).await?;
-            return self.write(&answer).await;
+            self.wait(SECOND_RESPONSE_AFTER).await?;
+            return self.write(&response).await;
         }
         Ok(())
     }
 
-    /// Takes what comes and answers nothing, while the plan says so and until the other side closes.
-    async fn hang(&mut self) -> Result<(), ConnectionEnd> {
+    /// Waits while the plan has the server hang; ends the connection if the other side closes.
+    async fn wait_while_hanging(&mut self) -> Result<(), ConnectionEnd> {
         while self.shared.has(|kind| matches!(kind, FaultKind::Hang { .. })) {
-            self.wait(LOOK_INTERVAL).await?;
+            self.wait(POLL_INTERVAL).await?;
         }
         Ok(())
     }
 
+    /// Rejects an attempt with a response that says that it never ran.
     async fn turn_away(&mut self, id: u64, status: u16) -> Result<(), ConnectionEnd> {
         self.log(id, Observation::TurnedAway { server: self.shared.server });
         self.write(&plain(status, "X-Turned-Away: 1\r\n", "")).await
     }
 
-    /// Writes a writer's answer; the stream breaks where the plan says so.
+    /// Writes a writer's stream, which is cut (`Break`) if the plan says so.
     async fn write_stream(&mut self, id: u64) -> Result<(), ConnectionEnd> {
         self.write(STREAM_HEAD).await?;
         for event in 0..EVENTS {
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 
 use dewladder_soak::event_log::{LogEntry, Observation};
-use dewladder_soak::harness::{play, Options};
+use dewladder_soak::harness::{run_plan, Options};
 use dewladder_soak::oracle::{check, counts, LIMITS};
 use dewladder_soak::plan::{Fault, FaultKind, Plan};
 
@@ -28,7 +28,7 @@
         folder: PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("faults-{name}")),
         environment: vec![("RUST_LOG".to_owned(), "debug".to_owned())],
     };
-    let entries = play(plan, &options).await.unwrap();
+    let entries = run_plan(plan, &options).await.unwrap();
     let violations = check(plan, &entries, &LIMITS);
     assert!(violations.is_empty(), "{violations:#?}");
     let counts = counts(&entries);
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -4,7 +4,7 @@
 
 use std::path::PathBuf;
 
-use dewladder_soak::harness::{play, Options};
+use dewladder_soak::harness::{run_plan, Options};
 use dewladder_soak::oracle::{check, counts, LIMITS};
 use dewladder_soak::plan::Plan;
 use tokio::task::JoinSet;
@@ -23,7 +23,7 @@
         folder: PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("soak"),
         environment: Vec::new(),
     };
-    let entries = play(&plan, &options).await.unwrap();
+    let entries = run_plan(&plan, &options).await.unwrap();
     let counts = counts(&entries);
     assert!(counts.asked > 100 && counts.served > 20, "seed {seed}: {counts:?}");
     let violations = check(&plan, &entries, &LIMITS);
