--- a/crates/soak/src/bin/false_dispatcher.rs
+++ b/crates/soak/src/bin/false_dispatcher.rs
@@ -1,5 +1,6 @@
-//! A small dispatcher that breaks one rule on purpose, as the environment variable `FALSE_RULE` names it, and keeps all
-//! others. The soak's own tests show with it that each rule is seen. It is no part of the program.
+//! A minimal dispatcher that violates one rule on purpose, named by the environment variable `FALSE_RULE`, and keeps
+//! all others. The soak's own tests use it to show that the oracle detects a violation of each rule. It is not part of
+//! the real dispatcher.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,7 +13,7 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
-/// The rule that it breaks, and the servers that it knows.
+/// The rule that this dispatcher violates, and the servers that it uses.
 #[derive(Clone)]
 struct Behavior {
     broken_rule: String,
@@ -20,19 +21,19 @@
     writers: Vec<SocketAddr>,
 }
 
-type Failure = Box<dyn std::error::Error + Send + Sync>;
+type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
-/// A request comes whole within this, or its connection is closed.
+/// A connection is closed if the next request is not complete within this time.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longer than any play.
-const FOR_EVER: Duration = Duration::from_secs(600);
-/// The dispatcher that ends by itself does so after this.
-const ENDS_AFTER: Duration = Duration::from_secs(2);
-/// All others after this, when no play lasts any longer.
-const LASTS: Duration = Duration::from_secs(3_600);
-/// What is held for a writer that is silent is released after this.
+/// Longer than any run.
+const FOREVER: Duration = Duration::from_secs(600);
+/// The dispatcher that violates `exit` ends by itself after this time.
+const EXITS_AFTER: Duration = Duration::from_secs(2);
+/// All others end after this time, which is longer than any run.
+const MAX_RUNTIME: Duration = Duration::from_secs(3_600);
+/// State that is held for a writer that does not respond is released after this time.
 const RELEASES_AFTER: Duration = Duration::from_millis(500);
-/// Descriptors that the leaking dispatcher opens for each connection.
+/// Descriptors that the dispatcher that violates `leak` opens for each connection and never closes.
 const LEAKED_DESCRIPTORS: usize = 4;
 
 impl Behavior {
@@ -44,16 +45,17 @@
         }
     }
 
+    /// Whether this dispatcher violates a rule on purpose.
     fn breaks(&self, rule: &str) -> bool {
         self.broken_rule == rule
     }
 
-    /// The reader of a request.
+    /// The reader of a request, chosen by its id.
     fn reader(&self, txn: &str) -> SocketAddr {
         self.readers[sum_of_bytes(txn) % self.readers.len()]
     }
 
-    /// The writer of a request, or the one behind it by so many.
+    /// The writer of a request, chosen by its id, or the one `offset` places after it.
     fn writer(&self, txn: &str, offset: usize) -> SocketAddr {
         self.writers[(sum_of_bytes(txn) + offset) % self.writers.len()]
     }
@@ -63,6 +65,7 @@
     text.bytes().map(usize::from).sum()
 }
 
+/// The servers of a flavor (`prefill` for readers, `decode` for writers) in the configuration's list.
 fn servers(config: &Value, flavor: &str) -> Vec<SocketAddr> {
     let members = config["known"]["members"].as_array().cloned().unwrap_or_default();
     let wanted = members.iter().filter(|member| member["flavor"] == flavor);
@@ -70,7 +73,7 @@
 }
 
 #[tokio::main(flavor = "current_thread")]
-async fn main() -> Result<(), Failure> {
+async fn main() -> Result<(), BoxError> {
     let path = std::env::args().skip_while(|argument| argument != "--config").nth(1).ok_or("no --config")?;
     let config: Value = serde_json::from_str(&std::fs::read_to_string(path)?)?;
     let clients = listen(config["listen"].as_str().ok_or("no listen")?.parse()?)?;
@@ -89,16 +92,16 @@
     TcpListener::from_std(socket.into())
 }
 
-/// Serves both addresses until it is told to end.
-async fn run(behavior: Behavior, clients: TcpListener, admin: TcpListener) -> Result<(), Failure> {
+/// Serves clients and the admin address until SIGTERM.
+async fn run(behavior: Behavior, clients: TcpListener, admin: TcpListener) -> Result<(), BoxError> {
     let mut term = signal(SignalKind::terminate())?;
     let mut leaked = Vec::new();
-    let end = sleep(if behavior.breaks("exit") { ENDS_AFTER } else { LASTS });
+    let end = sleep(if behavior.breaks("exit") { EXITS_AFTER } else { MAX_RUNTIME });
     tokio::pin!(end);
     loop {
         tokio::select! {
             _ = term.recv() => return Ok(()),
-            () = &mut end => return Err("it ends by itself".into()),
+            () = &mut end => return Err("ends by itself on purpose".into()),
             caller = admin.accept() => {
                 let answer = if behavior.breaks("not_ready") { "ERR no\n" } else { "OK ready\n" };
                 if let Ok((mut caller, _)) = caller {
@@ -119,11 +122,11 @@
     }
 }
 
-/// Serves a client until its connection ends.
+/// Serves a client's connection until it ends.
 async fn serve(mut client: TcpStream, behavior: Behavior) {
     let mut read = Vec::new();
     loop {
-        let request_timeout = if behavior.breaks("half_request") { FOR_EVER } else { REQUEST_TIMEOUT };
+        let request_timeout = if behavior.breaks("half_request") { FOREVER } else { REQUEST_TIMEOUT };
         let Ok(Some((head, body))) = timeout(request_timeout, message(&mut client, &mut read)).await else {
             return;
         };
@@ -141,7 +144,7 @@
     }
 }
 
-/// The request as it is sent on to servers.
+/// The request as it is forwarded to servers.
 fn forwarded(behavior: &Behavior, head: &str, body: &[u8], txn: &str) -> String {
     let remaining = field(head, "x-remaining").unwrap_or_default();
     let remaining = if behavior.breaks("deadline_told") { "9.000" } else { remaining.as_str() };
@@ -153,12 +156,13 @@
     )
 }
 
+/// Has a request read and written by servers, and relays the answer.
 async fn answer(
     client: &mut TcpStream,
     behavior: &Behavior,
     request: &str,
     txn: &str,
-) -> Result<(), Failure> {
+) -> Result<(), BoxError> {
     if !read_prompt(behavior, request, txn).await? {
         return refuse(client).await;
     }
@@ -179,13 +183,14 @@
     relay(client, behavior, &mut writer, txn).await
 }
 
-/// Whether a writer says anything within the client's time. What is held for a writer that is silent is released.
+/// Whether a writer responds within the client's remaining time. State that is held for a writer that does not respond
+/// is released after [`RELEASES_AFTER`].
 async fn answers_in_time(
     behavior: &Behavior,
     writer: &mut TcpStream,
     request: &str,
     txn: &str,
-) -> Result<bool, Failure> {
+) -> Result<bool, BoxError> {
     let remaining = field(request, "x-remaining").and_then(|text| text.parse().ok()).unwrap_or(1.0);
     let end = Instant::now() + Duration::from_secs_f64(remaining);
     let releases_at = end.min(Instant::now() + RELEASES_AFTER);
@@ -198,32 +203,32 @@
     Ok(timeout_at(end, writer.readable()).await.is_ok())
 }
 
-/// Has a reader let go of what is held.
-async fn release(behavior: &Behavior, txn: &str) -> Result<(), Failure> {
+/// Tells a reader to release the state of a request. Any reader will do, as the test servers share their states.
+async fn release(behavior: &Behavior, txn: &str) -> Result<(), BoxError> {
     let release = format!("DELETE /kv/leases/{txn} HTTP/1.1\r\nHost: s\r\n\r\n");
     let mut holder = TcpStream::connect(behavior.readers[0]).await?;
     Ok(holder.write_all(release.as_bytes()).await?)
 }
 
-/// Has a reader read the prompt; whether it did.
-async fn read_prompt(behavior: &Behavior, request: &str, txn: &str) -> Result<bool, Failure> {
+/// Has a reader read the prompt. Returns whether the reader accepted it.
+async fn read_prompt(behavior: &Behavior, request: &str, txn: &str) -> Result<bool, BoxError> {
     let mut reader = TcpStream::connect(behavior.reader(txn)).await?;
     reader.write_all(request.as_bytes()).await?;
     let (head, _) = message(&mut reader, &mut Vec::new()).await.ok_or("no answer of the reader")?;
     Ok(head.contains(" 202 "))
 }
 
-async fn refuse(client: &mut TcpStream) -> Result<(), Failure> {
+async fn refuse(client: &mut TcpStream) -> Result<(), BoxError> {
     Ok(client.write_all(plain(503, "", "").as_bytes()).await?)
 }
 
-/// Relays a writer's answer, or releases the state and refuses where the writer does.
+/// Relays a writer's answer. If the writer rejects the request, releases the state and refuses the request.
 async fn relay(
     client: &mut TcpStream,
     behavior: &Behavior,
     writer: &mut TcpStream,
     txn: &str,
-) -> Result<(), Failure> {
+) -> Result<(), BoxError> {
     let mut piece = vec![0; 4_096];
     let mut all = Vec::new();
     loop {
--- a/crates/soak/src/failed_seeds.rs
+++ b/crates/soak/src/failed_seeds.rs
@@ -1,14 +1,14 @@
-//! The file of seeds whose plans violated a rule once: one seed a line, in the order in which they failed.
+//! File of the seeds whose plans once violated a rule: one seed per line, in the order in which they failed.
 
 use std::path::Path;
 
-/// The seeds of a file; lines that are none are skipped.
+/// Parses the text of the file. Lines that are not a seed, such as comments, are skipped.
 #[must_use]
 pub fn parse(text: &str) -> Vec<u64> {
     text.lines().filter_map(|line| line.parse().ok()).collect()
 }
 
-/// The text of a file with further seeds; those that it has are not added again.
+/// Appends seeds to the text of the file, except those that it already contains.
 #[must_use]
 pub fn with_seeds(text: &str, seeds: &[u64]) -> String {
     let mut lines: Vec<String> = text.lines().map(str::to_owned).collect();
@@ -21,11 +21,11 @@
     lines.join("\n") + "\n"
 }
 
-/// Adds seeds to a file; one that can't be read is written anew.
+/// Adds seeds to the file. If it can't be read, it is replaced.
 ///
 /// # Errors
-/// What the system says of writing it.
+/// The system's error if the file can't be written.
 pub fn add(path: &Path, seeds: &[u64]) -> std::io::Result<()> {
-    let known = std::fs::read_to_string(path).unwrap_or_default();
-    std::fs::write(path, with_seeds(&known, seeds))
+    let text_before = std::fs::read_to_string(path).unwrap_or_default();
+    std::fs::write(path, with_seeds(&text_before, seeds))
 }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,7 +1,8 @@
-//! The fault soak. A [`plan`] is drawn from a seed: processes of the dispatcher, clients, servers and agents, and faults
-//! that overlap in time. The [`harness`] plays it on loopback with real processes. Every peer writes what it saw into
-//! one [`event_log`] on one monotonic clock, and the [`oracle`] checks the rules by that log alone, never by what the
-//! program says of itself. A [`campaign`] plays many plans; those that violate a rule can be shrunk ([`shrink`]).
+//! The fault soak: a randomized fault-injection test of the dispatcher. A [`plan`] is drawn from a seed; it names the
+//! dispatchers, the servers and the faults, which overlap in time. The [`harness`] runs the plan on loopback with real
+//! dispatcher processes. Every test peer (client, server, agent) writes its observations to one [`event_log`] on one
+//! monotonic clock, and the [`oracle`] checks the rules against that log and not against the dispatcher's own log. A
+//! [`campaign`] runs many plans; a plan that violates a rule can be shrunk ([`shrink`]).
 
 pub mod agent;
 pub mod campaign;
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,5 @@
-//! The fault soak as a program; see the library.
+//! Command-line program of the fault soak. It exits with 0 if no plan violated a rule, 1 if one did, and 2 if the soak
+//! itself failed.
 
 use std::process::ExitCode;
 
@@ -8,10 +9,10 @@
 use thiserror::Error;
 use tokio::signal::unix::{signal, SignalKind};
 
-/// The exit code where the soak itself failed.
+/// Exit code if the soak itself failed, as opposed to a plan that violated a rule.
 const EXIT_ERROR: u8 = 2;
 
-/// Why the soak itself failed.
+/// Reasons for which the soak itself fails.
 #[derive(Debug, Error)]
 enum SoakError {
     #[error(transparent)]
@@ -21,7 +22,7 @@
     #[error(transparent)]
     System(#[from] std::io::Error),
     #[error("told to end")]
-    ToldToEnd,
+    Interrupted,
 }
 
 fn main() -> ExitCode {
@@ -35,7 +36,7 @@
     }
 }
 
-/// Whether no rule was violated.
+/// Runs the campaign that the command line asks for. Returns whether no plan violated a rule.
 fn run() -> Result<bool, SoakError> {
     let mut arguments = Arguments::from_env();
     if arguments.contains("--help") {
@@ -47,14 +48,14 @@
     runtime.block_on(async {
         tokio::select! {
             done = campaign::run(&settings) => Ok(done?),
-            // What is dropped with the runtime ends the processes of all plays.
-            told = told_to_end() => Err(told.map_or_else(SoakError::System, |()| SoakError::ToldToEnd)),
+            // Dropping the runtime drops the dispatcher processes of all runs, which kills them.
+            waited = interrupt_or_term() => Err(waited.map_or_else(SoakError::System, |()| SoakError::Interrupted)),
         }
     })
 }
 
-/// Waits for SIGINT or SIGTERM.
-async fn told_to_end() -> std::io::Result<()> {
+/// Completes on SIGINT or SIGTERM.
+async fn interrupt_or_term() -> std::io::Result<()> {
     let (mut interrupt, mut term) = (signal(SignalKind::interrupt())?, signal(SignalKind::terminate())?);
     tokio::select! {
         _ = interrupt.recv() => {}
--- a/crates/soak/src/options.rs
+++ b/crates/soak/src/options.rs
@@ -9,23 +9,23 @@
 
 use crate::harness::Options;
 
-/// What `--help` prints.
-pub const HELP: &str = "dewladder-soak: real processes of the dispatcher under drawn, overlapping troubles
+/// The text that `--help` prints, with the defaults in parentheses.
+pub const HELP: &str = "dewladder-soak: runs real dispatcher processes under random, overlapping faults
 
 usage: dewladder-soak [options]
 
-  --seeds A..B        plans to draw and play (1..10), both included
-  --stopped            draw plans of servers that stand still, series of signals and early kills instead
-  --processes N       dispatchers of a play (12)
-  --seconds N         length of a play (20)
-  --parallel N        plays at once (4)
-  --plan FILE         play this plan instead
-  --failed FILE       seeds that failed once, one a line: played first, and added to
-  --shrink            drop troubles of a plan that breaks a rule, one at a time, while the break stays
-  --program FILE      the dispatcher (target/release/dewladder)
-  --log LEVEL         RUST_LOG of the processes (info)
-  --shim FILE         the fault shim (target/release/libdewladder_fault_shim.so); \"none\" plays without it
-  --folder DIR        logs, traces and plans (target/soak)";
+  --seeds A..B        seeds of the plans to draw and run, both included (1..10)
+  --stopped           draw plans of stalled servers, series of signals and early kills instead
+  --processes N       dispatchers in each run (12)
+  --seconds N         length of each run (20)
+  --parallel N        runs at the same time (4)
+  --plan FILE         run this plan (JSON) instead of drawing plans
+  --failed FILE       seeds that failed before, one a line: they run first, and new failures are added
+  --shrink            drop the faults of a plan that violates a rule, one at a time, while it still does
+  --program FILE      the dispatcher's executable (target/release/dewladder)
+  --log LEVEL         RUST_LOG of the dispatcher processes (info)
+  --shim FILE         the fault shim (target/release/libdewladder_fault_shim.so); \"none\" runs without it
+  --folder DIR        output directory for logs, traces and plans (target/soak)";
 
 const DEFAULT_SEEDS: RangeInclusive<u64> = 1..=10;
 const DEFAULT_PROCESSES: u64 = 12;
@@ -34,67 +34,68 @@
 const DEFAULT_PROGRAM: &str = "target/release/dewladder";
 const DEFAULT_SHIM: &str = "target/release/libdewladder_fault_shim.so";
 const DEFAULT_FOLDER: &str = "target/soak";
-/// The value of `--shim` by which none is loaded.
+/// The value of `--shim` that loads no fault shim.
 const NO_SHIM: &str = "none";
 
-/// Which plans are played, and how.
+/// The parsed command line: which plans are run, and how.
 #[derive(Debug)]
 pub struct Settings {
-    /// Seeds of the plans to draw.
+    /// Seeds of the plans to draw, both ends included.
     pub seeds: RangeInclusive<u64>,
-    /// Whether plans of servers that stand still are drawn instead of the others.
+    /// Whether plans are drawn by [`Plan::draw_stopped`](crate::plan::Plan::draw_stopped) (stalled servers, series of
+    /// signals, early kills) instead of [`Plan::draw`](crate::plan::Plan::draw).
     pub stopped: bool,
-    /// Dispatchers of a play.
+    /// Number of dispatchers in each run, at least 1.
     pub processes: usize,
-    /// The length of a play (s).
+    /// Length of each run in seconds.
     pub seconds: u64,
-    /// Plays at once.
+    /// Number of runs at the same time, at least 1.
     pub parallel: usize,
-    /// A file with the plan to play instead.
+    /// JSON file with the only plan to run; `None` draws plans from the seeds.
     pub plan: Option<PathBuf>,
-    /// The file of seeds that failed once.
+    /// File of seeds that failed before ([`crate::failed_seeds`]); `None` keeps no such file.
     pub failed_seeds: Option<PathBuf>,
-    /// Whether plans that violate a rule are shrunk.
+    /// Whether plans that violate a rule are shrunk after all runs ([`crate::shrink`]).
     pub shrink: bool,
-    /// What each play needs.
+    /// Executables, output directory and environment, the same for each run.
     pub harness: Options,
 }
 
-/// Why a command line can't be used: one plain line.
+/// Why a command line was rejected. Displays as one line.
 #[derive(Debug, Error)]
 pub enum OptionsError {
-    /// An option without its value, or with one that can't be read.
+    /// The value of an option is missing or can't be parsed.
     #[error(transparent)]
     Value(#[from] pico_args::Error),
-    /// A seed that is no number.
+    /// A seed of `--seeds` is not a number.
     #[error("--seeds: '{text}': {source}")]
     Seed {
-        /// What was given.
+        /// The text of the seed.
         text: String,
-        /// Why it can't be read.
+        /// Why it can't be parsed.
         source: ParseIntError,
     },
-    /// Something that is no option.
+    /// An unknown option or a surplus argument.
     #[error("{0} is not known; --help lists what is")]
     Unknown(String),
-    /// A path that can't be made absolute.
+    /// A path can't be made absolute.
     #[error("{}: {source}", path.display())]
     Path {
-        /// The path.
+        /// The path as given.
         path: PathBuf,
-        /// What the system says.
+        /// The system's error.
         source: std::io::Error,
     },
-    /// A file that has not been built.
+    /// The dispatcher's executable or the fault shim does not exist.
     #[error("{} is not there; build it first", .0.display())]
     NotBuilt(PathBuf),
 }
 
 impl Settings {
-    /// Reads a command line, without the program's name.
+    /// Parses a command line that does not contain the program's name.
     ///
     /// # Errors
-    /// The first option that can't be used.
+    /// The first option that is unknown or has an invalid value.
     pub fn read(mut arguments: Arguments) -> Result<Self, OptionsError> {
         let seeds: Option<String> = arguments.opt_value_from_str("--seeds")?;
         let processes = arguments.opt_value_from_str("--processes")?.unwrap_or(DEFAULT_PROCESSES);
@@ -111,10 +112,10 @@
         if let Some(unknown) = arguments.finish().first() {
             return Err(OptionsError::Unknown(unknown.to_string_lossy().into_owned()));
         }
-        let shim = if shim.as_os_str() == NO_SHIM { None } else { Some(existing(shim)?) };
+        let shim = if shim.as_os_str() == NO_SHIM { None } else { Some(absolute_existing(shim)?) };
         let log_level = log.map(|level| ("RUST_LOG".to_owned(), level.to_string_lossy().into_owned()));
         let harness = Options {
-            program: existing(program)?,
+            program: absolute_existing(program)?,
             shim,
             folder: absolute(folder)?,
             environment: log_level.into_iter().collect(),
@@ -133,20 +134,22 @@
     }
 }
 
-/// `A..B`, both included, or one seed.
+/// Parses `A..B`, both included, or a single seed.
 fn seed_range(text: &str) -> Result<RangeInclusive<u64>, OptionsError> {
     let (from, to) = text.split_once("..").unwrap_or((text, text));
-    let seed = |text: &str| {
+    let parse_seed = |text: &str| {
         text.parse::<u64>().map_err(|source| OptionsError::Seed { text: text.to_owned(), source })
     };
-    Ok(seed(from)?..=seed(to)?)
+    Ok(parse_seed(from)?..=parse_seed(to)?)
 }
 
+/// Makes a path absolute, as dispatchers are started in another directory.
 fn absolute(path: PathBuf) -> Result<PathBuf, OptionsError> {
     std::path::absolute(&path).map_err(|source| OptionsError::Path { path, source })
 }
 
-fn existing(path: PathBuf) -> Result<PathBuf, OptionsError> {
+/// Makes a path absolute if the file exists.
+fn absolute_existing(path: PathBuf) -> Result<PathBuf, OptionsError> {
     if path.exists() {
         absolute(path)
     } else {
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,249 +1,253 @@
-//! Plans: what is played, drawn from a seed ([`draw`]). A plan is JSON, and can be played again and shrunk; the names
-//! in the JSON are older than those here, and stay.
+//! Plans of runs, drawn from a seed ([`draw`]). A plan is stored as JSON, so it can be run again and shrunk. Some JSON
+//! names differ from the field names here: they are older and must not change, or stored plans could not be read.
 
 mod draw;
 
 use serde::{Deserialize, Serialize};
 
-/// A play from its start to its end.
+/// Everything that determines a run: its size, load, limits and faults.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// What it was drawn from; also the seed of clients and servers.
+    /// The seed that the plan was drawn from. It also seeds the clients' requests and their ids.
     pub seed: u64,
-    /// Dispatchers.
+    /// Number of dispatchers.
     pub processes: usize,
-    /// How long it is played.
+    /// Length of the run in milliseconds.
     pub length_ms: u64,
-    /// Servers that read, and as many that write.
+    /// Number of readers, and also number of writers.
     #[serde(rename = "servers_of_a_role")]
     pub servers_per_role: usize,
-    /// Requests of each dispatcher's clients per second.
+    /// Rate of requests that the clients of one dispatcher send, on average.
     #[serde(rename = "rate")]
     pub requests_per_second: u32,
-    /// The latency objective: by when first tokens are wanted (ms). Dispatchers wait so long at least for an attempt.
+    /// Latency objective for the first token (ms). A dispatcher waits at least this long for an attempt.
     #[serde(rename = "aim_ms", default = "default_objective_ms")]
     pub objective_ms: u64,
-    /// The longest that clients wait for a first token (ms).
+    /// Upper limit of the clients' timeouts for the first token (ms).
     #[serde(default = "default_deadline_ms", skip_serializing_if = "is_default_deadline")]
     pub deadline_ms: u64,
-    /// Processes that were told to end are killed as early as the platform may do so.
+    /// Whether a process that still runs after SIGTERM is killed at the earliest time at which the platform may do so.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub kills_at_earliest: bool,
-    /// What goes wrong.
+    /// The faults to inject, in any order; they may overlap.
     #[serde(rename = "troubles")]
     pub faults: Vec<Fault>,
 }
 
-/// The latency objective of plans that name none (ms).
+/// Latency objective of stored plans that have none (ms).
 fn default_objective_ms() -> u64 {
     400
 }
 
-/// The deadline of plans that name none (ms).
+/// Deadline of stored plans that have none (ms).
 fn default_deadline_ms() -> u64 {
     3_000
 }
 
+/// Whether the deadline is left out of the JSON.
 fn is_default_deadline(deadline_ms: &u64) -> bool {
     *deadline_ms == default_deadline_ms()
 }
 
-/// A series of signals to a process; at its end the process was told to end, and another one is started.
+/// A series of signals to a dispatcher process. Each one includes SIGTERM; once the process has exited, a new one is
+/// started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SignalSeries {
-    /// SIGHUP twice, then SIGTERM.
+    /// SIGHUP twice, then SIGTERM, without a pause.
     HupHupTerm,
-    /// SIGTERM twice.
+    /// SIGTERM twice, without a pause.
     TermTerm,
-    /// SIGTERM, and SIGHUP within the shutdown.
+    /// SIGTERM, then SIGHUP during the shutdown.
     TermHup,
-    /// SIGSTOP, SIGTERM, SIGCONT.
+    /// SIGSTOP, SIGTERM while the process is stopped, then SIGCONT.
     StopTermCont,
-    /// SIGTERM in the first 0.1 s of a process.
+    /// SIGTERM within the first 0.1 s of a process, before it is ready.
     TermAtStart,
 }
 
-/// Something that goes wrong for a while.
+/// A fault that is injected for a span of time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fault {
-    /// When it begins (ms).
+    /// Begin, in milliseconds since the start of the run.
     pub from_ms: u64,
-    /// When it is over (ms).
+    /// End, in milliseconds since the start of the run. A fault that happens at one moment, such as a kill, ignores it.
     pub to_ms: u64,
-    /// What it is.
+    /// What goes wrong, and at which dispatcher or server.
     pub kind: FaultKind,
 }
 
 impl Fault {
-    /// Whether it is in force at a time.
+    /// Whether the fault is in force at a time; its end is not included.
     #[must_use]
     pub fn is_in_force(&self, now_ms: u64) -> bool {
         (self.from_ms..self.to_ms).contains(&now_ms)
     }
 }
 
-/// What goes wrong.
+/// The kinds of faults. Dispatchers and servers are given by index; the first half of the servers are readers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "is", rename_all = "snake_case")]
 pub enum FaultKind {
-    /// A new process is started beside the old one, which is told to end once the new one is ready.
+    /// Hot restart: a new process is started beside the old one, which is told to shut down once the new one is ready.
     Upgrade {
-        /// The dispatcher.
+        /// Index of the dispatcher.
         dispatcher: usize,
     },
-    /// The process is told to end, and a new one is started when it has.
+    /// The process is told to shut down, and a new one is started after it has exited.
     Restart {
-        /// The dispatcher.
+        /// Index of the dispatcher.
         dispatcher: usize,
     },
-    /// SIGKILL, and a new process.
+    /// SIGKILL, then a new process.
     Kill {
-        /// The dispatcher.
+        /// Index of the dispatcher.
         dispatcher: usize,
     },
-    /// SIGSTOP, and SIGCONT at the end.
+    /// SIGSTOP, then SIGCONT at the end of the fault.
     Stop {
-        /// The dispatcher.
+        /// Index of the dispatcher.
         dispatcher: usize,
     },
-    /// SIGHUP twice in 10 ms; the file is broken in between where that is said.
+    /// SIGHUP twice within 10 ms, each after the configuration file was written.
     Reload {
-        /// The dispatcher.
+        /// Index of the dispatcher.
         dispatcher: usize,
-        /// Whether the second file is broken.
+        /// Whether the second file is truncated, and so invalid.
         broken: bool,
     },
-    /// The server's machine is cut off: open connections are silent, new ones do not come up, and what was open is
-    /// reset at the end.
+    /// The server's machine is cut off from the network: open connections are silent, new ones are not established,
+    /// and open ones are reset at the end.
     Cut {
-        /// The server.
+        /// Index of the server.
         server: usize,
     },
-    /// Only open connections fall silent, without an error; new ones come up.
+    /// Connections that are open at the beginning fall silent, without an error; new ones work.
     Silence {
-        /// The server.
+        /// Index of the server.
         server: usize,
     },
-    /// All open connections are reset, at the beginning.
+    /// All connections that are open at the beginning are reset.
     Reset {
-        /// The server.
+        /// Index of the server.
         server: usize,
     },
-    /// Connections are refused: nobody listens.
+    /// New connections are refused, because the server does not listen.
     Refuse {
-        /// The server.
+        /// Index of the server.
         server: usize,
     },
-    /// Its process stands still, and goes on at the end: its machine takes connections and bytes.
+    /// The server's process is stalled and continues at the end. Its kernel still accepts connections and bytes.
     StandStill {
-        /// The server.
+        /// Index of the server.
         server: usize,
     },
-    /// Its answers are lost on the way: it has done what was asked, and nobody is told.
+    /// The server does its work, but its responses are lost on the way.
     LoseAnswers {
-        /// The server.
+        /// Index of the server.
         server: usize,
     },
-    /// A series of signals.
+    /// A series of signals that ends in a shutdown and a new process.
     Signals {
-        /// The dispatcher.
+        /// Index of the dispatcher.
         dispatcher: usize,
-        /// Which signals.
+        /// The signals and their order.
         series: SignalSeries,
     },
-    /// It takes requests and answers none.
+    /// The server receives requests and responds to none.
     Hang {
-        /// The server.
+        /// Index of the server.
         server: usize,
     },
-    /// It answers so much later.
+    /// The server responds later than usual.
     Slow {
-        /// The server.
+        /// Index of the server.
         server: usize,
-        /// How much later (ms).
+        /// Additional delay of each response (ms).
         by_ms: u64,
     },
-    /// It turns requests away, and says so.
+    /// The server rejects attempts with a 503 response that says so (`X-Turned-Away`), so that they never ran.
     TurnAway {
-        /// The server.
+        /// Index of the server.
         server: usize,
     },
-    /// Its streams break after two events.
+    /// The server's streams are cut after two events.
     Break {
-        /// The server.
+        /// Index of the server.
         server: usize,
     },
-    /// It closes connections at the moment of their next use.
+    /// The server closes a kept connection at the moment at which the next request arrives on it.
     CloseOnUse {
-        /// The server.
+        /// Index of the server.
         server: usize,
     },
-    /// Readers' answers come twice, the second some milliseconds after the first.
+    /// A reader sends its response twice, the second some milliseconds after the first.
     AnswerTwice {
-        /// The server.
+        /// Index of the server.
         server: usize,
     },
-    /// Readers' answers never come to their end.
+    /// A reader's response stays incomplete: its last bytes are never sent.
     NeverEnd {
-        /// The server.
+        /// Index of the server.
         server: usize,
     },
-    /// It drains from then on, and goes on being there.
+    /// The server drains from the beginning of the fault until the end of the run, and keeps running.
     Drain {
-        /// The server.
+        /// Index of the server.
         server: usize,
     },
-    /// The agent of a dispatcher is silent and learns nothing.
+    /// The discovery agent of a dispatcher does not respond.
     AgentDown {
-        /// The dispatcher.
+        /// Index of the dispatcher.
         dispatcher: usize,
     },
-    /// Open watches of a dispatcher fall silent, once; new calls are answered.
+    /// The dispatcher's connections to its agent that are open at the beginning fall silent for good; calls on new
+    /// connections are answered.
     WatchSilent {
-        /// The dispatcher.
+        /// Index of the dispatcher.
         dispatcher: usize,
     },
-    /// Clients close their connections while their requests are open.
+    /// Most clients close their connections while their requests are in flight.
     ClientsLeave {
-        /// The dispatcher.
+        /// Index of the dispatcher.
         dispatcher: usize,
     },
-    /// Clients open idle and half-written connections.
+    /// Clients open connections on which they send nothing or only a part of a request.
     Idlers {
-        /// The dispatcher.
+        /// Index of the dispatcher.
         dispatcher: usize,
-        /// So many.
+        /// Number of such connections.
         count: usize,
     },
-    /// Clients send their requests in small pieces.
+    /// Clients send their requests in pieces of a few bytes.
     Pieces {
-        /// The dispatcher.
+        /// Index of the dispatcher.
         dispatcher: usize,
     },
-    /// Requests have 1 to 50 ms left.
+    /// Requests arrive with 1 to 50 ms left until their deadline.
     ShortTime {
-        /// The dispatcher.
+        /// Index of the dispatcher.
         dispatcher: usize,
     },
-    /// System calls of a dispatcher's processes fail, from their start. Times in the rule are since that.
+    /// System calls of the dispatcher's processes fail by a rule of the fault shim. The times in the rule count from
+    /// the start of each process; the times of the fault have no effect.
     Shim {
-        /// The dispatcher.
+        /// Index of the dispatcher.
         dispatcher: usize,
-        /// A rule of the fault shim.
+        /// The rule, in the syntax of the fault shim.
         rule: String,
     },
-    /// The same, of the processes that are started after the first one only.
+    /// As [`Shim`](Self::Shim), but not for the first process of the dispatcher.
     ShimLater {
-        /// The dispatcher.
+        /// Index of the dispatcher.
         dispatcher: usize,
-        /// A rule of the fault shim.
+        /// The rule, in the syntax of the fault shim.
         rule: String,
     },
 }
 
 impl FaultKind {
-    /// The dispatcher whose processes or clients it is about, if it is about one.
+    /// The dispatcher whose processes, clients or agent the fault affects; `None` for a fault of a server.
     #[must_use]
     pub fn dispatcher(&self) -> Option<usize> {
         match *self {
@@ -265,7 +269,7 @@
         }
     }
 
-    /// The server that it is about, if it is about one.
+    /// The server that the fault affects; `None` for a fault of a dispatcher.
     #[must_use]
     pub fn server(&self) -> Option<usize> {
         match *self {
@@ -289,8 +293,8 @@
 }
 
 impl Plan {
-    /// The rules of the fault shim for a process of a dispatcher; the first process is the one that the play starts
-    /// with.
+    /// The rules of the fault shim for a process of a dispatcher, separated by `;`. `is_first` is true for the process
+    /// that the run starts with.
     #[must_use]
     pub fn shim_rules(&self, dispatcher: usize, is_first: bool) -> String {
         let mut rules = Vec::new();
@@ -306,13 +310,13 @@
         rules.join(";")
     }
 
-    /// The faults that are in force at a time.
+    /// The faults that are in force at a time (ms since the start of the run).
     pub fn faults_at(&self, now_ms: u64) -> impl Iterator<Item = &FaultKind> {
         let in_force = self.faults.iter().filter(move |fault| fault.is_in_force(now_ms));
         in_force.map(|fault| &fault.kind)
     }
 
-    /// Whether some fault of a kind is in force at a time.
+    /// Whether a fault that satisfies `is_kind` is in force at a time (ms since the start of the run).
     pub fn has(&self, now_ms: u64, is_kind: impl Fn(&FaultKind) -> bool) -> bool {
         self.faults_at(now_ms).any(is_kind)
     }
--- a/crates/soak/src/plan/draw.rs
+++ b/crates/soak/src/plan/draw.rs
@@ -1,12 +1,14 @@
-//! Drawing plans. The order of draws is part of what a seed means: a seed that once broke a rule gives the same plan.
+//! Draws plans from seeds. The order of the random draws must not change, so that a seed whose plan once violated a
+//! rule still gives the same plan.
 
 use rand_core::{RngCore as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 
 use super::{default_deadline_ms, default_objective_ms, Fault, FaultKind, Plan, SignalSeries};
 
-/// Errnos of each call that the program makes on its sockets, as their man pages document them for what it does. A
-/// reset of the stream itself is not among them: peers make those, and the event log shows them.
+/// Faults of each call that the dispatcher makes on its sockets: the errnos that the man pages document for its use of
+/// the call, short reads and writes, and held monotonic clocks. Connection resets are not among them: the test servers
+/// cause those, so that the event log shows them.
 const SOCKET_FAULTS: [(&str, &[&str]); 6] = [
     ("accept", &["ECONNABORTED", "EINTR", "EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EPERM"]),
     ("socket", &["EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"]),
@@ -18,7 +20,7 @@
     ("send", &["EINTR", "short"]),
     ("monotonic", &["hold60", "hold150"]),
 ];
-/// The same of files.
+/// Faults of the calls that the dispatcher makes on files.
 const FILE_FAULTS: [(&str, &[&str]); 6] = [
     ("writefile", &["ENOSPC", "EIO", "short"]),
     ("rename", &["ENOSPC", "EIO"]),
@@ -27,37 +29,37 @@
     ("flock", &["EINTR", "ENOLCK"]),
     ("fsync", &["EIO"]),
 ];
-/// Failures of calls that are made at the start.
-const START_FAULTS: [(&str, &[&str]); 3] = [
+/// Faults of the calls with which the dispatcher opens its listeners at start.
+const LISTEN_FAULTS: [(&str, &[&str]); 3] = [
     ("bind", &["EADDRINUSE", "EADDRNOTAVAIL", "ENOMEM"]),
     ("listen", &["EADDRINUSE"]),
     ("socket", &["ENFILE", "ENOBUFS"]),
 ];
-/// Steps of the wall clock.
+/// Steps of the wall clock (ms).
 const CLOCK_STEPS_MS: [i64; 6] = [-3_600_000, -5_000, -1_000, 1_000, 5_000, 3_600_000];
 
-/// Nothing goes wrong so long before the end, and for so long after the start (ms).
-const QUIET_MS: u64 = 2_000;
-/// Faults come in groups, one in so many milliseconds.
+/// Time without faults after the start and before the end of a run (ms).
+const FAULT_FREE_MS: u64 = 2_000;
+/// A plan has one group of faults for each span of this length (ms).
 const GROUP_INTERVAL_MS: u64 = 5_000;
-/// Of plans of servers that stand still, one group in so many milliseconds.
+/// Interval between groups of faults in plans of stalled servers (ms).
 const STOPPED_GROUP_INTERVAL_MS: u64 = 3_000;
-/// A fault lasts at least so long (ms).
+/// Minimum length of a fault (ms).
 const MIN_LENGTH_MS: u64 = 20;
-/// Rules for the time after a start end then (ms since the start of the process).
-const START_ENDS_MS: u64 = 1_500;
+/// End of shim rules that only affect the start of a process (ms since the start of the process).
+const START_PHASE_MS: u64 = 1_500;
 
-/// A fault's times (ms since the start of the play).
+/// Begin and end of a fault in milliseconds, since the start of the run or, in shim rules, of the process.
 #[derive(Clone, Copy)]
 struct Span {
     from_ms: u64,
     to_ms: u64,
 }
 
-/// The span of rules for the time after the start of a process.
-const START: Span = Span { from_ms: 0, to_ms: START_ENDS_MS };
+/// Span of shim rules that only affect the start of a process.
+const START_PHASE: Span = Span { from_ms: 0, to_ms: START_PHASE_MS };
 
-/// The random draws of a plan.
+/// The random number generator of a plan.
 struct Draws(Pcg64Mcg);
 
 impl Draws {
@@ -73,7 +75,7 @@
         all[self.index(all.len())]
     }
 
-    /// A rule of the fault shim.
+    /// Draws a rule of the fault shim: a call, its effect and a rate per mille.
     fn shim_rule(&mut self, faults: &[(&str, &[&str])], span: Span) -> String {
         let (call, effects) = self.one_of(faults);
         let effect = self.one_of(effects);
@@ -85,30 +87,30 @@
         format!("{call}:{effect}@{}-{}%{permille}", span.from_ms, span.to_ms)
     }
 
-    /// A rule of the fault shim by which the wall clock steps, for the rest of the play.
+    /// Draws a rule of the fault shim that steps the wall clock for the rest of the run.
     fn clock_rule(&mut self, from_ms: u64) -> String {
         format!("clock:{}@{from_ms}-600000", self.one_of(&CLOCK_STEPS_MS))
     }
 
-    /// A rule for a process of the start: of the clock, or of files.
+    /// Draws a rule for the first process of a dispatcher: a clock step or a file fault.
     fn first_process_rule(&mut self, span: Span) -> String {
         match self.below(3) {
             0 => self.clock_rule(span.from_ms),
             1 => self.shim_rule(&FILE_FAULTS, span),
-            _ => self.shim_rule(&FILE_FAULTS, START),
+            _ => self.shim_rule(&FILE_FAULTS, START_PHASE),
         }
     }
 
-    /// A rule for later processes: of the clock, of files, or of what is done at the start.
+    /// Draws a rule for later processes: a clock step, a file fault or a listener fault, in force from their start.
     fn later_process_rule(&mut self) -> String {
         match self.below(3) {
             0 => self.clock_rule(0),
-            1 => self.shim_rule(&FILE_FAULTS, START),
-            _ => self.shim_rule(&START_FAULTS, START),
+            1 => self.shim_rule(&FILE_FAULTS, START_PHASE),
+            _ => self.shim_rule(&LISTEN_FAULTS, START_PHASE),
         }
     }
 
-    /// What goes wrong in a span, for one of the dispatchers or servers.
+    /// Draws the kind of a fault in a span, and the dispatcher or server that it affects.
     fn fault_kind(&mut self, dispatchers: usize, servers: usize, span: Span) -> FaultKind {
         let dispatcher = self.index(dispatchers);
         let server = self.index(servers);
@@ -139,17 +141,17 @@
         }
     }
 
-    /// Groups of two or three faults that overlap.
+    /// Draws groups of two or three faults that may overlap.
     fn fault_groups(&mut self, length_ms: u64, dispatchers: usize, servers: usize) -> Vec<Fault> {
         let mut faults = Vec::new();
         let groups = (length_ms / GROUP_INTERVAL_MS).max(1);
-        let group_ms = length_ms.saturating_sub(2 * QUIET_MS) / groups;
+        let group_ms = length_ms.saturating_sub(2 * FAULT_FREE_MS) / groups;
         for group in 0..groups {
-            let group_from_ms = QUIET_MS + group * group_ms + self.below(group_ms / 2);
+            let group_from_ms = FAULT_FREE_MS + group * group_ms + self.below(group_ms / 2);
             for _ in 0..2 + self.below(2) {
                 let from_ms = group_from_ms + self.below(600);
                 let drawn_ms = self.one_of(&[50, 300, 800, 1_500, 3_000]);
-                let to_ms = (from_ms + drawn_ms).min(length_ms.saturating_sub(QUIET_MS));
+                let to_ms = (from_ms + drawn_ms).min(length_ms.saturating_sub(FAULT_FREE_MS));
                 let kind = self.fault_kind(dispatchers, servers, Span { from_ms, to_ms });
                 faults.push(Fault { from_ms, to_ms: to_ms.max(from_ms + MIN_LENGTH_MS), kind });
             }
@@ -157,22 +159,22 @@
         faults
     }
 
-    /// One server that stands still or whose answers are lost, or most of a role together.
+    /// Draws one server that is stalled or whose responses are lost, or most or all servers of one role together.
     fn stopped_servers(&mut self, from_ms: u64, servers_per_role: usize) -> Vec<Fault> {
         let role = self.index(2) * servers_per_role;
         let count = self.one_of(&[1, 1, servers_per_role - 1, servers_per_role]);
         let to_ms = from_ms + self.one_of(&[200, 700, 1_200, 2_000]);
         let loses_answers = self.below(4) == 0;
         let first = self.index(servers_per_role);
-        let server = |at: usize| role + (first + at) % servers_per_role;
-        let kind = |at: usize| match loses_answers {
-            true => FaultKind::LoseAnswers { server: server(at) },
-            false => FaultKind::StandStill { server: server(at) },
+        let server = |offset: usize| role + (first + offset) % servers_per_role;
+        let kind = |offset: usize| match loses_answers {
+            true => FaultKind::LoseAnswers { server: server(offset) },
+            false => FaultKind::StandStill { server: server(offset) },
         };
-        (0..count).map(|at| Fault { from_ms, to_ms, kind: kind(at) }).collect()
+        (0..count).map(|offset| Fault { from_ms, to_ms, kind: kind(offset) }).collect()
     }
 
-    /// Signals to a dispatcher's process, or what its clients do meanwhile.
+    /// Draws a fault of a dispatcher: signals to its process, a hot restart, or misbehaving clients.
     fn process_fault(&mut self, dispatcher: usize) -> FaultKind {
         match self.below(8) {
             0 => FaultKind::Upgrade { dispatcher },
@@ -192,9 +194,9 @@
         }
     }
 
-    /// One fault of exchanges on a connection: a reader's answers, or clients' requests.
+    /// Draws a fault of the messages on a connection: malformed responses of a reader, or requests in pieces.
     fn exchange_fault(&mut self, length_ms: u64, dispatchers: usize, readers: usize) -> Fault {
-        let from_ms = QUIET_MS + self.below(length_ms.saturating_sub(2 * QUIET_MS));
+        let from_ms = FAULT_FREE_MS + self.below(length_ms.saturating_sub(2 * FAULT_FREE_MS));
         let server = self.index(readers);
         let dispatcher = self.index(dispatchers);
         let kind = match self.below(3) {
@@ -207,7 +209,7 @@
 }
 
 impl Plan {
-    /// Draws a plan that is played for so many seconds.
+    /// Draws a plan of a given length with faults of all kinds.
     #[must_use]
     pub fn draw(seed: u64, processes: usize, seconds: u64) -> Self {
         let mut draws = Draws(Pcg64Mcg::seed_from_u64(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15)));
@@ -216,7 +218,7 @@
         let mut faults = draws.fault_groups(length_ms, processes, 2 * servers_per_role);
         let requests_per_second = draws.one_of(&[4, 10, 20]);
         let objective_ms = draws.one_of(&[default_objective_ms(), 1_500]);
-        // Drawn last: it was added later, and a seed's other faults were to stay as they were.
+        // Drawn last: it was added later, and the other faults of existing seeds had to stay the same.
         faults.push(draws.exchange_fault(length_ms, processes, servers_per_role));
         Self {
             seed,
@@ -231,8 +233,8 @@
         }
     }
 
-    /// Draws a plan of servers that stand still, series of signals and short deadlines, under which processes are killed
-    /// as early as the platform may do so. It is played for so many seconds.
+    /// Draws a plan of a given length with stalled servers, series of signals and short deadlines. Processes that shut
+    /// down are killed at the earliest time at which the platform may do so.
     #[must_use]
     pub fn draw_stopped(seed: u64, processes: usize, seconds: u64) -> Self {
         let mut draws = Draws(Pcg64Mcg::seed_from_u64(seed.wrapping_mul(0xd134_2543_de82_ef95)));
@@ -243,7 +245,7 @@
         let requests_per_second = draws.one_of(&[10, 20]);
         let mut faults = Vec::new();
         for group in 0..(length_ms / STOPPED_GROUP_INTERVAL_MS).max(1) {
-            let from_ms = QUIET_MS / 2 + group * STOPPED_GROUP_INTERVAL_MS + draws.below(600);
+            let from_ms = FAULT_FREE_MS / 2 + group * STOPPED_GROUP_INTERVAL_MS + draws.below(600);
             faults.extend(draws.stopped_servers(from_ms, servers_per_role));
             let dispatcher = draws.index(processes);
             let kind = draws.process_fault(dispatcher);
--- a/crates/soak/tests/plans.rs
+++ b/crates/soak/tests/plans.rs
@@ -1,4 +1,5 @@
-//! Plans: drawn alike from the same seed, read back as written, shrunk to what violates a rule.
+//! Plans: a seed always draws the same plan, JSON preserves a plan, and shrinking keeps the faults that violate
+//! a rule.
 
 use dewladder_fault_shim::rule::Rule as ShimRule;
 use dewladder_soak::oracle::{Rule, Violation};
@@ -6,7 +7,7 @@
 use dewladder_soak::shrink::shrink;
 
 #[test]
-fn a_seed_gives_one_plan_and_json_gives_it_back() {
+fn a_seed_always_draws_the_same_plan_and_json_preserves_it() {
     for seed in 1..200 {
         let plan = Plan::draw(seed, 12, 20);
         assert_eq!(plan, Plan::draw(seed, 12, 20));
@@ -17,21 +18,21 @@
 }
 
 #[test]
-fn every_drawn_rule_of_the_shim_can_be_read() {
-    let mut seen = 0;
+fn every_drawn_shim_rule_can_be_parsed() {
+    let mut parsed_count = 0;
     for seed in 1..400 {
         for fault in Plan::draw(seed, 12, 20).faults {
             if let FaultKind::Shim { rule, .. } | FaultKind::ShimLater { rule, .. } = fault.kind {
                 rule.parse::<ShimRule>().unwrap_or_else(|error| panic!("{rule}: {error}"));
-                seen += 1;
+                parsed_count += 1;
             }
         }
     }
-    assert!(seen > 200);
+    assert!(parsed_count > 200);
 }
 
 #[test]
-fn a_text_that_is_no_rule_of_the_shim_is_refused() {
+fn an_invalid_shim_rule_is_rejected() {
     for text in
         ["accept", "accept:EWHAT@0-1", "walk:EIO@0-1", "accept:EIO@0", "accept:EIO@a-b", "accept:EIO@0-1%x"]
     {
@@ -44,7 +45,7 @@
     let plan = Plan::draw(7, 3, 20);
     let needed = [plan.faults[1].clone(), plan.faults[4].clone()];
     let smallest = shrink(&plan, Rule::Held, |plan| {
-        let violates = needed.iter().all(|one| plan.faults.contains(one));
+        let violates = needed.iter().all(|needed_fault| plan.faults.contains(needed_fault));
         let violation = Violation { rule: Rule::Held, at: 0, id: 1, what: String::new() };
         std::future::ready(if violates { vec![violation] } else { Vec::new() })
     });
--- a/crates/soak/tests/written_plans.rs
+++ b/crates/soak/tests/written_plans.rs
@@ -1,11 +1,11 @@
-//! Plans as they are written: those that a seed gives, and one in which each fault stands once. A plan that was kept
-//! as a file is read by later versions, and a seed that failed once gives the same play again.
+//! The JSON of plans: plans drawn from seeds, and a plan with each kind of fault. Later versions must still read a
+//! stored plan, and draw the same plan from a seed that failed before.
 
 use dewladder_soak::failed_seeds;
 use dewladder_soak::plan::{Fault, FaultKind, Plan, SignalSeries};
 
-const EVERY: &str = include_str!("golden/every_trouble.json");
-const DRAWN: &str = include_str!("golden/drawn.jsonl");
+const EVERY_FAULT: &str = include_str!("golden/every_trouble.json");
+const DRAWN_PLANS: &str = include_str!("golden/drawn.jsonl");
 const FAILED_SEEDS: &str = include_str!("../failed-seeds.txt");
 
 fn every_fault() -> Plan {
@@ -45,9 +45,9 @@
         FaultKind::Signals { dispatcher, series: SignalSeries::StopTermCont },
         FaultKind::Signals { dispatcher, series: SignalSeries::TermAtStart },
     ];
-    let faults = kinds.into_iter().enumerate().map(|(at, kind)| Fault {
-        from_ms: 100 * at as u64,
-        to_ms: 100 * at as u64 + 50,
+    let faults = kinds.into_iter().enumerate().map(|(index, kind)| Fault {
+        from_ms: 100 * index as u64,
+        to_ms: 100 * index as u64 + 50,
         kind,
     });
     Plan {
@@ -64,20 +64,20 @@
 }
 
 #[test]
-fn each_fault_is_written_and_read_as_the_golden_plan() {
-    let text = serde_json::to_string_pretty(&every_fault()).expect("a plan can be written");
-    assert_eq!(text, EVERY.trim_end());
-    assert_eq!(serde_json::from_str::<Plan>(EVERY).expect("a plan"), every_fault());
+fn each_fault_kind_matches_the_golden_json_in_both_directions() {
+    let text = serde_json::to_string_pretty(&every_fault()).expect("a plan is serializable");
+    assert_eq!(text, EVERY_FAULT.trim_end());
+    assert_eq!(serde_json::from_str::<Plan>(EVERY_FAULT).expect("a valid plan"), every_fault());
 }
 
 #[test]
-fn a_plan_of_stopped_servers_is_drawn_alike_from_its_seed_and_read_as_written() {
+fn a_seed_always_draws_the_same_plan_of_stalled_servers_and_json_preserves_it() {
     for seed in 1..100 {
         let plan = Plan::draw_stopped(seed, 3, 12);
         assert_eq!(plan, Plan::draw_stopped(seed, 3, 12));
-        let text = serde_json::to_string(&plan).expect("a plan can be written");
+        let text = serde_json::to_string(&plan).expect("a plan is serializable");
         assert!(text.contains("\"kills_at_earliest\":true"), "{text}");
-        assert_eq!(serde_json::from_str::<Plan>(&text).expect("a plan"), plan);
+        assert_eq!(serde_json::from_str::<Plan>(&text).expect("a valid plan"), plan);
         let is_silent = |fault: &Fault| {
             matches!(fault.kind, FaultKind::StandStill { .. } | FaultKind::LoseAnswers { .. })
         };
@@ -86,27 +86,27 @@
 }
 
 #[test]
-fn a_plan_that_names_no_latency_objective_has_the_default() {
-    let without = EVERY.replace("  \"aim_ms\": 1500,\n", "");
+fn a_stored_plan_without_a_latency_objective_has_the_default() {
+    let text_without_objective = EVERY_FAULT.replace("  \"aim_ms\": 1500,\n", "");
     assert_eq!(
-        serde_json::from_str::<Plan>(&without).expect("a plan"),
+        serde_json::from_str::<Plan>(&text_without_objective).expect("a valid plan"),
         Plan { objective_ms: 400, ..every_fault() }
     );
 }
 
 #[test]
-fn a_seed_draws_the_plan_that_it_drew_before() {
+fn failed_seeds_draw_the_golden_plans() {
     let seeds: Vec<u64> = FAILED_SEEDS.lines().map(|line| line.parse().expect("one seed a line")).collect();
     assert_eq!(failed_seeds::parse(FAILED_SEEDS), seeds);
     assert!(!seeds.is_empty());
     let drawn = seeds.into_iter().map(|seed| Plan::draw(seed, 12, 20));
     let text: String =
-        drawn.map(|plan| serde_json::to_string(&plan).expect("a plan can be written") + "\n").collect();
-    assert_eq!(text, DRAWN);
+        drawn.map(|plan| serde_json::to_string(&plan).expect("a plan is serializable") + "\n").collect();
+    assert_eq!(text, DRAWN_PLANS);
 }
 
 #[test]
-fn a_failed_seed_is_added_once_and_the_other_lines_stay() {
+fn a_failed_seed_is_added_only_once_and_other_lines_are_kept() {
     assert_eq!(failed_seeds::with_seeds(FAILED_SEEDS, &[28, 1]), FAILED_SEEDS);
     assert_eq!(failed_seeds::with_seeds(FAILED_SEEDS, &[7, 7, 1]), format!("{FAILED_SEEDS}7\n"));
     assert_eq!(failed_seeds::with_seeds("", &[3]), "3\n");
