--- a/src/edge/discovery.rs
+++ b/src/edge/discovery.rs
@@ -23,8 +23,9 @@
 use crate::interface::{ListUpdateKind, Micros};
 use dewladder_router::ListBackoff;
 
-/// The longest time that the agent may hold a long poll open. A change counts as received 6 s after the agent stopped
-/// answering, or 2 s after the end of the poll, so a short poll limits how long an unresponsive agent goes unnoticed.
+/// The longest time that the agent may hold a long poll open. A dispatcher is expected to know a change 6 s after the
+/// agent stopped answering, or 2 s after the end of the poll, so a short poll limits how long an unresponsive agent
+/// goes unnoticed.
 const HOLD: Duration = Duration::from_secs(4);
 /// Time limit for an answer, beyond the hold time of a long poll. After that the call has failed, and is repeated
 /// after a short pause.
@@ -32,8 +33,8 @@
 /// Time between a failed call and the next one, where no backoff applies.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 /// Time limit for an answer of an agent on this machine after a failed call, when it is asked to answer at once.
-/// Short: once discovery is available again, its changes count as received from that moment, and waiting for a call
-/// that was lost before would delay them.
+/// Short: once discovery is available again, the dispatcher is expected to know its changes from that moment, and
+/// waiting for a call that was lost before would delay them.
 const RETRY_CALL_TIMEOUT: Duration = Duration::from_millis(300);
 /// After a failure, each third call to an agent on this machine has the full [`CALL_TIMEOUT`], in case it is slow
 /// rather than unavailable.
@@ -44,8 +45,9 @@
 /// Time limit for an answer of a shared service that is asked to answer at once: for the whole list, or after a
 /// failed call.
 const SHARED_CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// The longest backoff between calls to a shared service (us). A change counts as received 6 s after discovery became
-/// available again: a lost call, the wait after it and the next call's time in the queue have to fit into that.
+/// The longest backoff between calls to a shared service (us). A dispatcher is expected to know a change 6 s after
+/// discovery became available again: a lost call, the wait after it and the next call's time in the queue have to fit
+/// into that.
 pub const MAX_BACKOFF: Micros = 2_400_000;
 /// Gives this task a random sequence of its own: all generators are derived from one seed.
 const SEED_SALT: u64 = 0x6c69_7374;
@@ -62,7 +64,7 @@
         tokio::select! {
             // If the sender has been dropped, this branch is disabled and the last address stays.
             Ok(()) = discovery.changed() => {
-                info!(address:% = *discovery.borrow(); "discovery: address changed; the whole list is asked for");
+                info!(address:% = *discovery.borrow(); "discovery: address changed; requesting the whole list");
             }
             () = follow(&config, address, revision.take(), &driver) => {}
         }
@@ -88,13 +90,13 @@
     }
 }
 
-/// The discovery agent at one address, and how the calls to it have gone.
+/// The discovery agent at one address, and the state of the calls to it.
 struct Agent {
     client: Client,
     /// Whether it is a service shared by all dispatchers, rather than an agent on this machine.
     is_shared: bool,
     dispatchers: u32,
-    /// Each dispatcher must ask for the list at least this often (us); 0 if the settings don't say.
+    /// Each dispatcher must ask for the list at least this often (us); 0 if the settings set no limit.
     max_list_age: Micros,
     /// The revision of the last list received; `None` if the whole list has to be requested.
     revision: Option<u64>,
@@ -184,7 +186,7 @@
         }
         let is_first_failure = !std::mem::replace(&mut self.last_call_failed, true);
         if is_first_failure {
-            warn!(reason:% = error; "discovery: no answer from the agent; the old list stands");
+            warn!(reason:% = error; "discovery: call to the agent failed; the last known list stays in use");
         }
         // Only a shared service must be protected from frequent retries. The first failure is retried soon even
         // there: a failed long poll has used up most of the time within which a change must be received.
--- a/src/edge/discovery/client.rs
+++ b/src/edge/discovery/client.rs
@@ -40,8 +40,8 @@
     /// The revision of the answer is lower than that of the known list.
     #[error("the answer has an older revision than the known list")]
     OlderRevision,
-    /// The complete answer did not arrive in time.
-    #[error("no answer in time")]
+    /// The complete answer did not arrive within the time limit. The log calls this `silence`.
+    #[error("silence")]
     Timeout,
 }
 
--- a/src/edge/discovery/listing.rs
+++ b/src/edge/discovery/listing.rs
@@ -25,7 +25,7 @@
     #[serde(default)]
     pub complete: bool,
     /// The entries. Those that can't be parsed are left out.
-    #[serde(default, deserialize_with = "deserialize_members")]
+    #[serde(default, deserialize_with = "readable")]
     pub members: Vec<Member>,
 }
 
@@ -97,7 +97,7 @@
 }
 
 /// Deserializes the entries one by one: one that can't be parsed must not make the whole list unusable.
-fn deserialize_members<'de, D: Deserializer<'de>>(input: D) -> Result<Vec<Member>, D::Error> {
+fn readable<'de, D: Deserializer<'de>>(input: D) -> Result<Vec<Member>, D::Error> {
     let entries = Vec::<Value>::deserialize(input)?;
     let mut members = Vec::with_capacity(entries.len());
     for (number, entry) in entries.into_iter().enumerate() {
