--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -23,26 +23,27 @@
 /// Why a settings value is rejected. The messages are shown to operators and returned to the simulator.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum SettingsProblem {
-    /// Not a number, or not a whole number at a path that requires one. Contains the text.
-    #[error("can't read '{0}'")]
+    /// Not a number of the type that the path requires: for most paths a whole number, not negative. Contains
+    /// the text.
+    #[error("'{0}' is not a valid number for this setting")]
     Unreadable(String),
     /// An element of a list that is not a number, or too large. Contains the text.
-    #[error("'{0}' is no number")]
+    #[error("'{0}' is not a number below 1e12")]
     NotANumber(String),
     /// Not a time in seconds, too large, or negative. Contains the text.
-    #[error("'{0}' is no time")]
+    #[error("'{0}' is not a valid duration (seconds, from 0 to below 1e12)")]
     NotATime(String),
     /// A negative time in a list. Contains the value.
-    #[error("{0} is no time")]
+    #[error("must be a duration of at least 0, got {0}")]
     NegativeTime(f64),
     /// A price that is negative or not finite. Contains the value.
-    #[error("{0} is no price")]
+    #[error("must be a finite number of at least 0, got {0}")]
     NotAPrice(f64),
-    /// A flag that is none of `true`, `false`, `1` and `0`. Contains the text.
-    #[error("'{0}' is neither true nor false")]
+    /// A boolean that is none of `true`, `false`, `1` and `0`. Contains the text.
+    #[error("must be true or false, got '{0}'")]
     NotAFlag(String),
     /// A number outside of its valid range.
-    #[error("{value} is not {min} to {max}")]
+    #[error("must be between {min} and {max}, got {value}")]
     OutOfRange {
         /// The rejected value.
         value: f64,
@@ -52,18 +53,18 @@
         max: f64,
     },
     /// A word that is not one of the valid ones for its path.
-    #[error("unknown {what} '{word}'")]
+    #[error("'{word}' is not a valid {what}")]
     UnknownWord {
-        /// What the words at this path name, such as "effect" or "role".
+        /// What the words at this path name, followed by the valid words in parentheses.
         what: &'static str,
         /// The rejected word.
         word: String,
     },
     /// A name that two kinds of servers share. Contains the name.
-    #[error("'{0}' is there twice")]
+    #[error("the name '{0}' is used more than once")]
     DuplicateKind(String),
     /// A memory size of a kind of servers that is not a positive number.
-    #[error("{value} of kind {kind} is not a positive number")]
+    #[error("must be a positive number, got {value} for kind {kind}")]
     InvalidMemory {
         /// The rejected value, in tokens.
         value: f64,
@@ -127,7 +128,7 @@
         Ok(price)
     }
 
-    /// The flag at a path, `false` if absent.
+    /// The boolean at a path, `false` if absent.
     fn flag(&self, path: &str) -> Result<bool, SettingsError> {
         match self.text(path) {
             "true" | "1" => Ok(true),
@@ -219,7 +220,7 @@
     match values.text("discovery") {
         "subscribe" => Ok(true),
         "automatic" | "" | "-" => Ok(false),
-        other => Err(unknown_word("discovery", "way", other)),
+        other => Err(unknown_word("discovery", "mode (expected subscribe or automatic)", other)),
     }
 }
 
@@ -257,7 +258,7 @@
         "deduplicated" => Ok(Effect::Deduplicated),
         "at_most_once" => Ok(Effect::AtMostOnce),
         "idempotent" | "" => Ok(Effect::Idempotent),
-        other => Err(unknown_word(path, "effect", other)),
+        other => Err(unknown_word(path, "effect (expected idempotent, at_most_once or deduplicated)", other)),
     }
 }
 
@@ -268,7 +269,7 @@
         "all" | "" | "-" => Ok(DedupGroup::All),
         // There is no default for unknown words: a wrong group could send a request that may have run to a
         // server that does not deduplicate it.
-        other => Err(unknown_word(path, "group", other)),
+        other => Err(unknown_word(path, "group (expected zone, cell or all)", other)),
     }
 }
 
@@ -294,7 +295,7 @@
         Some("read") => Ok(Role::Reader),
         Some("write") => Ok(Role::Writer),
         Some("both") | None => Ok(Role::Mixed),
-        Some(other) => Err(unknown_word("domain.role_by_kind", "role", other)),
+        Some(other) => Err(unknown_word("domain.role_by_kind", "role (expected read, write or both)", other)),
     }
 }
 
--- a/crates/router/tests/written_forms.rs
+++ b/crates/router/tests/written_forms.rs
@@ -145,33 +145,70 @@
 #[test]
 fn settings_that_can_not_be_read_are_refused_with_these_texts() {
     let cases = [
-        ("balancers", "many", "settings balancers: can't read 'many'"),
-        ("balancers", "0", "settings balancers: 0 is not 1 to 100000"),
-        ("balancers", "100001", "settings balancers: 100001 is not 1 to 100000"),
-        ("locality", "-1", "settings locality: can't read '-1'"),
-        ("lanes.count", "x", "settings lanes.count: can't read 'x'"),
-        ("discovery", "ask", "settings discovery: unknown way 'ask'"),
-        ("rules.must_ask_in_s", "soon", "settings rules.must_ask_in_s: 'soon' is no time"),
-        ("rules.must_ask_in_s", "-1", "settings rules.must_ask_in_s: '-1' is no time"),
-        ("resolution_s", "1e13", "settings resolution_s: '1e13' is no time"),
-        ("limits.cancel", "yes", "settings limits.cancel: 'yes' is neither true nor false"),
-        ("prices.peer", "-0.5", "settings prices.peer: -0.5 is no price"),
-        ("prices.peer", "cheap", "settings prices.peer: can't read 'cheap'"),
-        ("rules.cold_from", "1.5", "settings rules.cold_from: 1.5 is not 0 to 1"),
+        ("balancers", "many", "settings balancers: 'many' is not a valid number for this setting"),
+        ("balancers", "0", "settings balancers: must be between 1 and 100000, got 0"),
+        ("balancers", "100001", "settings balancers: must be between 1 and 100000, got 100001"),
+        ("locality", "-1", "settings locality: '-1' is not a valid number for this setting"),
+        ("lanes.count", "x", "settings lanes.count: 'x' is not a valid number for this setting"),
+        (
+            "discovery",
+            "ask",
+            "settings discovery: 'ask' is not a valid mode (expected subscribe or automatic)",
+        ),
+        (
+            "rules.must_ask_in_s",
+            "soon",
+            "settings rules.must_ask_in_s: 'soon' is not a valid duration (seconds, from 0 to below 1e12)",
+        ),
+        (
+            "rules.must_ask_in_s",
+            "-1",
+            "settings rules.must_ask_in_s: '-1' is not a valid duration (seconds, from 0 to below 1e12)",
+        ),
+        (
+            "resolution_s",
+            "1e13",
+            "settings resolution_s: '1e13' is not a valid duration (seconds, from 0 to below 1e12)",
+        ),
+        ("limits.cancel", "yes", "settings limits.cancel: must be true or false, got 'yes'"),
+        ("prices.peer", "-0.5", "settings prices.peer: must be a finite number of at least 0, got -0.5"),
+        ("prices.peer", "cheap", "settings prices.peer: 'cheap' is not a valid number for this setting"),
+        ("rules.cold_from", "1.5", "settings rules.cold_from: must be between 0 and 1, got 1.5"),
         (
             "rules.fall_multiple",
             "2e12",
-            "settings rules.fall_multiple: 2000000000000 is not 0 to 1000000000000",
+            "settings rules.fall_multiple: must be between 0 and 1000000000000, got 2000000000000",
+        ),
+        (
+            "lanes.0.effect",
+            "once",
+            "settings lanes.0.effect: 'once' is not a valid effect \
+             (expected idempotent, at_most_once or deduplicated)",
+        ),
+        (
+            "lanes.0.group",
+            "rack",
+            "settings lanes.0.group: 'rack' is not a valid group (expected zone, cell or all)",
+        ),
+        (
+            "lanes.0.aim_s",
+            "x",
+            "settings lanes.0.aim_s: 'x' is not a valid duration (seconds, from 0 to below 1e12)",
+        ),
+        ("lanes.0.worth", "x", "settings lanes.0.worth: 'x' is not a valid number for this setting"),
+        (
+            "limits.max_attempts",
+            "-1",
+            "settings limits.max_attempts: '-1' is not a valid number for this setting",
+        ),
+        ("domain.token_aim_s", "x", "settings domain.token_aim_s: 'x' is not a number below 1e12"),
+        ("domain.token_aim_s", "-1", "settings domain.token_aim_s: must be a duration of at least 0, got -1"),
+        (
+            "domain.role_by_kind",
+            "reads",
+            "settings domain.role_by_kind: 'reads' is not a valid role (expected read, write or both)",
         ),
-        ("lanes.0.effect", "once", "settings lanes.0.effect: unknown effect 'once'"),
-        ("lanes.0.group", "rack", "settings lanes.0.group: unknown group 'rack'"),
-        ("lanes.0.aim_s", "x", "settings lanes.0.aim_s: 'x' is no time"),
-        ("lanes.0.worth", "x", "settings lanes.0.worth: can't read 'x'"),
-        ("limits.max_attempts", "-1", "settings limits.max_attempts: can't read '-1'"),
-        ("domain.token_aim_s", "x", "settings domain.token_aim_s: 'x' is no number"),
-        ("domain.token_aim_s", "-1", "settings domain.token_aim_s: -1 is no time"),
-        ("domain.role_by_kind", "reads", "settings domain.role_by_kind: unknown role 'reads'"),
-        ("kinds", "a,b,a", "settings kinds: 'a' is there twice"),
+        ("kinds", "a,b,a", "settings kinds: the name 'a' is used more than once"),
     ];
     for (path, value, message) in cases {
         assert_eq!(error(path, value).to_string(), message);
@@ -180,8 +217,8 @@
     let kind = |memory| {
         from_key_values([("kinds", "a"), ("domain.kind_memory_tokens", memory)].into_iter().collect())
     };
-    let message = "settings domain.kind_memory_tokens: 0 of kind 0 is not a positive number";
+    let message = "settings domain.kind_memory_tokens: must be a positive number, got 0 for kind 0";
     assert_eq!(kind("0").unwrap_err().to_string(), message);
-    let message = "settings domain.kind_memory_tokens: '1e12' is no number";
+    let message = "settings domain.kind_memory_tokens: '1e12' is not a number below 1e12";
     assert_eq!(kind("1e12").unwrap_err().to_string(), message);
 }
--- a/src/edge/cluster/table.rs
+++ b/src/edge/cluster/table.rs
@@ -1,4 +1,4 @@
-//! The table `[cluster]` of the operator's configuration file, and its conversion into checked settings.
+//! The table `[cluster]` of the fronts' settings file, and its conversion into checked settings.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
@@ -133,20 +133,22 @@
     time as f64 / 1e6
 }
 
-/// Why a table is invalid, as one line that names the key.
+/// Why a table is invalid. The message is one line that names the invalid key of the table.
 #[derive(Debug, Error)]
 pub enum TableError {
-    /// The key is not hexadecimal.
-    #[error("cluster.key: not hexadecimal: {0}")]
+    /// `key`, the HMAC key, is not hexadecimal.
+    #[error("cluster.key: must be hexadecimal: {0}")]
     KeyNotHexadecimal(#[from] hex::FromHexError),
-    /// The key is too short.
+    /// `key`, the HMAC key, is too short.
     #[error("cluster.key: {0}")]
     ShortKey(#[from] ShortKey),
     /// The cluster's name is empty.
-    #[error("cluster.cluster: the name is empty")]
+    #[error("cluster.cluster: must not be empty")]
     NoClusterName,
     /// The advertised address is the unspecified one, at which other instances can't reach this one.
-    #[error("cluster.advertise: others can't reach {0}")]
+    #[error(
+        "cluster.advertise: must be an address that others can reach, got {0} (defaults to cluster.listen)"
+    )]
     Unreachable(Ipv4Addr),
     /// A membership setting is invalid.
     #[error("cluster.{0}")]
@@ -169,7 +171,7 @@
 
 impl std::fmt::Debug for Table {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        // Omits the key, so that it doesn't get into logs.
+        // Omits the secret key, so that it doesn't get into logs.
         formatter
             .debug_struct("Table")
             .field("enabled", &self.enabled)
--- a/src/edge/dispatcher.rs
+++ b/src/edge/dispatcher.rs
@@ -3,7 +3,7 @@
 //!
 //! All parts follow the [`Phase`] of the process: joining while another process still serves, then serving; at
 //! SIGTERM leaving, or yielding if another process replaces this one; then closing the listeners. The process ends
-//! when no request is open and no release is under way.
+//! when no request is open and no release is in flight.
 
 mod listeners;
 mod running;
--- a/src/edge/dispatcher/running.rs
+++ b/src/edge/dispatcher/running.rs
@@ -32,17 +32,17 @@
 use crate::interface::ListUpdateKind;
 use dewladder_hot_restart::{RestartStatus, Stage};
 
-/// Time between two checks, during shutdown, of whether requests are still open or releases under way.
+/// Time between two checks, during shutdown, of whether requests are still open or releases in flight.
 const DRAIN_POLL: Duration = Duration::from_millis(20);
 
 /// Why a dispatcher stopped without being told to shut down. The message is a single line.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum RunError {
     /// The driver task ended, which it should never do.
-    #[error("the driver ended: {0}")]
+    #[error("the driver task ended unexpectedly: {0}")]
     DriverEnded(String),
     /// The task that follows the server list ended, which it should never do.
-    #[error("the watch of the list ended: {0}")]
+    #[error("the task that follows the server list ended unexpectedly: {0}")]
     WatchEnded(String),
     /// Listening on the address of a front failed after waiting for another process of this dispatcher.
     #[error("{0}")]
@@ -99,12 +99,12 @@
             task.abort();
         }
         list_task.abort();
-        // The cluster is left last: until now, this instance may have had state held at servers.
+        // The instance leaves the cluster last: until now, servers may have held state for its requests.
         if let Some(cluster) = cluster {
             cluster.leave().await;
         }
-        drop::<Option<Admin>>(self.admin); // callers are answered until the end
-        info!("nothing is held any more: ending");
+        drop::<Option<Admin>>(self.admin); // the second address answers until shutdown is complete
+        info!("dispatcher: shutdown complete; no request is open and no release is in flight");
         Ok(())
     }
 }
@@ -125,7 +125,7 @@
     clock: Clock,
 }
 
-/// The hot restart task, and the status of both processes that it publishes.
+/// The hot restart task, and a receiver of the status of both processes, which the task publishes.
 struct RestartFollower {
     task: JoinHandle<()>,
     status: watch::Receiver<Option<RestartStatus>>,
@@ -213,16 +213,16 @@
         None => None,
     };
     if status.is_some_and(|status| status.is_replaced()) {
-        info!("told to end: another process takes new clients");
+        info!("dispatcher: shutdown begins; another process accepts new clients");
         phase.send_replace(Phase::Yielding);
     } else {
-        info!("told to end: clients are asked to leave");
+        info!("dispatcher: shutdown begins; clients are asked to close their connections");
     }
     sleep_until(close_at).await;
     phase.send_replace(Phase::Closing);
 }
 
-/// Waits until all fronts have ended, no request is open and no release is under way.
+/// Waits until all fronts have ended, no request is open and no release is in flight.
 async fn wait_until_drained(tasks: Vec<JoinHandle<()>>, figures: &Figures) {
     for front in tasks {
         report_panic("front", front.await);
@@ -251,7 +251,7 @@
     }
 }
 
-/// Logs a task that ended by a panic.
+/// Logs a panic of a task. `part` names the part of the dispatcher that the task belonged to.
 fn report_panic(part: &str, ended: Result<(), JoinError>) {
     if let Err(join_error) = ended {
         error!(part, reason:% = join_error; "dispatcher: a task panicked");
--- a/src/edge/settings/config.rs
+++ b/src/edge/settings/config.rs
@@ -23,7 +23,8 @@
 /// Time without an event after which a stream is cut, if streams may be resumed. A client may be left without an event
 /// for at most 5 s, and the rest of the stream still has to be requested within that time.
 const STALL_TIMEOUT_WITH_RESUME: Duration = Duration::from_millis(4_500);
-/// The same if streams can't be resumed: cutting the stream loses the request, so it is given almost all of the 5 s.
+/// Like [`STALL_TIMEOUT_WITH_RESUME`], if streams can't be resumed: cutting the stream fails the request, so the stream
+/// is given almost all of the 5 s.
 const STALL_TIMEOUT_WITHOUT_RESUME: Duration = Duration::from_millis(4_950);
 
 /// Default of `limits.keepalive_s` (seconds).
@@ -98,13 +99,13 @@
     /// For load gossip: the address that receives datagrams of other dispatchers, and the address that reaches all of
     /// them. `None` if the settings forbid such messages, or if one of the two is not configured.
     pub peers: Option<(SocketAddr, SocketAddr)>,
-    /// The second address, for operators and the platform; `None` if there is none.
+    /// The address for operators and the platform, called the second address in logs; `None` if it is not configured.
     pub admin: Option<SocketAddr>,
     /// The seed of the random number generators: the value of a hexadecimal `seed`, a hash of any other text.
     pub seed: u64,
     /// The resources that the program may use.
     pub limits: Limits,
-    /// The server list as last known before the start; empty if the file has none.
+    /// The server list that the file carries, as last known before the start; empty if the file has none.
     pub known: Listing,
     /// The settings of the router.
     pub settings: Settings,
--- a/src/edge/settings/error.rs
+++ b/src/edge/settings/error.rs
@@ -29,7 +29,9 @@
         problem: Problem,
     },
     /// A required address is neither in the configuration file nor in this environment variable.
-    #[error("{0} is told neither by the configuration file nor by the environment")]
+    #[error(
+        "a required address is missing: set it in the configuration file or in the environment variable {0}"
+    )]
     Missing(&'static str),
 }
 
@@ -59,7 +61,7 @@
         message: String,
     },
     /// The value of an environment variable is not a socket address.
-    #[error("{variable} '{text}' is no address")]
+    #[error("environment variable {variable}: '{text}' is not a valid socket address (expected IP:port)")]
     InvalidAddress {
         /// The name of the variable.
         variable: &'static str,
@@ -70,13 +72,13 @@
     #[error("{0}")]
     Settings(#[from] SettingsError),
     /// `settings` has no request classes (`lanes`) or no kinds of servers.
-    #[error("settings name no lanes or no kinds of servers")]
+    #[error("settings: at least one class (lanes) and one kind of server (kinds or domain.role_by_kind) are required")]
     NoClassesOrKinds,
     /// The limit with this path is 0.
-    #[error("{0}: 0 is not a positive number")]
+    #[error("{0}: must be at least 1, got 0")]
     ZeroLimit(&'static str),
-    /// The value of a setting is not a positive duration in seconds.
-    #[error("settings {path}: '{text}' is no time above 0")]
+    /// The value of a setting is not a number of seconds above 0 and below the maximum of durations.
+    #[error("settings {path}: must be a number of seconds above 0 and below 1000000, got '{text}'")]
     InvalidDuration {
         /// The path of the setting.
         path: String,
@@ -84,14 +86,14 @@
         text: String,
     },
     /// The value of a setting is not a boolean.
-    #[error("settings {path}: '{text}' is neither true nor false")]
+    #[error("settings {path}: must be true or false, got '{text}'")]
     InvalidFlag {
         /// The path of the setting.
         path: &'static str,
         /// The value found.
         text: String,
     },
-    /// A setting that the request rules depend on is invalid.
+    /// A setting that the rules for requests (attempts, deadlines, classes) depend on is invalid.
     #[error("settings {path}: {error}")]
     Rule {
         /// The path of the setting.
@@ -104,7 +106,7 @@
     #[error("settings {0} is missing")]
     MissingSetting(String),
     /// A reloaded file lacks the key with this path, which the running configuration has.
-    #[error("{0} is missing")]
+    #[error("{0} is missing, but the running configuration has it")]
     MissingKey(String),
 }
 
@@ -112,7 +114,7 @@
 #[derive(Debug, Error)]
 pub enum RuleError {
     /// The value is not a number above 0, or exceeds the maximum.
-    #[error("{value} is not a positive number up to {max}")]
+    #[error("must be a positive number up to {max}, got {value}")]
     NotPositive {
         /// The value found.
         value: Value,
@@ -120,30 +122,30 @@
         max: f64,
     },
     /// The value is not a number, is below 0 or exceeds the maximum.
-    #[error("{value} is not a number from 0 to {max}")]
+    #[error("must be a number from 0 to {max}, got {value}")]
     OutOfBounds {
         /// The value found.
         value: Value,
         /// The maximum, inclusive.
         max: f64,
     },
-    /// The number has a fractional part.
-    #[error("{0} is not a whole number")]
+    /// The number has a fractional part, but the setting requires a whole number.
+    #[error("must be a whole number, got {0}")]
     NotWhole(f64),
     /// The value is a list or an object where a single value is expected.
-    #[error("{0} is no single value")]
+    #[error("must be a single value, got {0}")]
     NotScalar(Value),
     /// The value is not a list of non-empty strings without commas.
-    #[error("{0} is no list of words")]
+    #[error("must be a list of non-empty strings without commas, got {0}")]
     NotStringList(Value),
-    /// The value is not a string, or is empty where that is not allowed.
-    #[error("{0} is no text")]
+    /// The value is not a string, or is empty although the setting requires a non-empty one.
+    #[error("must be a non-empty string, got {0}")]
     NotString(Value),
     /// Two classes have this name.
-    #[error("{0} is there twice")]
+    #[error("another class is already named {0}")]
     Duplicate(Value),
     /// The index is not that of a configured failure domain.
-    #[error("{zone} is none of the {count} failure domains")]
+    #[error("must be below {count}, the number of failure domains, got {zone}")]
     UnknownZone {
         /// The value found.
         zone: u64,
@@ -156,7 +158,7 @@
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum FieldError {
     /// The value is out of its range.
-    #[error("{field}: {value} is not {min} to {max}")]
+    #[error("{field}: must be between {min} and {max}, got {value}")]
     OutOfRange {
         /// The path of the setting.
         field: String,
@@ -168,13 +170,13 @@
         max: f64,
     },
     /// The value is 0 where at least 1 is needed.
-    #[error("{field}: at least 1 is needed")]
+    #[error("{field}: must be at least 1, got 0")]
     Zero {
         /// The path of the setting.
         field: String,
     },
     /// The value exceeds its maximum.
-    #[error("{field}: {value} is more than {max}")]
+    #[error("{field}: must be at most {max}, got {value}")]
     TooHigh {
         /// The path of the setting.
         field: String,
@@ -184,13 +186,13 @@
         max: usize,
     },
     /// An entry of `retry_headers` is not a valid HTTP header name.
-    #[error("chat.repeats.retry_headers: '{0}' is no header's name")]
+    #[error("chat.repeats.retry_headers: '{0}' is not a valid HTTP header name")]
     InvalidHeaderName(String),
     /// The value of `mode` is unknown.
-    #[error("chat.resume.mode: '{0}' is neither continue nor restart")]
+    #[error("chat.resume.mode: must be 'continue' or 'restart', got '{0}'")]
     UnknownMode(String),
     /// A model is mapped to a class that the platform's configuration does not have.
-    #[error("chat.models.{model}: no class is named {class}")]
+    #[error("chat.models.{model}: the platform's configuration has no class named '{class}'")]
     UnknownClass {
         /// The model's name, the key in `chat.models`.
         model: String,
@@ -198,6 +200,6 @@
         class: String,
     },
     /// `most` or `most_text_kib` exceeds its maximum.
-    #[error("chat.resume: most is at most 100, most_text_kib at most 1024")]
+    #[error("chat.resume: most must be at most 100, and most_text_kib at most 1024")]
     ResumptionTooHigh,
 }
--- a/src/edge/settings/fronts.rs
+++ b/src/edge/settings/fronts.rs
@@ -1,5 +1,5 @@
 //! The settings of the fronts that exist in addition to the platform's front: the chat API, HAProxy's agent check and
-//! the cluster of instances. They stand in a TOML file of their own (see `deploy/fronts.toml`).
+//! the cluster of instances. They are kept in a separate TOML file (see `deploy/fronts.toml`).
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 use crate::edge::settings::repeats::RepeatSettings;
 use crate::edge::settings::resume::ResumeSettings;
 
-/// The settings of the optional fronts. A front without a section is off, and so are all of them if there is no file.
+/// The settings of the optional fronts. A front without a section is off; without a file, all of them are.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct Fronts {
     /// `[chat]`: the chat API.
@@ -64,7 +64,7 @@
     /// API key to tenant name. If empty, clients need no key.
     #[serde(default)]
     pub tenants: BTreeMap<String, String>,
-    /// The maximum number of tokens in an answer, and the limit for requests that name none.
+    /// The maximum number of tokens in an answer, and the limit for requests that set none.
     #[serde(default = "default_max_tokens")]
     pub max_tokens: u64,
     /// The maximum number of open requests per tenant.
@@ -76,7 +76,8 @@
     /// The origins that are allowed by CORS; `*` allows all. If empty, CORS preflight requests are not answered.
     #[serde(default)]
     pub origins: Vec<String>,
-    /// A comment line is sent on a stream after so long without an event, to keep it alive (seconds); 0 sends none.
+    /// Time without an event after which a comment line is sent on a stream, to keep the connection alive (seconds);
+    /// 0 sends none.
     #[serde(default)]
     pub keepalive_s: f64,
     /// The share of `limits.memory_mb` for stored responses, to which later requests can refer (percent).
--- a/src/edge/settings/reload.rs
+++ b/src/edge/settings/reload.rs
@@ -40,7 +40,8 @@
             return Err(ConfigError::Malformed { path: path.to_owned(), problem: Problem::MissingKey(key) });
         }
         let needs_restart = self.changes_needing_restart(&new);
-        // The known servers were parsed, and the open sockets bound, with these settings: they keep their values.
+        // The known servers were parsed, and the open sockets bound, with these settings, so they can't change
+        // before a restart.
         let settings = Settings {
             zone: self.settings.zone,
             kinds: self.settings.kinds.clone(),
--- a/src/edge/settings/repeats.rs
+++ b/src/edge/settings/repeats.rs
@@ -72,9 +72,9 @@
     }
 }
 
-/// The maximum of all durations (seconds).
+/// The maximum of each duration (seconds).
 const MAX_DURATION_S: f64 = 86_400.0;
-/// Upper bounds of the counts.
+/// Maxima of `most_entries`, `most_answer_kib` and `most_readers`.
 const MAX_ENTRIES: usize = 10_000_000;
 const MAX_ANSWER_KIB: usize = 1 << 20;
 const MAX_READERS: usize = 1_000;
--- a/src/edge/settings/rules.rs
+++ b/src/edge/settings/rules.rs
@@ -1,5 +1,5 @@
 //! Checks of the settings that the request rules depend on (attempts, deadlines, classes and the like). Each of them
-//! must be present and valid: a default or a guess in its place could break a rule.
+//! must be present and valid: replacing an absent or invalid value by a default could break a rule.
 
 use serde_json::Value;
 
--- a/src/simulator_adapter.rs
+++ b/src/simulator_adapter.rs
@@ -30,7 +30,7 @@
         reason: String,
     },
     /// Reading or writing failed.
-    #[error("input or output failed: {0}")]
+    #[error("can't read the input or write the output: {0}")]
     Io(#[from] std::io::Error),
 }
 
@@ -39,9 +39,9 @@
 pub enum Message {
     /// The dispatcher starts.
     Started {
-        /// Seed of its random numbers.
+        /// Seed of its random number generator.
         seed: u64,
-        /// Its settings.
+        /// The settings of its router.
         settings: Box<Settings>,
     },
     /// The dispatcher has been killed.
--- a/src/simulator_adapter/fields.rs
+++ b/src/simulator_adapter/fields.rs
@@ -7,7 +7,7 @@
 
 use crate::simulator_adapter::WireError;
 
-/// The fields of one line, read one after the other. Errors name the line and the field.
+/// The fields of one line, parsed from left to right. Errors name the line and the field.
 pub(super) struct Fields<'a> {
     rest: std::str::Split<'a, char>,
     pub(super) line: u64,
@@ -37,9 +37,10 @@
     pub(super) fn optional<T: FromStr>(&mut self, field: &str) -> Result<Option<T>, WireError> {
         match self.next() {
             None | Some("-") => Ok(None),
-            Some(text) => {
-                text.parse().map(Some).map_err(|_| self.malformed(field, &format!("can't read '{text}'")))
-            }
+            Some(text) => text
+                .parse()
+                .map(Some)
+                .map_err(|_| self.malformed(field, &format!("'{text}' is not a valid value"))),
         }
     }
 
@@ -54,7 +55,7 @@
             None | Some("-") => Ok(None),
             Some(text) => parse_micros(text)
                 .map(Some)
-                .ok_or_else(|| self.malformed(field, &format!("'{text}' is no time"))),
+                .ok_or_else(|| self.malformed(field, &format!("'{text}' is not a valid time in seconds"))),
         }
     }
 
@@ -67,6 +68,8 @@
     pub(super) fn request_id(&mut self, field: &str) -> Result<RequestId, WireError> {
         let text = self.word(field)?;
         let id = u64::from_str_radix(text, 16).ok().filter(|_| text.len() == 16);
-        id.map(RequestId).ok_or_else(|| self.malformed(field, &format!("'{text}' is no request id")))
+        id.map(RequestId).ok_or_else(|| {
+            self.malformed(field, &format!("'{text}' is not a request id (16 hexadecimal digits)"))
+        })
     }
 }
--- a/src/simulator_adapter/messages.rs
+++ b/src/simulator_adapter/messages.rs
@@ -30,7 +30,7 @@
     })
 }
 
-/// Parses the rest of a message of the kind `word`. Kinds that the router has no use for become [`Event::Ignored`].
+/// Parses the rest of a message of the kind `word`. Kinds that the router does not use become [`Event::Ignored`].
 pub(super) fn message(word: &str, fields: &mut Fields) -> Result<Message, WireError> {
     let event = match word {
         "born" => {
@@ -76,7 +76,7 @@
     Ok(Message::Event(event))
 }
 
-/// Parses a client's request. The hint of the answer's length counts only if bit 0 of `flags` is set.
+/// Parses a client's request. The hint of the answer's length (`weight_hint_s`) counts only if bit 0 of `flags` is set.
 fn request(fields: &mut Fields) -> Result<RequestInfo, WireError> {
     let id = fields.request_id("rid")?;
     let class = fields.number("tier_class")?;
@@ -102,7 +102,8 @@
     })
 }
 
-/// Parses the end of an attempt. `detail` holds the cached tokens of a success, and 1 for a server without the state.
+/// Parses the end of an attempt. `detail` holds the number of cached tokens after a success; after a rejection, 1 means
+/// that the server does not hold the state, rather than that it is at capacity.
 fn attempt_finished(fields: &mut Fields) -> Result<Event, WireError> {
     let id = fields.request_id("rid")?;
     let taken = fields.time("time_taken_s")?;
@@ -150,13 +151,13 @@
     let mut report = Report::default();
     for pair in text.split(',') {
         let Some((name, value)) = pair.split_once(':') else {
-            return Err(fields.malformed("report", &format!("'{pair}' is no name:value pair")));
+            return Err(fields.malformed("report", &format!("'{pair}' is not a name:value pair")));
         };
         if value == "-" {
             continue;
         }
         let value: f64 =
-            value.parse().map_err(|_| fields.malformed("report", &format!("'{value}' is no number")))?;
+            value.parse().map_err(|_| fields.malformed("report", &format!("'{value}' is not a number")))?;
         report.set(name, Some(value));
     }
     Ok(Some(report))
@@ -172,7 +173,7 @@
     let mut values = HashMap::new();
     while let Some(pair) = fields.next() {
         let Some((path, value)) = pair.split_once('=') else {
-            return Err(fields.malformed("settings", &format!("'{pair}' is no path=value pair")));
+            return Err(fields.malformed("settings", &format!("'{pair}' is not a path=value pair")));
         };
         values.insert(path, value);
     }
--- a/src/simulator_adapter/reader.rs
+++ b/src/simulator_adapter/reader.rs
@@ -33,7 +33,7 @@
         }
         let mut fields = Fields::new(&self.line, self.line_number);
         if fields.word("message")? != "round" {
-            return Err(fields.malformed("message", "a batch starts with 'round'"));
+            return Err(fields.malformed("message", "a batch must start with 'round'"));
         }
         batch.now = fields.time("clock")?;
         batch.number = fields.word("serial")?.to_owned();
@@ -92,7 +92,7 @@
             "whole" => ListUpdateKind::Full,
             "stale_copy" => ListUpdateKind::StaleCopy,
             "broken" => ListUpdateKind::Failed,
-            other => return Err(fields.malformed("how", &format!("unknown kind of list '{other}'"))),
+            other => return Err(fields.malformed("how", &format!("unknown kind of list update '{other}'"))),
         };
         let count: usize = fields.optional("items")?.unwrap_or(0);
         let mut entries = Vec::new();
--- a/src/simulator_adapter/writer.rs
+++ b/src/simulator_adapter/writer.rs
@@ -5,8 +5,8 @@
 use base64::Engine as _;
 use dewladder_router::interface::{Action, Micros};
 
-/// Writes the reply to a batch: one line per action, in order, each with the number of the dispatcher that it
-/// is from, and an `end` line with the number of the batch.
+/// Writes the reply to a batch: one line per action, in order, each with the number of the dispatcher that
+/// takes the action, and an `end` line with the number of the batch.
 ///
 /// # Errors
 /// The output can't be written.
@@ -46,7 +46,7 @@
     }
 }
 
-/// The time in seconds with six decimals, as the wire has it.
+/// The time in seconds with six decimals, as the protocol requires.
 fn seconds(time: Micros) -> String {
     format!("{}.{:06}", time / 1_000_000, time % 1_000_000)
 }
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -34,12 +34,16 @@
         (None, fronts, "can't read"),
         (Some("{"), fronts, "EOF"),
         (Some("[]"), fronts, "invalid"),
-        (Some("{\"listen\":\"127.0.0.1:0\",\"settings\":{}}"), fronts, "no lanes"),
+        (Some("{\"listen\":\"127.0.0.1:0\",\"settings\":{}}"), fronts, "at least one class (lanes)"),
         (Some(good.replace("\"listen\":\"127.0.0.1:0\",", "").as_str()), fronts, "ROUTER_LISTEN"),
-        (Some(good.replace("at_most_once", "at_a_guess").as_str()), fronts, "unknown effect"),
+        (
+            Some(good.replace("at_most_once", "at_a_guess").as_str()),
+            fronts,
+            "'at_a_guess' is not a valid effect",
+        ),
         (Some(&good), "[chat", "line 1"),
         (Some(&good), "[chat]\nlisten = 5", "line 2"),
-        (Some(&good), &fronts.replace("\"book\"", "\"cook\""), "no class is named cook"),
+        (Some(&good), &fronts.replace("\"book\"", "\"cook\""), "no class named 'cook'"),
         (Some(&good), &format!("{fronts}[chat.repeats]\nwindow_s = -1.0\n"), "chat.repeats.window_s"),
         (Some(&good), &format!("{fronts}[chat.repeats]\nmost_entries = 0\n"), "chat.repeats.most_entries"),
         (
@@ -48,7 +52,11 @@
             "retry_headers: 'a b'",
         ),
         (Some(&good), &format!("{fronts}[chat.repeats]\nlinger = 1.0\n"), "unknown field `linger`"),
-        (Some(&good), &format!("{fronts}[chat.resume]\nmode = \"guess\"\n"), "chat.resume.mode: 'guess'"),
+        (
+            Some(&good),
+            &format!("{fronts}[chat.resume]\nmode = \"guess\"\n"),
+            "chat.resume.mode: must be 'continue' or 'restart', got 'guess'",
+        ),
         (Some(&good), &fronts.replace("most_open = 2", "keepalive_s = -1.0"), "chat.keepalive_s"),
     ]
     .into_iter()
@@ -105,7 +113,12 @@
     let told = Command::new("kill").args(["-TERM", &child.id().to_string()]).status().unwrap();
     assert!(told.success());
     let rest: Vec<String> = lines.collect();
-    assert!(rest.last().unwrap().ends_with("nothing is held any more: ending"), "{rest:?}");
+    assert!(
+        rest.last()
+            .unwrap()
+            .ends_with("dispatcher: shutdown complete; no request is open and no release is in flight"),
+        "{rest:?}"
+    );
     assert_eq!(child.wait().unwrap().code(), Some(0));
 }
 
@@ -193,6 +206,11 @@
     assert!(Command::new("kill").args(["-INT", &child.id().to_string()]).status().unwrap().success());
     let rest: Vec<String> =
         BufReader::new(child.stderr.take().unwrap()).lines().map_while(Result::ok).collect();
-    assert!(rest.last().unwrap().ends_with("nothing is held any more: ending"), "{rest:?}");
+    assert!(
+        rest.last()
+            .unwrap()
+            .ends_with("dispatcher: shutdown complete; no request is open and no release is in flight"),
+        "{rest:?}"
+    );
     assert_eq!(child.wait().unwrap().code(), Some(0));
 }
--- a/tests/crossings_shutdown.rs
+++ b/tests/crossings_shutdown.rs
@@ -569,7 +569,7 @@
     program.tell("-TERM");
     program.tell("-HUP");
     program.tell("-TERM");
-    program.says("told to end").await;
+    program.says("dispatcher: shutdown begins").await;
     program.tell("-HUP");
     program.tell("-TERM");
     let other = Line::to(folder.port.address()).await; // still taken
@@ -595,7 +595,7 @@
     let mut program = folder.start();
     program.says("second address").await;
     program.tell("-TERM");
-    program.says("told to end").await;
+    program.says("dispatcher: shutdown begins").await;
     let answer = until_close(folder.port.address(), &asks(ID, "0.500")).await;
     assert_eq!(status(&answer), 503, "{answer:?}");
     let (code, log) = program.ended().await;
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -408,8 +408,8 @@
     ];
     let mut changed = |change: &dyn Fn(&mut Value), says, always| broken.push((with(change), says, always));
     for (path, says) in [
-        ("/settings", "no lanes"),
-        ("/settings/lanes", "no lanes"),
+        ("/settings", "at least one class (lanes)"),
+        ("/settings/lanes", "at least one class (lanes)"),
         ("/settings/limits/max_attempts", "max_attempts is missing"),
         ("/settings/lanes/0/give_up_s", "lanes.0.give_up_s is missing"),
         ("/settings/lanes/2/effect", "lanes.2.effect is missing"),
@@ -427,27 +427,67 @@
         changed(&without(path), says, false);
     }
     for (path, value, says) in [
-        ("/settings/lanes", json!([]), "no lanes"),
-        ("/settings/lanes/0/give_up_s", json!(0), "lanes.0.give_up_s: 0"),
-        ("/settings/lanes/0/give_up_s", json!(-6.0), "lanes.0.give_up_s: -6.0"),
-        ("/settings/lanes/0/give_up_s", json!("6.0"), "lanes.0.give_up_s: \"6.0\""),
+        ("/settings/lanes", json!([]), "at least one class (lanes)"),
+        (
+            "/settings/lanes/0/give_up_s",
+            json!(0),
+            "lanes.0.give_up_s: must be a positive number up to 1000000, got 0",
+        ),
+        (
+            "/settings/lanes/0/give_up_s",
+            json!(-6.0),
+            "lanes.0.give_up_s: must be a positive number up to 1000000, got -6.0",
+        ),
+        (
+            "/settings/lanes/0/give_up_s",
+            json!("6.0"),
+            "lanes.0.give_up_s: must be a positive number up to 1000000, got \"6.0\"",
+        ),
         ("/settings/lanes/0/give_up_s", json!(1e300), "lanes.0.give_up_s: '1e"),
-        ("/settings/lanes/0/give_up_s", Value::Null, "lanes.0.give_up_s: null"),
-        ("/settings/lanes/1/aim_s", json!([1]), "lanes.1.aim_s: [1]"),
-        ("/settings/limits/max_attempts", json!(0), "max_attempts: 0"),
+        (
+            "/settings/lanes/0/give_up_s",
+            Value::Null,
+            "lanes.0.give_up_s: must be a positive number up to 1000000, got null",
+        ),
+        (
+            "/settings/lanes/1/aim_s",
+            json!([1]),
+            "lanes.1.aim_s: must be a positive number up to 1000000, got [1]",
+        ),
+        (
+            "/settings/limits/max_attempts",
+            json!(0),
+            "max_attempts: must be a positive number up to 1000000, got 0",
+        ),
         ("/settings/limits/max_attempts", json!(-1), "max_attempts"),
         ("/settings/limits/max_attempts", json!(2.5), "max_attempts"),
         ("/settings/limits/max_attempts", json!(5_000_000_000u64), "max_attempts"),
         ("/settings/limits/max_attempts", json!(true), "max_attempts"),
-        ("/settings/lanes/0/effect", json!("at_a_guess"), "unknown effect"),
-        ("/settings/lanes/0/group", json!("rack"), "lanes.0.group: unknown group 'rack'"),
-        ("/settings/domain/role_by_kind", json!(["read", "scribe"]), "role_by_kind: unknown role 'scribe'"),
-        ("/settings/domain/kind_memory_tokens", json!([0, 9]), "kind_memory_tokens: 0 of kind 0"),
-        ("/settings/domain/kind_memory_tokens", json!([9, -2]), "kind_memory_tokens: -2 of kind 1"),
-        ("/limits/memory_mb", json!(0), "limits.memory_mb: 0"),
+        (
+            "/settings/lanes/0/effect",
+            json!("at_a_guess"),
+            "lanes.0.effect: 'at_a_guess' is not a valid effect",
+        ),
+        ("/settings/lanes/0/group", json!("rack"), "lanes.0.group: 'rack' is not a valid group"),
+        (
+            "/settings/domain/role_by_kind",
+            json!(["read", "scribe"]),
+            "role_by_kind: 'scribe' is not a valid role",
+        ),
+        (
+            "/settings/domain/kind_memory_tokens",
+            json!([0, 9]),
+            "kind_memory_tokens: must be a positive number, got 0 for kind 0",
+        ),
+        (
+            "/settings/domain/kind_memory_tokens",
+            json!([9, -2]),
+            "kind_memory_tokens: must be a positive number, got -2 for kind 1",
+        ),
+        ("/limits/memory_mb", json!(0), "limits.memory_mb: must be at least 1, got 0"),
         ("/limits/memory_mb", json!(-64), "invalid value"),
-        ("/limits/sockets", json!(0), "limits.sockets: 0"),
-        ("/settings/lanes/2/name", json!("ask"), "\"ask\" is there twice"),
+        ("/limits/sockets", json!(0), "limits.sockets: must be at least 1, got 0"),
+        ("/settings/lanes/2/name", json!("ask"), "lanes.2.name: another class is already named \"ask\""),
         ("/settings/lanes/2/name", json!(""), "lanes.2.name"),
     ] {
         changed(&put(path, value), says, true);
@@ -478,7 +518,11 @@
     let (code, log) = process.ended().await;
     assert_eq!(code, Some(0));
     let said = |text: &str| log.iter().any(|line| line.contains("not taken over") && line.contains(text));
-    for says in ["lanes.0.give_up_s: -6.0", "settings.lanes.1.worth is missing", "can't read"] {
+    for says in [
+        "lanes.0.give_up_s: must be a positive number up to 1000000, got -6.0",
+        "settings.lanes.1.worth is missing",
+        "can't read",
+    ] {
         assert!(said(says), "{says} in {log:?}");
     }
 }
@@ -526,7 +570,7 @@
         let (code, log) = serving.ended().await;
         assert_eq!(code, Some(0), "{log:?}");
         let said = |text: &str| log.iter().any(|line| line.contains(text));
-        assert!(said("told to end: another process takes new clients"), "{log:?}");
+        assert!(said("dispatcher: shutdown begins; another process accepts new clients"), "{log:?}");
         assert!(said("hot restart: learned state exported"), "{log:?}");
         assert_eq!(status(&until_close(at, &platform(&format!("d{turn}"), "ask", "0.9")).await), 200);
         serving = next;
@@ -536,7 +580,9 @@
     assert_eq!(code, Some(0));
     assert!(log.iter().any(|line| line.contains("hot restart: learned state imported")), "{log:?}");
     assert!(
-        log.iter().any(|line| line.contains("told to end: clients are asked to leave")),
+        log.iter()
+            .any(|line| line
+                .contains("dispatcher: shutdown begins; clients are asked to close their connections")),
         "alone: {log:?}"
     );
 }
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -115,21 +115,27 @@
     let cases = [
         ("nonsense\t3", "line 2: message: unknown message 'nonsense'"),
         ("hangup\t3", "line 2: rid: missing"),
-        ("hangup\t3\tzz", "line 2: rid: 'zz' is no request id"),
-        ("hangup\tx\t2a0235775d3a91c4", "line 2: front: can't read 'x'"),
-        ("ack_first\t3\t2a0235775d3a91c4\t0\t5\tsoon", "line 2: time_taken_s: 'soon' is no time"),
+        ("hangup\t3\tzz", "line 2: rid: 'zz' is not a request id (16 hexadecimal digits)"),
+        ("hangup\tx\t2a0235775d3a91c4", "line 2: front: 'x' is not a valid value"),
+        (
+            "ack_first\t3\t2a0235775d3a91c4\t0\t5\tsoon",
+            "line 2: time_taken_s: 'soon' is not a valid time in seconds",
+        ),
         ("roster_change\t3\t1\twhole\t2\nm\t5\t0\t0\t1\t-\tReady\t0", "line 4: items: fewer entries"),
-        ("roster_change\t3\t1\todd\t0", "line 2: how: unknown kind of list 'odd'"),
+        ("roster_change\t3\t1\todd\t0", "line 2: how: unknown kind of list update 'odd'"),
         ("roster_change\t3\t1\twhole\t1\nm\t5\t0\t0\t1\t-\tOdd\t0", "line 3: health: unknown state 'Odd'"),
         ("inbox\t3\t1\t!!", "line 2: bytes: not base64"),
-        ("checked\t3\t1\t0.1\t5\tqueue", "line 2: report: 'queue' is no name:value pair"),
-        ("born\t3\t1\tbalancers=many", "line 2: settings balancers: can't read 'many'"),
+        ("checked\t3\t1\t0.1\t5\tqueue", "line 2: report: 'queue' is not a name:value pair"),
+        (
+            "born\t3\t1\tbalancers=many",
+            "line 2: settings balancers: 'many' is not a valid number for this setting",
+        ),
     ];
     for (line, expected) in cases {
         let error = read_one(line).expect_err(line);
         assert!(error.starts_with(expected), "{line}: {error}");
     }
-    assert!(read("your_turn\n").expect_err("no clock").contains("starts with 'round'"));
+    assert!(read("your_turn\n").expect_err("no clock").contains("must start with 'round'"));
     assert!(read("round\t1\t1\n").expect_err("cut off").contains("ends within a batch"));
 }
 
