--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -43,7 +43,11 @@
         ),
         (Some(&good), "[chat", "line 1"),
         (Some(&good), "[chat]\nlisten = 5", "line 2"),
-        (Some(&good), &fronts.replace("\"book\"", "\"cook\""), "no class named 'cook'"),
+        (
+            Some(&good),
+            &fronts.replace("\"book\"", "\"cook\""),
+            "the platform's configuration has no class named 'cook'",
+        ),
         (Some(&good), &format!("{fronts}[chat.repeats]\nwindow_s = -1.0\n"), "chat.repeats.window_s"),
         (Some(&good), &format!("{fronts}[chat.repeats]\nmost_entries = 0\n"), "chat.repeats.most_entries"),
         (
