--- a/tests/crossings_list.rs
+++ b/tests/crossings_list.rs
@@ -1,7 +1,7 @@
-//! The list of servers where two events cross: silence, resets, older news, other addresses, and a drain that comes
-//! while an attempt is on its way.
+//! The list of servers when two events coincide: agents that are silent or reset connections, stale or repeated
+//! lists, changed agent addresses, and a drain or removal while an attempt is in flight.
 
-mod listed;
+mod scripted_agent;
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -11,7 +11,9 @@
 use std::time::Duration;
 
 use dewladder_test_peers::{chunk, field, plain, Behavior, LatePeer, Peer, Server};
-use listed::{answer, entry, list, settings, status, Running, Watched, SOON};
+use scripted_agent::{
+    http_response, list, server_entry, settings, status, RunningDispatcher, WatchedDispatcher, TEST_TIMEOUT,
+};
 use serde_json::{json, Value};
 use tokio::io::{AsyncBufReadExt as _, AsyncReadExt as _, AsyncWriteExt as _, BufReader};
 use tokio::net::{TcpListener, TcpStream};
@@ -19,66 +21,69 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout, Instant};
 
-/// What discovery has to tell counts as told so long after a watch fell silent, and so long after it had it and could
-/// be reached where a call failed before.
-const TOLD: Duration = Duration::from_secs(6);
-/// After SIGHUP the new agent's news counts so much later.
-const AFTER_HANGUP: Duration = Duration::from_secs(4);
+/// Time limit for a change in discovery to be acted on: counted from the moment a watch falls silent, or, after
+/// failed calls, from the moment discovery has the change and is reachable.
+const DISCOVERY_LIMIT: Duration = Duration::from_secs(6);
+/// Time limit after SIGHUP for the list of a new agent to be in use.
+const RELOAD_LIMIT: Duration = Duration::from_secs(4);
 
-fn only(at: usize) -> BTreeSet<usize> {
+fn only_server(at: usize) -> BTreeSet<usize> {
     BTreeSet::from([at])
 }
 
-/// A watch falls silent right after it was opened, and the drain comes right then. All open watches are silent, yet
-/// discovery is up: a new call is answered. What the silent one misses counts as told 6 s after it fell silent.
+/// The drain happens right after the only open watch has fallen silent. Discovery itself is up: a new call is
+/// answered. The dispatcher has to notice the silence and ask again, so that the drain is acted on within 6 s
+/// of it.
 #[tokio::test]
 async fn a_drain_behind_a_silent_watch_is_acted_on_within_six_seconds() {
-    let (all, _silent) = Watched::start().await;
+    let (fixture, _silent) = WatchedDispatcher::start().await;
     let start = Instant::now();
-    assert_eq!(all.takers(1).await.len(), 2, "both take work before");
-    let (mut line, from) = all.anew(TOLD).await;
-    assert_eq!(from, Some(1), "what it knows still stands");
-    line.says(&answer(&all.list(2, false, "draining"))).await.unwrap();
-    all.site.holds(1, SOON).await.unwrap();
-    assert!(start.elapsed() < TOLD, "{:?}", start.elapsed());
-    assert_eq!(all.takers(2).await, only(1));
+    assert_eq!(fixture.servers_used(1).await.len(), 2, "both servers receive requests before the drain");
+    let (mut line, from) = fixture.next_connection(DISCOVERY_LIMIT).await;
+    assert_eq!(from, Some(1), "the known revision stays");
+    line.says(&http_response(&fixture.list(2, false, "draining"))).await.unwrap();
+    fixture.dispatcher.wait_for_ready(1, TEST_TIMEOUT).await.unwrap();
+    assert!(start.elapsed() < DISCOVERY_LIMIT, "{:?}", start.elapsed());
+    assert_eq!(fixture.servers_used(2).await, only_server(1));
 }
 
-/// The watch falls silent in the middle of the answer that tells of the drain.
+/// The watch falls silent in the middle of the response that reports the drain: nothing of that response is
+/// applied, and the drain is acted on within 6 s.
 #[tokio::test]
-async fn a_drain_whose_telling_stops_halfway_is_acted_on_within_six_seconds() {
-    let (all, mut silent) = Watched::start().await;
+async fn a_drain_in_a_truncated_response_is_acted_on_within_six_seconds() {
+    let (fixture, mut silent) = WatchedDispatcher::start().await;
     let start = Instant::now();
-    let told = answer(&all.list(2, false, "draining"));
-    silent.says(&told[..told.len() - 40]).await.unwrap();
-    let (mut line, from) = all.anew(TOLD).await;
-    assert_eq!(from, Some(1), "half an answer is none");
-    assert_eq!(all.site.ready(), 2);
-    line.says(&told).await.unwrap();
-    all.site.holds(1, SOON).await.unwrap();
-    assert!(start.elapsed() < TOLD, "{:?}", start.elapsed());
-    assert_eq!(all.takers(1).await, only(1));
-}
-
-/// The watch breaks before the head, in it, in mid-body, and by an end before the length that was told; each time the
-/// old list stands, the same news is asked for again, and it is taken once it comes whole.
+    let served_list = http_response(&fixture.list(2, false, "draining"));
+    silent.says(&served_list[..served_list.len() - 40]).await.unwrap();
+    let (mut line, from) = fixture.next_connection(DISCOVERY_LIMIT).await;
+    assert_eq!(from, Some(1), "a truncated response is not applied");
+    assert_eq!(fixture.dispatcher.ready(), 2);
+    line.says(&served_list).await.unwrap();
+    fixture.dispatcher.wait_for_ready(1, TEST_TIMEOUT).await.unwrap();
+    assert!(start.elapsed() < DISCOVERY_LIMIT, "{:?}", start.elapsed());
+    assert_eq!(fixture.servers_used(1).await, only_server(1));
+}
+
+/// The watch breaks before the response head, within it, in mid-body, and by an end before the announced
+/// `Content-Length`. Each time the old list stays in use and the same change is requested again; it is applied
+/// once it arrives whole.
 #[tokio::test]
-async fn an_answer_that_breaks_anywhere_is_asked_for_again_and_not_half_taken() {
-    let (all, mut line) = Watched::start().await;
-    let told = answer(&all.list(2, false, "draining"));
-    let head = told.find("\r\n\r\n").unwrap();
-    // The last is whole by its text, and yet a byte short of the length that was told.
-    let short = told.replacen("\r\n\r\n", "\r\nX-More: y\r\n\r\n", 1);
+async fn a_response_that_breaks_off_anywhere_is_requested_again_and_not_applied() {
+    let (fixture, mut line) = WatchedDispatcher::start().await;
+    let served_list = http_response(&fixture.list(2, false, "draining"));
+    let head = served_list.find("\r\n\r\n").unwrap();
+    // The last response holds the whole list and is yet shorter than its `Content-Length`.
+    let short = served_list.replacen("\r\n\r\n", "\r\nX-More: y\r\n\r\n", 1);
     let short = short.replacen("Content-Length: ", "Content-Length: 1", 1);
     for (part, resets) in [
         ("", true),
         ("", false),
-        (&told[..head / 2], true),
-        (&told[..head / 2], false),
-        (&told[..head + 20], true),
-        (&told[..head + 20], false),
-        (&told[..told.len() - 1], true),
-        (&told[..told.len() - 1], false),
+        (&served_list[..head / 2], true),
+        (&served_list[..head / 2], false),
+        (&served_list[..head + 20], true),
+        (&served_list[..head + 20], false),
+        (&served_list[..served_list.len() - 1], true),
+        (&served_list[..served_list.len() - 1], false),
         (&short[..], true),
         (&short[..], false),
     ] {
@@ -88,83 +93,85 @@
         } else {
             drop(line);
         }
-        let (next, from) = all.anew(TOLD).await;
-        assert_eq!((from, all.site.ready()), (Some(1), 2), "{part:?}, {resets}");
+        let (next, from) = fixture.next_connection(DISCOVERY_LIMIT).await;
+        assert_eq!((from, fixture.dispatcher.ready()), (Some(1), 2), "{part:?}, {resets}");
         line = next;
     }
-    line.says(&told).await.unwrap();
-    all.site.holds(1, SOON).await.unwrap();
-    assert_eq!(all.takers(1).await, only(1));
+    line.says(&served_list).await.unwrap();
+    fixture.dispatcher.wait_for_ready(1, TEST_TIMEOUT).await.unwrap();
+    assert_eq!(fixture.servers_used(1).await, only_server(1));
 }
 
-/// A whole list comes where a delta was asked for: what it does not name has gone, what it names stands as it says.
+/// A whole list arrives where a delta was requested: servers that it does not name are removed, and those that
+/// it names are taken as listed.
 #[tokio::test]
-async fn a_whole_list_in_place_of_a_delta_is_taken_whole() {
-    let (all, mut line) = Watched::start().await;
+async fn a_whole_list_in_place_of_a_delta_replaces_the_list() {
+    let (fixture, mut line) = WatchedDispatcher::start().await;
     let third = Server::start(Behavior::Stream(1)).await;
-    let entries = [entry(third.address, 3, "up"), entry(all.servers[1].address, 2, "up")];
-    line.says(&answer(&list(5, true, &entries))).await.unwrap();
-    let (mut line, from) = all.watch(line).await;
+    let entries = [server_entry(third.address, 3, "up"), server_entry(fixture.servers[1].address, 2, "up")];
+    line.says(&http_response(&list(5, true, &entries))).await.unwrap();
+    let (mut line, from) = fixture.watch(line).await;
     assert_eq!(from, Some(5));
-    assert_eq!(all.takers(1).await, only(1), "the first has gone");
-    assert!(third.posts() > 0, "and the third has come");
-    // A delta upon it, and the whole list once more with the same revision as its hold runs out.
-    line.says(&answer(&list(6, false, &[entry(third.address, 3, "draining")]))).await.unwrap();
-    let (mut line, from) = all.watch(line).await;
+    assert_eq!(fixture.servers_used(1).await, only_server(1), "the first server is removed");
+    assert!(third.posts() > 0, "the third server receives requests");
+    // A delta to that list, and then the whole list again with the same revision when the hold time ends.
+    line.says(&http_response(&list(6, false, &[server_entry(third.address, 3, "draining")]))).await.unwrap();
+    let (mut line, from) = fixture.watch(line).await;
     assert_eq!(from, Some(6));
-    let entries = [entry(third.address, 3, "draining"), entry(all.servers[1].address, 2, "up")];
-    line.says(&answer(&list(6, true, &entries))).await.unwrap();
-    let (_line, from) = all.watch(line).await;
+    let entries =
+        [server_entry(third.address, 3, "draining"), server_entry(fixture.servers[1].address, 2, "up")];
+    line.says(&http_response(&list(6, true, &entries))).await.unwrap();
+    let (_line, from) = fixture.watch(line).await;
     assert_eq!(from, Some(6));
     let before = third.posts();
-    assert_eq!(all.takers(2).await, only(1));
-    assert_eq!(third.posts(), before, "nothing more goes to one that drains");
+    assert_eq!(fixture.servers_used(2).await, only_server(1));
+    assert_eq!(third.posts(), before, "a draining server receives no new requests");
 }
 
-/// A delta that is older than what is known: it says `up` of a server that drains by now. It is not taken, and the
-/// next call asks from the newer one.
+/// A delta with an older revision than the known one reports a server `up` that drains by now. It is ignored,
+/// and the next call asks from the newer revision.
 #[tokio::test]
 async fn an_older_delta_does_not_undo_a_newer_one() {
-    let (all, mut line) = Watched::start().await;
-    line.says(&answer(&all.list(3, false, "draining"))).await.unwrap();
-    let (mut line, from) = all.watch(line).await;
+    let (fixture, mut line) = WatchedDispatcher::start().await;
+    line.says(&http_response(&fixture.list(3, false, "draining"))).await.unwrap();
+    let (mut line, from) = fixture.watch(line).await;
     assert_eq!(from, Some(3));
-    line.says(&answer(&all.list(2, false, "up"))).await.unwrap();
-    let (_line, from) = all.watch(line).await;
-    assert_eq!(all.takers(1).await, only(1), "what drains gets nothing");
+    line.says(&http_response(&fixture.list(2, false, "up"))).await.unwrap();
+    let (_line, from) = fixture.watch(line).await;
+    assert_eq!(fixture.servers_used(1).await, only_server(1), "a draining server receives no new requests");
     assert_eq!(from, Some(3));
 }
 
-/// The same with a whole list that is older.
+/// A whole list with an older revision than the known one is ignored, like an older delta.
 #[tokio::test]
 async fn an_older_whole_list_does_not_undo_a_newer_delta() {
-    let (all, mut line) = Watched::start().await;
-    line.says(&answer(&all.list(3, false, "draining"))).await.unwrap();
-    let (mut line, from) = all.watch(line).await;
+    let (fixture, mut line) = WatchedDispatcher::start().await;
+    line.says(&http_response(&fixture.list(3, false, "draining"))).await.unwrap();
+    let (mut line, from) = fixture.watch(line).await;
     assert_eq!(from, Some(3));
-    line.says(&answer(&all.list(2, true, "up"))).await.unwrap();
-    let (_line, from) = all.watch(line).await;
-    assert_eq!(all.takers(1).await, only(1), "what drains gets nothing");
+    line.says(&http_response(&fixture.list(2, true, "up"))).await.unwrap();
+    let (_line, from) = fixture.watch(line).await;
+    assert_eq!(fixture.servers_used(1).await, only_server(1), "a draining server receives no new requests");
     assert_eq!(from, Some(3));
 }
 
-/// Lists come indented, byte by byte, in chunks of one byte with extensions and trailers, in pieces that cut a letter,
-/// and up to the connection's end: each is taken like any other.
+/// Lists arrive indented, byte by byte, in chunks of one character with extensions and trailers, in pieces,
+/// with a two-byte character, and ended by the close of the connection: each is applied like any other.
 #[tokio::test]
-async fn indented_and_split_lists_are_taken_like_any_other() {
-    let (all, mut line) = Watched::start().await;
+async fn indented_and_split_lists_are_applied() {
+    let (fixture, mut line) = WatchedDispatcher::start().await;
     let mut revision = 1;
     for form in 0..6 {
         for (phase, ready) in [("draining", 1), ("up", 2)] {
             revision += 1;
-            let mut told = all.list(revision, form % 2 == 0, phase);
-            told["members"][0]["locality"] = json!("Ä");
-            let text = format!("\r\n\t{}\n\n", serde_json::to_string_pretty(&told).unwrap());
+            let mut served_list = fixture.list(revision, form % 2 == 0, phase);
+            served_list["members"][0]["locality"] = json!("Ä");
+            let text = format!("\r\n\t{}\n\n", serde_json::to_string_pretty(&served_list).unwrap());
             let whole = plain(200, "Content-Type: application/json\r\n", &text);
             let ends = match form {
                 0 | 1 => {
                     for at in 0..whole.len() {
-                        // One byte in each write; the letter of two bytes goes as one piece of text each.
+                        // One byte per write, but both bytes of the two-byte letter in one.
                         if whole.is_char_boundary(at) {
                             let end =
                                 (at + 1..=whole.len()).find(|&end| whole.is_char_boundary(end)).unwrap();
@@ -198,26 +205,31 @@
                     true
                 }
             };
-            all.site.holds(ready, SOON).await.unwrap_or_else(|what| panic!("form {form}, {phase}: {what}"));
+            fixture
+                .dispatcher
+                .wait_for_ready(ready, TEST_TIMEOUT)
+                .await
+                .unwrap_or_else(|description| panic!("form {form}, {phase}: {description}"));
             if ends {
-                let (next, from) = all.anew(SOON).await;
+                let (next, from) = fixture.next_connection(TEST_TIMEOUT).await;
                 assert_eq!(from, Some(revision));
                 line = next;
             } else {
-                let (next, from) = all.watch(line).await;
+                let (next, from) = fixture.watch(line).await;
                 assert_eq!(from, Some(revision), "form {form}");
                 line = next;
             }
         }
     }
-    assert_eq!(all.takers(1).await.len(), 2);
+    assert_eq!(fixture.servers_used(1).await.len(), 2);
 }
 
-/// Entries and fields in another order, with fields that nobody knows and beside an entry in an unknown phase.
+/// A list with entries and fields in another order, with unknown fields, and with one entry in an unknown
+/// phase: the other entries are applied.
 #[tokio::test]
 async fn order_unknown_fields_and_unknown_phases_leave_the_rest_of_a_list_as_it_is() {
-    let (all, mut line) = Watched::start().await;
-    let [first, second] = all.servers.each_ref().map(|server| server.address);
+    let (fixture, mut line) = WatchedDispatcher::start().await;
+    let [first, second] = fixture.servers.each_ref().map(|server| server.address);
     let text = format!(
         "{{\"a\":[{{}}],\"members\":[\
          {{\"id\":\"s-00000003\",\"host_port\":\"127.0.0.1:9\",\"locality\":\"a\",\"flavor\":\"both\",\"cell\":1,\"phase\":\"asleep\",\"size\":1.0,\"up_since_ms\":0}},\
@@ -226,44 +238,49 @@
          ],\"complete\":true,\"z\":1e3,\"revision\":2}}"
     );
     line.says(&plain(200, "", &text)).await.unwrap();
-    let (_line, from) = all.watch(line).await;
+    let (_line, from) = fixture.watch(line).await;
     assert_eq!(from, Some(2));
-    all.site.holds(1, SOON).await.unwrap();
-    assert_eq!(all.takers(1).await, only(1));
+    fixture.dispatcher.wait_for_ready(1, TEST_TIMEOUT).await.unwrap();
+    assert_eq!(fixture.servers_used(1).await, only_server(1));
 }
 
-/// How an agent that is out of reach does it.
+/// How an agent treats calls while it is reachable or out of reach.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Mood {
+enum AgentBehavior {
+    /// Calls are answered with the list, or with an empty delta when the hold time ends without a change.
     Answers,
-    /// Calls are taken and left hanging; also after the return these get no answer.
+    /// Calls are accepted and left without a response. They get none after a switch to another behavior either.
     Hangs,
+    /// Calls are accepted, and their connections reset.
     Resets,
+    /// The listening socket is closed, so that new connections are refused; open calls are reset.
     Refuses,
+    /// Calls are answered with 500.
     Fails,
 }
 
-/// An agent that can be out of reach, and keeps when it was asked.
-struct Registry {
+/// An agent whose behavior and list the test switches, and that records when it was called and with which
+/// target.
+struct SwitchableAgent {
     address: SocketAddr,
-    state: watch::Sender<(Mood, Value)>,
+    state: watch::Sender<(AgentBehavior, Value)>,
     calls: Arc<Mutex<Vec<(Instant, String)>>>,
 }
 
-impl Registry {
-    async fn start(mood: Mood, told: Value) -> Self {
+impl SwitchableAgent {
+    async fn start(behavior: AgentBehavior, served_list: Value) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let (state, mut seen) = watch::channel((mood, told));
+        let (state, mut states) = watch::channel((behavior, served_list));
         let calls = Arc::new(Mutex::new(Vec::new()));
         let log = calls.clone();
         tokio::spawn(async move {
             let mut listener = Some(listener);
             loop {
-                let refuses = seen.borrow_and_update().0 == Mood::Refuses;
+                let refuses = states.borrow_and_update().0 == AgentBehavior::Refuses;
                 if refuses {
                     drop(listener.take());
-                    let _ = seen.wait_for(|(mood, _)| *mood != Mood::Refuses).await;
+                    let _ = states.wait_for(|(behavior, _)| *behavior != AgentBehavior::Refuses).await;
                     continue;
                 }
                 if listener.is_none() {
@@ -272,9 +289,9 @@
                 tokio::select! {
                     taken = listener.as_ref().unwrap().accept() => {
                         let stream = taken.unwrap().0;
-                        tokio::spawn(Self::serve(stream, seen.clone(), log.clone()));
+                        tokio::spawn(Self::serve(stream, states.clone(), log.clone()));
                     }
-                    changed = seen.changed() => if changed.is_err() { return },
+                    changed = states.changed() => if changed.is_err() { return },
                 }
             }
         });
@@ -283,7 +300,7 @@
 
     async fn serve(
         mut stream: TcpStream,
-        mut seen: watch::Receiver<(Mood, Value)>,
+        mut states: watch::Receiver<(AgentBehavior, Value)>,
         log: Arc<Mutex<Vec<(Instant, String)>>>,
     ) {
         let mut read = Vec::new();
@@ -301,22 +318,26 @@
                 rest.split('&').next()?.parse::<u64>().ok()
             };
             let (from, hold) = (number("from="), Duration::from_millis(number("hold_ms=").unwrap_or(0)));
-            // Told at once where there is something newer, else once there is, or as the wait runs out.
-            let newer = |(mood, told): &(Mood, Value)| {
-                *mood != Mood::Answers || from.is_none_or(|from| told["revision"].as_u64() > Some(from))
+            // The response is sent at once if there is something newer, else once there is, or when the hold
+            // time ends.
+            let newer = |(behavior, served_list): &(AgentBehavior, Value)| {
+                *behavior != AgentBehavior::Answers
+                    || from.is_none_or(|from| served_list["revision"].as_u64() > Some(from))
             };
-            let _ = timeout(hold, seen.wait_for(newer)).await;
-            let (mood, told) = seen.borrow_and_update().clone();
-            let text = match mood {
-                Mood::Answers if newer(&(mood, told.clone())) => answer(&told),
-                Mood::Answers => answer(&list(from.unwrap_or(0), false, &[])),
-                Mood::Fails => plain(500, "", "down"),
-                Mood::Resets | Mood::Refuses => {
+            let _ = timeout(hold, states.wait_for(newer)).await;
+            let (behavior, served_list) = states.borrow_and_update().clone();
+            let text = match behavior {
+                AgentBehavior::Answers if newer(&(behavior, served_list.clone())) => {
+                    http_response(&served_list)
+                }
+                AgentBehavior::Answers => http_response(&list(from.unwrap_or(0), false, &[])),
+                AgentBehavior::Fails => plain(500, "", "down"),
+                AgentBehavior::Resets | AgentBehavior::Refuses => {
                     socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
                     return;
                 }
-                Mood::Hangs => {
-                    // Nothing is said on this one any more, whatever comes.
+                AgentBehavior::Hangs => {
+                    // This connection gets no response any more, even after a switch to another behavior.
                     let _ = stream.read_buf(&mut read).await;
                     return;
                 }
@@ -327,470 +348,515 @@
         }
     }
 
-    fn now(&self, mood: Mood, told: &Value) {
-        self.state.send_replace((mood, told.clone()));
+    /// Switches to this behavior and this list, for open calls too.
+    fn now(&self, behavior: AgentBehavior, served_list: &Value) {
+        self.state.send_replace((behavior, served_list.clone()));
     }
 
+    /// The number of calls so far.
     fn asked(&self) -> usize {
         self.calls.lock().unwrap().len()
     }
 
-    async fn until_asked(&self, count: usize, within: Duration) {
+    /// Waits until the agent was called this often in all; panics if it was not within this time.
+    async fn wait_until_asked(&self, count: usize, within: Duration) {
         let start = Instant::now();
         while self.asked() < count {
-            assert!(start.elapsed() < within, "asked {} times in {within:?}, not {count}", self.asked());
+            assert!(start.elapsed() < within, "{} calls within {within:?}, not {count}", self.asked());
             sleep(Duration::from_millis(5)).await;
         }
     }
 }
 
-/// A dispatcher with a list of two at an agent that can be out of reach.
-struct Outage {
+/// A dispatcher with two servers, both known from the configuration, and an agent that can be out of reach.
+struct AgentOutage {
     servers: [Server; 2],
-    registry: Registry,
-    site: Running,
+    discovery_agent: SwitchableAgent,
+    dispatcher: RunningDispatcher,
 }
 
-impl Outage {
-    async fn start(mood: Mood, change: impl FnOnce(&mut Value)) -> Self {
+impl AgentOutage {
+    async fn start(behavior: AgentBehavior, change: impl FnOnce(&mut Value)) -> Self {
         let servers = [Server::start(Behavior::Stream(1)).await, Server::start(Behavior::Stream(1)).await];
-        let told = Self::told(&servers, 1, "up");
-        let registry = Registry::start(mood, told.clone()).await;
-        let mut config = settings(registry.address, &told);
+        let served_list = Self::served_list(&servers, 1, "up");
+        let discovery_agent = SwitchableAgent::start(behavior, served_list.clone()).await;
+        let mut config = settings(discovery_agent.address, &served_list);
         change(&mut config);
-        let site = Running::start(&config);
-        Self { servers, registry, site }
+        let dispatcher = RunningDispatcher::start(&config);
+        Self { servers, discovery_agent, dispatcher }
     }
 
-    fn told(servers: &[Server; 2], revision: u64, phase: &str) -> Value {
-        list(revision, true, &[entry(servers[0].address, 1, phase), entry(servers[1].address, 2, "up")])
+    /// The whole list with the first server in this phase and the second one up.
+    fn served_list(servers: &[Server; 2], revision: u64, phase: &str) -> Value {
+        list(
+            revision,
+            true,
+            &[server_entry(servers[0].address, 1, phase), server_entry(servers[1].address, 2, "up")],
+        )
     }
 
-    fn now(&self, mood: Mood, revision: u64, phase: &str) {
-        self.registry.now(mood, &Self::told(&self.servers, revision, phase));
+    /// Switches the agent to this behavior, and to a list with the first server in this phase.
+    fn now(&self, behavior: AgentBehavior, revision: u64, phase: &str) {
+        self.discovery_agent.now(behavior, &Self::served_list(&self.servers, revision, phase));
     }
 }
 
-/// Discovery returns with a drain, after calls that were refused, reset or answered 500: what the agent gets at the
-/// return counts at once, so that it is asked again in short steps all the time.
+/// The agent becomes reachable again with a drain, after calls that were refused, reset or answered 500. The
+/// drain is acted on within 0.4 s, which requires short pauses between the calls throughout the outage.
 #[tokio::test]
-async fn at_its_return_from_failing_calls_the_agents_news_is_acted_on_at_once() {
-    for mood in [Mood::Refuses, Mood::Resets, Mood::Fails] {
-        let all = Outage::start(Mood::Answers, |_| ()).await;
-        all.registry.until_asked(2, SOON).await;
-        all.now(mood, 1, "up");
+async fn after_failing_calls_a_change_is_acted_on_as_soon_as_the_agent_answers() {
+    for behavior in [AgentBehavior::Refuses, AgentBehavior::Resets, AgentBehavior::Fails] {
+        let fixture = AgentOutage::start(AgentBehavior::Answers, |_| ()).await;
+        fixture.discovery_agent.wait_until_asked(2, TEST_TIMEOUT).await;
+        fixture.now(behavior, 1, "up");
         sleep(Duration::from_millis(700)).await;
-        assert_eq!(all.site.ready(), 2, "the old list stands");
-        all.now(Mood::Answers, 2, "draining");
-        let took = all.site.holds(1, TOLD).await.unwrap_or_else(|what| panic!("{mood:?}: {what}"));
-        println!("{mood:?}: acted on {took:?} after the return");
-        assert!(took < Duration::from_millis(400), "{mood:?}: {took:?}");
+        assert_eq!(fixture.dispatcher.ready(), 2, "the old list stays in use");
+        fixture.now(AgentBehavior::Answers, 2, "draining");
+        let took = fixture
+            .dispatcher
+            .wait_for_ready(1, DISCOVERY_LIMIT)
+            .await
+            .unwrap_or_else(|description| panic!("{behavior:?}: {description}"));
+        println!("{behavior:?}: acted on {took:?} after the agent answers again");
+        assert!(took < Duration::from_millis(400), "{behavior:?}: {took:?}");
     }
 }
 
-/// The same after calls that were left hanging, and hang on: only a new call is answered. The agent on this machine
-/// costs nobody anything, so that while it is silent it can be asked in short steps.
+/// The agent becomes reachable again with a drain after calls that it left hanging and never answers: only a
+/// new call gets a response. The agent runs on the same machine and frequent calls cost nobody anything, so
+/// that a silent agent can be asked in short intervals; the drain is acted on within 1.5 s.
 #[tokio::test]
-async fn at_its_return_from_silence_the_agents_news_is_acted_on_at_once() {
-    let all = Outage::start(Mood::Answers, |_| ()).await;
-    all.registry.until_asked(2, SOON).await;
-    all.now(Mood::Hangs, 1, "up");
-    // Its silence has been noticed: it has been asked anew, and that call hangs too.
-    all.registry.until_asked(3, TOLD).await;
-    all.now(Mood::Answers, 2, "draining");
-    let took = all.site.holds(1, Duration::from_millis(1_500)).await;
-    println!("left hanging: acted on {took:?} after the return");
+async fn after_hanging_calls_a_change_is_acted_on_as_soon_as_the_agent_answers() {
+    let fixture = AgentOutage::start(AgentBehavior::Answers, |_| ()).await;
+    fixture.discovery_agent.wait_until_asked(2, TEST_TIMEOUT).await;
+    fixture.now(AgentBehavior::Hangs, 1, "up");
+    // The dispatcher has noticed the silence: it has called again, and that call hangs too.
+    fixture.discovery_agent.wait_until_asked(3, DISCOVERY_LIMIT).await;
+    fixture.now(AgentBehavior::Answers, 2, "draining");
+    let took = fixture.dispatcher.wait_for_ready(1, Duration::from_millis(1_500)).await;
+    println!("hanging calls: acted on {took:?} after the agent answers again");
     took.unwrap();
 }
 
-/// The agent has been silent from the start; the dispatcher goes on by what it knows.
+/// The agent is silent from the start, and the dispatcher serves with the known list of its configuration. Once
+/// the agent answers, its list is in use within 1.5 s.
 #[tokio::test]
-async fn the_agents_return_after_a_start_in_silence_is_noticed_soon() {
-    let all = Outage::start(Mood::Hangs, |_| ()).await;
-    all.registry.until_asked(2, TOLD).await;
-    assert_eq!(status(&all.site.ask("01", "ask", "0.900").await), 200, "by the list that it knows");
-    all.now(Mood::Answers, 2, "draining");
-    let took = all.site.holds(1, Duration::from_millis(1_500)).await;
-    println!("silent from the start: acted on {took:?} after the return");
+async fn an_agent_that_was_silent_from_the_start_is_noticed_once_it_answers() {
+    let fixture = AgentOutage::start(AgentBehavior::Hangs, |_| ()).await;
+    fixture.discovery_agent.wait_until_asked(2, DISCOVERY_LIMIT).await;
+    assert_eq!(
+        status(&fixture.dispatcher.request("01", "ask", "0.900").await),
+        200,
+        "served with the known list"
+    );
+    fixture.now(AgentBehavior::Answers, 2, "draining");
+    let took = fixture.dispatcher.wait_for_ready(1, Duration::from_millis(1_500)).await;
+    println!("silent from the start: acted on {took:?} after the agent answers");
     took.unwrap();
 }
 
-/// At the return the very call that was left hanging is answered with the drain: it counts at once.
+/// The agent answers a call that hung for 1.5 s, with a drain: it is acted on within 0.25 s.
 #[tokio::test]
-async fn a_call_left_hanging_that_is_answered_at_the_return_counts_at_once() {
-    let (all, mut hung) = Watched::start().await;
+async fn a_late_response_to_a_hanging_call_is_acted_on_at_once() {
+    let (fixture, mut open_watch) = WatchedDispatcher::start().await;
     sleep(Duration::from_millis(1_500)).await;
-    hung.says(&answer(&all.list(2, true, "draining"))).await.unwrap();
-    let took = all.site.holds(1, SOON).await.unwrap();
+    open_watch.says(&http_response(&fixture.list(2, true, "draining"))).await.unwrap();
+    let took = fixture.dispatcher.wait_for_ready(1, TEST_TIMEOUT).await.unwrap();
     assert!(took < Duration::from_millis(250), "{took:?}");
-    assert_eq!(all.takers(1).await, only(1));
+    assert_eq!(fixture.servers_used(1).await, only_server(1));
 }
 
-/// Where the list must be asked for, calls are spaced out after a failure. Whatever else is allowed then, a change is
-/// acted on 6 s after discovery has it and can be reached, back-off and jitter included.
+/// With `"discovery": "subscribe"` and 100 balancers, calls are spaced out after a failure. A change is still
+/// acted on within 6 s of the moment when discovery has it and is reachable, back-off and jitter included.
 #[tokio::test]
-async fn where_the_list_is_asked_for_a_change_is_acted_on_within_six_seconds_of_failing_calls() {
-    let all = Outage::start(Mood::Resets, |config| {
+async fn in_subscribe_mode_a_change_is_acted_on_within_six_seconds_of_failing_calls() {
+    let fixture = AgentOutage::start(AgentBehavior::Resets, |config| {
         config["settings"]["discovery"] = json!("subscribe");
         config["settings"]["balancers"] = json!(100);
     })
     .await;
-    all.registry.until_asked(1, SOON).await;
+    fixture.discovery_agent.wait_until_asked(1, TEST_TIMEOUT).await;
     let start = Instant::now();
-    all.now(Mood::Answers, 2, "draining");
-    all.site.holds(1, TOLD).await.unwrap();
-    println!("asked for: acted on {:?} after the return", start.elapsed());
+    fixture.now(AgentBehavior::Answers, 2, "draining");
+    fixture.dispatcher.wait_for_ready(1, DISCOVERY_LIMIT).await.unwrap();
+    println!("subscribe mode: acted on {:?} after the agent answers again", start.elapsed());
 }
 
-/// The same after a call that need not wait, for the whole list, and was left hanging.
+/// The same limit in subscribe mode after a call for the whole list that was left hanging: this call has no
+/// hold time, as no list is known.
 #[tokio::test]
-async fn where_the_list_is_asked_for_a_change_is_acted_on_within_six_seconds_of_a_hung_call() {
-    let all = Outage::start(Mood::Hangs, |config| {
+async fn in_subscribe_mode_a_change_is_acted_on_within_six_seconds_of_a_hanging_call() {
+    let fixture = AgentOutage::start(AgentBehavior::Hangs, |config| {
         config["settings"]["discovery"] = json!("subscribe");
         config["settings"]["balancers"] = json!(100);
         config.as_object_mut().unwrap().remove("known");
     })
     .await;
-    all.registry.until_asked(1, SOON).await;
-    all.now(Mood::Answers, 2, "draining");
-    all.site.holds(1, TOLD).await.unwrap();
+    fixture.discovery_agent.wait_until_asked(1, TEST_TIMEOUT).await;
+    fixture.now(AgentBehavior::Answers, 2, "draining");
+    fixture.dispatcher.wait_for_ready(1, DISCOVERY_LIMIT).await.unwrap();
 }
 
-/// A new address comes by SIGHUP while a call is open at the old one: that call is dropped, the whole list is asked for
-/// at the new one at once, and what the old agent says later counts nothing.
+/// SIGHUP sets a new agent address while a call is open at the old agent: that call is dropped, the whole list
+/// is requested from the new agent at once, and later responses of the old one are ignored.
 #[tokio::test]
-async fn a_new_address_while_a_call_is_open_drops_it_and_asks_at_the_new_one() {
-    let (mut all, mut old) = Watched::start().await;
+async fn a_new_agent_address_drops_the_open_call_and_requests_the_list_there() {
+    let (mut fixture, mut old) = WatchedDispatcher::start().await;
     let new = Peer::start().await;
-    let mut config = all.config.clone();
+    let mut config = fixture.config.clone();
     config["discovery"] = json!(new.address);
-    all.site.hangup("list-new-address", &config.to_string());
-    let (mut line, asked) = timeout(AFTER_HANGUP, new.asked()).await.expect("asked at the new address");
-    assert_eq!(listed::from(&asked), None, "versions are the old agent's own: {}", asked.head);
-    let _ = timeout(SOON, old.rest()).await.expect("the open call is dropped");
-    let _ = old.says(&answer(&all.list(9, false, "removed"))).await; // it is closed
-    line.says(&answer(&all.list(1, true, "draining"))).await.unwrap();
-    all.site.holds(1, SOON).await.unwrap();
-    let (_line, from) = listed::next_call(&new, line).await;
+    fixture.dispatcher.sighup("list-new-address", &config.to_string());
+    let (mut line, asked) = timeout(RELOAD_LIMIT, new.asked()).await.expect("no call at the new address");
+    assert_eq!(
+        scripted_agent::from(&asked),
+        None,
+        "revisions of the old agent do not apply to the new one: {}",
+        asked.head
+    );
+    let _ = timeout(TEST_TIMEOUT, old.rest()).await.expect("the open call was not dropped");
+    let _ = old.says(&http_response(&fixture.list(9, false, "removed"))).await; // fails, as the connection is closed
+    line.says(&http_response(&fixture.list(1, true, "draining"))).await.unwrap();
+    fixture.dispatcher.wait_for_ready(1, TEST_TIMEOUT).await.unwrap();
+    let (_line, from) = scripted_agent::next_call(&new, line).await;
     assert_eq!(from, Some(1));
-    assert_eq!(all.takers(1).await, only(1));
+    assert_eq!(fixture.servers_used(1).await, only_server(1));
 }
 
-/// The old agent's answer and SIGHUP cross: whichever is dealt with first, the new agent's list holds in the end.
+/// A response of the old agent and SIGHUP with a new agent address coincide: whichever is handled first, the
+/// new agent's list is in use in the end.
 #[tokio::test]
-async fn an_answer_that_crosses_a_new_address_does_not_outlive_the_new_agents_list() {
+async fn a_response_of_the_old_agent_does_not_outlast_the_new_agents_list() {
     for first in [true, false] {
-        let (mut all, mut old) = Watched::start().await;
+        let (mut fixture, mut old) = WatchedDispatcher::start().await;
         let new = Peer::start().await;
-        let mut config = all.config.clone();
+        let mut config = fixture.config.clone();
         config["discovery"] = json!(new.address);
-        let told = answer(&all.list(50, true, "up"));
+        let served_list = http_response(&fixture.list(50, true, "up"));
         if first {
-            old.says(&told).await.unwrap();
+            old.says(&served_list).await.unwrap();
         }
-        all.site.hangup(&format!("list-crosses-{first}"), &config.to_string());
+        fixture.dispatcher.sighup(&format!("list-crosses-{first}"), &config.to_string());
         if !first {
-            let _ = old.says(&told).await; // it may be closed by now
+            let _ = old.says(&served_list).await; // may fail, as the connection may be closed by now
         }
-        let (mut line, asked) = timeout(AFTER_HANGUP, new.asked()).await.expect("asked at the new address");
-        assert_eq!(listed::from(&asked), None, "{}", asked.head);
-        line.says(&answer(&all.list(3, true, "draining"))).await.unwrap();
-        let (_line, from) = listed::next_call(&new, line).await;
-        assert_eq!(from, Some(3), "the new agent's versions count from here");
-        all.site.holds(1, SOON).await.unwrap();
-        assert_eq!(all.takers(1).await, only(1));
+        let (mut line, asked) = timeout(RELOAD_LIMIT, new.asked()).await.expect("no call at the new address");
+        assert_eq!(scripted_agent::from(&asked), None, "{}", asked.head);
+        line.says(&http_response(&fixture.list(3, true, "draining"))).await.unwrap();
+        let (_line, from) = scripted_agent::next_call(&new, line).await;
+        assert_eq!(from, Some(3), "the watch goes on from the revision of the new agent");
+        fixture.dispatcher.wait_for_ready(1, TEST_TIMEOUT).await.unwrap();
+        assert_eq!(fixture.servers_used(1).await, only_server(1));
     }
 }
 
-/// SIGHUP names another agent while calls at the old one fail, and the new one leaves its first call hanging: its news
-/// counts 4 s after SIGHUP.
+/// SIGHUP sets another agent address while calls to the old agent fail, and the new agent leaves its first call
+/// hanging: its list is in use within 4 s of SIGHUP.
 #[tokio::test]
-async fn a_new_address_while_calls_fail_is_turned_to_at_once_and_a_hung_first_call_is_given_up() {
-    let (mut all, line) = Watched::start().await;
+async fn a_new_agent_address_is_used_while_calls_fail_and_a_hanging_first_call_is_repeated() {
+    let (mut fixture, line) = WatchedDispatcher::start().await;
     line.resets();
-    let (failing, _) = all.anew(SOON).await;
+    let (failing, _) = fixture.next_connection(TEST_TIMEOUT).await;
     let new = Peer::start().await;
-    let mut config = all.config.clone();
+    let mut config = fixture.config.clone();
     config["discovery"] = json!(new.address);
     failing.resets();
     let start = Instant::now();
-    all.site.hangup("list-failing", &config.to_string());
-    let (_hung, _) = timeout(AFTER_HANGUP, new.asked()).await.expect("asked at the new address");
-    let (mut line, _) = timeout(AFTER_HANGUP, new.asked()).await.expect("asked anew");
-    line.says(&answer(&all.list(2, true, "draining"))).await.unwrap();
-    all.site.holds(1, SOON).await.unwrap();
-    assert!(start.elapsed() < AFTER_HANGUP, "{:?}", start.elapsed());
+    fixture.dispatcher.sighup("list-failing", &config.to_string());
+    let (_hung, _) = timeout(RELOAD_LIMIT, new.asked()).await.expect("no call at the new address");
+    let (mut line, _) = timeout(RELOAD_LIMIT, new.asked()).await.expect("no second call at the new address");
+    line.says(&http_response(&fixture.list(2, true, "draining"))).await.unwrap();
+    fixture.dispatcher.wait_for_ready(1, TEST_TIMEOUT).await.unwrap();
+    assert!(start.elapsed() < RELOAD_LIMIT, "{:?}", start.elapsed());
 }
 
-/// SIGHUP names the same address once more: the list is asked for anew, or the call goes on; a drain on whichever call
-/// is open then is acted on.
+/// SIGHUP sets the same agent address again: the dispatcher may call again or keep the open call, and a drain
+/// that is sent on whichever call is open then is acted on.
 #[tokio::test]
-async fn the_same_address_once_more_loses_no_change() {
-    let (mut all, line) = Watched::start().await;
-    let config = all.config.to_string();
-    all.site.hangup("list-same", &config);
-    let mut open = match timeout(Duration::from_secs(1), all.agent.asked()).await {
-        Ok((anew, _)) => anew,
+async fn a_reload_with_the_same_agent_address_loses_no_change() {
+    let (mut fixture, line) = WatchedDispatcher::start().await;
+    let config = fixture.config.to_string();
+    fixture.dispatcher.sighup("list-same", &config);
+    let mut open = match timeout(Duration::from_secs(1), fixture.agent.asked()).await {
+        Ok((next_connection, _)) => next_connection,
         Err(_) => line,
     };
-    open.says(&answer(&all.list(2, true, "draining"))).await.unwrap();
-    all.site.holds(1, AFTER_HANGUP).await.unwrap();
-    assert_eq!(all.takers(1).await, only(1));
-    assert_eq!(all.watch(open).await.1, Some(2));
+    open.says(&http_response(&fixture.list(2, true, "draining"))).await.unwrap();
+    fixture.dispatcher.wait_for_ready(1, RELOAD_LIMIT).await.unwrap();
+    assert_eq!(fixture.servers_used(1).await, only_server(1));
+    assert_eq!(fixture.watch(open).await.1, Some(2));
 }
 
-/// Two SIGHUPs in a row, the second before anything came of the first: the last file's address holds, and nothing is
-/// left open at the one between.
+/// Two SIGHUPs in a row, the second before the first had any effect: the address of the last file is used, and
+/// the agent of the first one is not watched any more.
 #[tokio::test]
-async fn of_two_new_addresses_in_a_row_the_last_one_is_watched() {
-    let (mut all, mut old) = Watched::start().await;
-    let (between, last) =
-        (Registry::start(Mood::Answers, all.list(7, true, "up")).await, Peer::start().await);
+async fn after_two_reloads_in_a_row_the_last_agent_address_is_watched() {
+    let (mut fixture, mut old) = WatchedDispatcher::start().await;
+    let (between, last) = (
+        SwitchableAgent::start(AgentBehavior::Answers, fixture.list(7, true, "up")).await,
+        Peer::start().await,
+    );
     for (turn, at) in [between.address, last.address].into_iter().enumerate() {
-        let mut config = all.config.clone();
+        let mut config = fixture.config.clone();
         config["discovery"] = json!(at);
-        all.site.hangup(&format!("list-two-{turn}"), &config.to_string());
+        fixture.dispatcher.sighup(&format!("list-two-{turn}"), &config.to_string());
     }
-    let (mut line, asked) = timeout(AFTER_HANGUP, last.asked()).await.expect("asked at the last address");
-    assert_eq!(listed::from(&asked), None, "{}", asked.head);
-    let _ = timeout(SOON, old.rest()).await.expect("the open call is dropped");
-    line.says(&answer(&all.list(1, true, "draining"))).await.unwrap();
-    let (_line, from) = listed::next_call(&last, line).await;
+    let (mut line, asked) = timeout(RELOAD_LIMIT, last.asked()).await.expect("no call at the last address");
+    assert_eq!(scripted_agent::from(&asked), None, "{}", asked.head);
+    let _ = timeout(TEST_TIMEOUT, old.rest()).await.expect("the open call was not dropped");
+    line.says(&http_response(&fixture.list(1, true, "draining"))).await.unwrap();
+    let (_line, from) = scripted_agent::next_call(&last, line).await;
     assert_eq!(from, Some(1));
-    between.now(Mood::Answers, &all.list(8, true, "up"));
-    assert_eq!(all.takers(1).await, only(1));
-    assert_eq!(all.site.health.figures().record().reloads, 2);
+    between.now(AgentBehavior::Answers, &fixture.list(8, true, "up"));
+    assert_eq!(fixture.servers_used(1).await, only_server(1));
+    assert_eq!(fixture.dispatcher.health.figures().record().reloads, 2);
 }
 
-/// SIGHUP with a broken file while a call is open: the call goes on where it was, and its answer is taken.
+/// SIGHUP with an invalid file while a call is open: the call stays open, and its response is applied.
 #[tokio::test]
-async fn a_broken_file_leaves_the_open_call_as_it_is() {
-    let (mut all, mut line) = Watched::start().await;
-    let mut moved = all.config.clone();
+async fn an_invalid_configuration_leaves_the_open_call_in_place() {
+    let (mut fixture, mut line) = WatchedDispatcher::start().await;
+    let mut moved = fixture.config.clone();
     moved["discovery"] = json!("127.0.0.1:9");
     moved["settings"]["limits"]["max_attempts"] = json!(0);
-    let whole = all.config.to_string();
+    let whole = fixture.config.to_string();
     for text in ["", &whole[..whole.len() / 2], &moved.to_string()] {
-        all.site.hangup("list-broken", text);
+        fixture.dispatcher.sighup("list-broken", text);
     }
-    assert_eq!(all.site.health.figures().record().reload_errors, 3);
-    line.says(&answer(&all.list(2, false, "draining"))).await.unwrap();
-    all.site.holds(1, SOON).await.unwrap();
-    let (_line, from) = all.watch(line).await;
+    assert_eq!(fixture.dispatcher.health.figures().record().reload_errors, 3);
+    line.says(&http_response(&fixture.list(2, false, "draining"))).await.unwrap();
+    fixture.dispatcher.wait_for_ready(1, TEST_TIMEOUT).await.unwrap();
+    let (_line, from) = fixture.watch(line).await;
     assert_eq!(from, Some(2), "on the same connection");
-    assert_eq!(all.takers(1).await, only(1));
+    assert_eq!(fixture.servers_used(1).await, only_server(1));
 }
 
-/// A server is chosen, and its connection does not come up yet; then the list says that it drains, or that it has gone;
-/// then the connection comes up. The drain stops that send: not one byte of the request is written there, and as the
-/// attempt never ran, another server takes it.
-async fn late_connection(phase: &str) {
+/// A server is chosen, and the connection to it is not established yet; then the list reports it as draining or
+/// removed; then the connection is established. The change stops the send: not one byte of the request is
+/// written there, and since the attempt never ran, another server gets it.
+async fn run_late_connection_case(phase: &str) {
     let late = LatePeer::start().await;
     let agent = Peer::start().await;
-    let up = entry(late.address, 1, "up");
+    let up = server_entry(late.address, 1, "up");
     let mut config = settings(agent.address, &list(1, true, std::slice::from_ref(&up)));
     config["settings"]["limits"]["connect_timeout_s"] = json!(3.0);
-    (0..2).for_each(|lane| config["settings"]["lanes"][lane]["aim_s"] = json!(4.0));
-    let site = Running::start(&config);
-    let mut line = listed::told(&agent, &list(1, true, &[up])).await;
+    (0..2).for_each(|class| config["settings"]["lanes"][class]["aim_s"] = json!(4.0));
+    let dispatcher = RunningDispatcher::start(&config);
+    let mut line = scripted_agent::served_list(&agent, &list(1, true, &[up])).await;
     let other = Server::start(Behavior::Stream(1)).await;
-    let asks = dewladder_test_peers::platform("0a", "book", "4.000");
-    let to = site.platform;
-    let asking = tokio::spawn(async move { dewladder_test_peers::until_close(to, &asks).await });
-    while site.health.figures().open() == 0 {
+    let request_text = dewladder_test_peers::platform("0a", "book", "4.000");
+    let to = dispatcher.platform;
+    let request_task =
+        tokio::spawn(async move { dewladder_test_peers::until_close(to, &request_text).await });
+    while dispatcher.health.figures().open() == 0 {
         sleep(Duration::from_millis(2)).await;
     }
-    let news = [entry(late.address, 1, phase), entry(other.address, 2, "up")];
-    line.says(&answer(&list(2, false, &news))).await.unwrap();
-    let _line = listed::next_call(&agent, line).await;
+    let update = [server_entry(late.address, 1, phase), server_entry(other.address, 2, "up")];
+    line.says(&http_response(&list(2, false, &update))).await.unwrap();
+    let _line = scripted_agent::next_call(&agent, line).await;
     let peer = late.opens().await;
-    // A connection may come up yet; what counts is that nothing is written on it.
+    // The connection may still be established; the check is that nothing is written on it.
     let written = timeout(Duration::from_secs(3), async {
         let mut late = peer.accept().await;
         late.message().await
     });
     if let Ok(Some(message)) = written.await {
-        panic!("sent to a server that is {phase}: {}", message.head);
+        panic!("request sent to a server in phase {phase}: {}", message.head);
     }
-    let said = timeout(SOON, asking).await.expect("an answer").unwrap();
-    assert_eq!((status(&said), other.posts()), (200, 1), "{said}");
+    let reply =
+        timeout(TEST_TIMEOUT, request_task).await.expect("no response within the time limit").unwrap();
+    assert_eq!((status(&reply), other.posts()), (200, 1), "{reply}");
 }
 
 #[tokio::test]
-async fn a_drain_before_the_first_byte_stops_the_send() {
-    late_connection("draining").await;
+async fn a_drain_before_the_connection_is_established_stops_the_send() {
+    run_late_connection_case("draining").await;
 }
 
 #[tokio::test]
-async fn a_removal_before_the_first_byte_stops_the_send() {
-    late_connection("removed").await;
+async fn a_removal_before_the_connection_is_established_stops_the_send() {
+    run_late_connection_case("removed").await;
 }
 
-/// A server comes back under its id, at a new address or with a new start alone, while an attempt is out at the old
-/// one; then the old one breaks. What may repeat goes on at the new address, what must not is not sent again.
+/// A server returns under its id, with a new address and a new start time, while an attempt is in flight at the
+/// old address; then the old connection breaks. A request that may repeat is sent again to the new address; one
+/// that must not run twice is not.
 #[tokio::test]
-async fn a_server_that_comes_back_under_its_id_takes_on_only_what_may_repeat() {
-    for lane in ["ask", "book"] {
+async fn a_server_that_returns_under_its_id_receives_only_repeatable_requests_again() {
+    for class in ["ask", "book"] {
         let (old, agent) = (Peer::start().await, Peer::start().await);
-        let up = entry(old.address, 1, "up");
+        let up = server_entry(old.address, 1, "up");
         let mut config = settings(agent.address, &list(1, true, std::slice::from_ref(&up)));
-        (0..2).for_each(|lane| config["settings"]["lanes"][lane]["aim_s"] = json!(4.0));
-        let site = Running::start(&config);
-        let mut line = listed::told(&agent, &list(1, true, &[up])).await;
-        let asks = dewladder_test_peers::platform("0b", lane, "4.000");
-        let to = site.platform;
-        let asking = tokio::spawn(async move { dewladder_test_peers::until_close(to, &asks).await });
+        (0..2).for_each(|class| config["settings"]["lanes"][class]["aim_s"] = json!(4.0));
+        let dispatcher = RunningDispatcher::start(&config);
+        let mut line = scripted_agent::served_list(&agent, &list(1, true, &[up])).await;
+        let request_text = dewladder_test_peers::platform("0b", class, "4.000");
+        let to = dispatcher.platform;
+        let request_task =
+            tokio::spawn(async move { dewladder_test_peers::until_close(to, &request_text).await });
         let (sent, _) = old.asked().await;
         let new = Server::start(Behavior::Stream(1)).await;
-        let mut back = entry(new.address, 1, "up");
+        let mut back = server_entry(new.address, 1, "up");
         back["up_since_ms"] = json!(1_700_000_000_000u64);
-        line.says(&answer(&list(2, false, &[back]))).await.unwrap();
-        let _line = listed::next_call(&agent, line).await;
-        assert_eq!(new.posts(), 0, "the attempt is still out");
+        line.says(&http_response(&list(2, false, &[back]))).await.unwrap();
+        let _line = scripted_agent::next_call(&agent, line).await;
+        assert_eq!(new.posts(), 0, "the attempt is still in flight");
         sent.resets();
-        let said = timeout(SOON, asking).await.expect("an answer").unwrap();
-        let expected = if lane == "ask" { (200, 1) } else { (502, 0) };
-        assert_eq!((status(&said), new.posts()), expected, "{lane}: {said}");
-        assert_eq!(status(&site.ask("0c", lane, "0.900").await), 200, "the next goes to the new address");
+        let reply =
+            timeout(TEST_TIMEOUT, request_task).await.expect("no response within the time limit").unwrap();
+        let expected = if class == "ask" { (200, 1) } else { (502, 0) };
+        assert_eq!((status(&reply), new.posts()), expected, "{class}: {reply}");
+        assert_eq!(
+            status(&dispatcher.request("0c", class, "0.900").await),
+            200,
+            "the next request goes to the new address"
+        );
     }
 }
 
-/// Discovery is down at the start. Where the list that is known names servers that can serve, it is ready at once; where
-/// none is known, not before a list has come. It is never ready where what it then gets could not be served.
+/// Discovery is down at the start. If the known list names servers that can serve, the dispatcher is ready
+/// within 6 s without it; if not, it is not ready. Readiness is never reported while a request could not be
+/// served.
 #[tokio::test]
-async fn readiness_is_told_only_where_a_request_is_served() {
+async fn readiness_is_reported_only_if_a_request_is_served() {
     let whole = Server::start(Behavior::Stream(1)).await;
     let (reader, writer) = (Server::start(Behavior::Read).await, Server::start(Behavior::Stream(1)).await);
     let [both, prefill, decode] = [
-        entry(whole.address, 1, "up"),
+        server_entry(whole.address, 1, "up"),
         dewladder_test_peers::member(reader.address, 2, "prefill", "up"),
         dewladder_test_peers::member(writer.address, 3, "decode", "up"),
     ];
-    let drains = entry(whole.address, 1, "draining");
-    let mut wrong = Vec::new();
-    for (what, known, can) in [
-        ("one that does both", vec![both.clone()], true),
+    let drains = server_entry(whole.address, 1, "draining");
+    let mut failures = Vec::new();
+    for (description, known, can_serve) in [
+        ("a server that reads and writes", vec![both.clone()], true),
         ("a reader and a writer", vec![prefill.clone(), decode.clone()], true),
-        ("nobody", vec![], false),
-        ("one that drains", vec![drains], false),
+        ("no server", vec![], false),
+        ("a draining server", vec![drains], false),
         ("a reader alone", vec![prefill], false),
         ("a writer alone", vec![decode], false),
     ] {
-        let registry = Registry::start(Mood::Hangs, list(0, true, &[])).await;
-        let site = Running::start(&settings(registry.address, &list(1, true, &known)));
-        registry.until_asked(1, SOON).await;
-        // Ready within 6 s also where discovery is down.
+        let discovery_agent = SwitchableAgent::start(AgentBehavior::Hangs, list(0, true, &[])).await;
+        let dispatcher = RunningDispatcher::start(&settings(discovery_agent.address, &list(1, true, &known)));
+        discovery_agent.wait_until_asked(1, TEST_TIMEOUT).await;
+        // The limit of 6 s applies with discovery down as well.
         let start = Instant::now();
-        let mut ready = site.readiness().await;
-        while can && ready != 200 && start.elapsed() < TOLD {
+        let mut ready = dispatcher.readiness().await;
+        while can_serve && ready != 200 && start.elapsed() < DISCOVERY_LIMIT {
             sleep(Duration::from_millis(10)).await;
-            ready = site.readiness().await;
+            ready = dispatcher.readiness().await;
         }
-        let served = status(&site.ask("0d", "ask", "0.900").await);
-        if (ready == 200, served == 200) != (can, can) {
-            wrong.push(format!("{what}: ready {ready}, a request gets {served}"));
+        let served = status(&dispatcher.request("0d", "ask", "0.900").await);
+        if (ready == 200, served == 200) != (can_serve, can_serve) {
+            failures.push(format!("{description}: readiness status {ready}, a request gets {served}"));
         }
     }
-    assert!(wrong.is_empty(), "{wrong:#?}");
+    assert!(failures.is_empty(), "{failures:#?}");
 }
 
-/// Nothing is known at the start and discovery is down; at its return the list comes, and only then it is ready.
+/// No list is known at the start and discovery is down: the dispatcher becomes ready only once discovery is
+/// back and has sent a list.
 #[tokio::test]
-async fn without_a_known_list_it_is_ready_once_discovery_has_told_one() {
-    let all = Outage::start(Mood::Refuses, |config| {
+async fn without_a_known_list_the_dispatcher_is_ready_once_discovery_has_sent_one() {
+    let fixture = AgentOutage::start(AgentBehavior::Refuses, |config| {
         config.as_object_mut().unwrap().remove("known");
     })
     .await;
     sleep(Duration::from_millis(300)).await;
-    assert_eq!(all.site.readiness().await, 503);
-    all.now(Mood::Answers, 1, "up");
-    all.site.holds(2, TOLD).await.unwrap();
-    assert_eq!(all.site.readiness().await, 200);
-    all.now(Mood::Answers, 2, "removed");
-    all.site.holds(1, TOLD).await.unwrap();
-    assert_eq!(status(&all.site.ask("0e", "ask", "0.900").await), 200);
-}
-
-/// A reader's state waits for a writer as SIGHUP shortens the time for which it may be held: the new time counts, for the
-/// state that is held too, and the refusal names a time within the new limit.
+    assert_eq!(fixture.dispatcher.readiness().await, 503);
+    fixture.now(AgentBehavior::Answers, 1, "up");
+    fixture.dispatcher.wait_for_ready(2, DISCOVERY_LIMIT).await.unwrap();
+    assert_eq!(fixture.dispatcher.readiness().await, 200);
+    fixture.now(AgentBehavior::Answers, 2, "removed");
+    fixture.dispatcher.wait_for_ready(1, DISCOVERY_LIMIT).await.unwrap();
+    assert_eq!(status(&fixture.dispatcher.request("0e", "ask", "0.900").await), 200);
+}
+
+/// A state is held at a reader and waits for a writer when SIGHUP shortens the time for which it may be held.
+/// The new limit applies to that state too: it is released, and the client is refused with a `Retry-After`
+/// within the new limit.
 #[tokio::test]
-async fn what_is_held_goes_by_the_time_that_the_new_file_allows() {
+async fn a_shorter_hold_time_applies_to_a_state_that_is_already_held() {
     let reader = Server::start(Behavior::Read).await;
     let agent = Peer::start().await;
     let known = [dewladder_test_peers::member(reader.address, 1, "prefill", "up")];
     let mut config = settings(agent.address, &list(1, true, &known));
     config["settings"]["domain"]["release_within_s"] = json!(8.0);
-    (0..2).for_each(|lane| config["settings"]["lanes"][lane]["aim_s"] = json!(4.0));
-    let mut site = Running::start(&config);
-    let asks = dewladder_test_peers::platform("0f", "ask", "7.000");
-    let to = site.platform;
-    let asking = tokio::spawn(async move { dewladder_test_peers::until_close(to, &asks).await });
+    (0..2).for_each(|class| config["settings"]["lanes"][class]["aim_s"] = json!(4.0));
+    let mut dispatcher = RunningDispatcher::start(&config);
+    let request_text = dewladder_test_peers::platform("0f", "ask", "7.000");
+    let to = dispatcher.platform;
+    let request_task =
+        tokio::spawn(async move { dewladder_test_peers::until_close(to, &request_text).await });
     let start = Instant::now();
     while reader.posts() == 0 {
-        assert!(start.elapsed() < SOON, "it is read");
+        assert!(start.elapsed() < TEST_TIMEOUT, "the prompt was not read");
         sleep(Duration::from_millis(5)).await;
     }
     sleep(Duration::from_millis(200)).await;
-    assert!(!asking.is_finished(), "its state is held");
+    assert!(!request_task.is_finished(), "the request ended although its state is held");
     config["settings"]["domain"]["release_within_s"] = json!(0.5);
     config["settings"]["limits"]["max_retry_after_s"] = json!(0.25);
     let start = Instant::now();
-    site.hangup("list-held", &config.to_string());
-    let said = timeout(SOON, asking).await.expect("the new time holds").unwrap();
+    dispatcher.sighup("list-held", &config.to_string());
+    let reply =
+        timeout(TEST_TIMEOUT, request_task).await.expect("no response within the new hold time").unwrap();
     assert!(start.elapsed() < Duration::from_millis(850), "{:?}", start.elapsed());
-    let retry: f64 = field(&said, "retry-after").expect("a time").parse().unwrap();
-    assert!(status(&said) == 503 && retry <= 0.25, "{said}");
+    let retry: f64 = field(&reply, "retry-after").expect("no Retry-After").parse().unwrap();
+    assert!(status(&reply) == 503 && retry <= 0.25, "{reply}");
     while !reader.log().iter().any(|line| line.starts_with("DELETE")) {
-        assert!(start.elapsed() < Duration::from_millis(850), "released: {:?}", reader.log());
+        assert!(start.elapsed() < Duration::from_millis(850), "not released: {:?}", reader.log());
         sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// The same the other way: a longer time is allowed while a state is held, and a writer comes within it.
+/// SIGHUP allows a longer time while a state is held, and a writer appears after the old limit and within the
+/// new one: the request is served.
 #[tokio::test]
-async fn what_is_held_may_wait_as_long_as_the_new_file_allows() {
+async fn a_longer_hold_time_applies_to_a_state_that_is_already_held() {
     let (reader, writer) = (Server::start(Behavior::Read).await, Server::start(Behavior::Stream(1)).await);
     let agent = Peer::start().await;
     let known = [dewladder_test_peers::member(reader.address, 1, "prefill", "up")];
     let mut config = settings(agent.address, &list(1, true, &known));
     config["settings"]["domain"]["release_within_s"] = json!(1.0);
-    (0..2).for_each(|lane| config["settings"]["lanes"][lane]["aim_s"] = json!(4.0));
-    let mut site = Running::start(&config);
-    let open = listed::told(&agent, &list(1, true, &known)).await;
-    let asks = dewladder_test_peers::platform("10", "ask", "7.000");
-    let to = site.platform;
-    let asking = tokio::spawn(async move { dewladder_test_peers::until_close(to, &asks).await });
+    (0..2).for_each(|class| config["settings"]["lanes"][class]["aim_s"] = json!(4.0));
+    let mut dispatcher = RunningDispatcher::start(&config);
+    let open = scripted_agent::served_list(&agent, &list(1, true, &known)).await;
+    let request_text = dewladder_test_peers::platform("10", "ask", "7.000");
+    let to = dispatcher.platform;
+    let request_task =
+        tokio::spawn(async move { dewladder_test_peers::until_close(to, &request_text).await });
     let start = Instant::now();
     while reader.posts() == 0 {
-        assert!(start.elapsed() < SOON, "it is read");
+        assert!(start.elapsed() < TEST_TIMEOUT, "the prompt was not read");
         sleep(Duration::from_millis(5)).await;
     }
     config["settings"]["domain"]["release_within_s"] = json!(6.0);
-    site.hangup("list-held-longer", &config.to_string());
-    // SIGHUP has the list asked for anew.
-    let (mut line, from) = listed::next_call(&agent, open).await;
+    dispatcher.sighup("list-held-longer", &config.to_string());
+    // After SIGHUP the dispatcher requests the whole list again.
+    let (mut line, from) = scripted_agent::next_call(&agent, open).await;
     assert_eq!(from, None);
-    line.says(&answer(&list(1, true, &known))).await.unwrap();
-    let (mut line, _) = listed::next_call(&agent, line).await;
+    line.says(&http_response(&list(1, true, &known))).await.unwrap();
+    let (mut line, _) = scripted_agent::next_call(&agent, line).await;
     sleep(Duration::from_millis(1_500)).await;
-    assert!(!asking.is_finished(), "its state is held still");
-    let mut told = known.to_vec();
-    told.push(dewladder_test_peers::member(writer.address, 2, "decode", "up"));
-    line.says(&answer(&list(2, true, &told))).await.unwrap();
-    let said = timeout(SOON, asking).await.expect("an answer").unwrap();
-    assert_eq!((status(&said), reader.posts(), writer.posts()), (200, 1, 1), "{said}");
+    assert!(!request_task.is_finished(), "the request ended although its state may still be held");
+    let mut served_list = known.to_vec();
+    served_list.push(dewladder_test_peers::member(writer.address, 2, "decode", "up"));
+    line.says(&http_response(&list(2, true, &served_list))).await.unwrap();
+    let reply =
+        timeout(TEST_TIMEOUT, request_task).await.expect("no response within the time limit").unwrap();
+    assert_eq!((status(&reply), reader.posts(), writer.posts()), (200, 1, 1), "{reply}");
 }
 
-/// The program itself, with the system's own limit on descriptors.
-struct Process {
+/// The program as a child process, with a limit on its open descriptors (`ulimit -n`).
+struct ServerProcess {
     child: Child,
     port: SocketAddr,
     admin: SocketAddr,
     folder: PathBuf,
 }
 
-impl Process {
-    /// Started on this configuration, with at most so many descriptors.
+impl ServerProcess {
+    /// Starts the program with this configuration and at most this many descriptors, and waits until it serves.
     async fn start(name: &str, mut config: Value, descriptors: usize) -> Self {
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
         std::fs::create_dir_all(&folder).unwrap();
@@ -804,7 +870,7 @@
         let mut lines = BufReader::new(child.stderr.take().unwrap()).lines();
         let mut admin = None;
         loop {
-            let line = lines.next_line().await.unwrap().expect("it starts");
+            let line = lines.next_line().await.unwrap().expect("the program ended during its start");
             if let Some((_, address)) = line.split_once("second address: ") {
                 admin = address.parse().ok();
             }
@@ -813,110 +879,122 @@
             }
         }
         tokio::spawn(async move { while let Ok(Some(_)) = lines.next_line().await {} });
-        Self { child, port, admin: admin.expect("a second address"), folder }
+        Self { child, port, admin: admin.expect("no admin address was logged"), folder }
     }
 
-    fn hangup(&self) {
+    fn sighup(&self) {
         let id = self.child.id().unwrap().to_string();
         assert!(std::process::Command::new("kill").args(["-HUP", &id]).status().unwrap().success());
     }
 
-    /// A figure that the second address shows.
-    async fn figure(&self, name: &str) -> Option<u64> {
-        let text = timeout(SOON, dewladder_test_peers::until_close(self.admin, "STATS\n")).await.ok()?;
+    /// A counter from the `STATS` of the admin address; `None` if there is no answer in time or no such
+    /// counter.
+    async fn metric(&self, name: &str) -> Option<u64> {
+        let text =
+            timeout(TEST_TIMEOUT, dewladder_test_peers::until_close(self.admin, "STATS\n")).await.ok()?;
         let line = text.lines().find_map(|line| line.strip_prefix(&format!("edge_router.{name}:")))?;
         line.split('|').next()?.parse().ok()
     }
 }
 
-/// Discovery is down, and idle clients come until no descriptor is left for more of them. What serves keeps its own:
-/// a request is served meanwhile, the second address answers, and at discovery's return the list is taken.
+/// Discovery is down, and idle clients connect until no descriptor is left for more of them. The dispatcher
+/// keeps descriptors for its own work: meanwhile a request is served and the admin address answers, and once
+/// discovery is back its list is applied.
 #[tokio::test]
-async fn idle_clients_that_fill_the_descriptors_keep_out_neither_the_list_nor_the_second_address() {
-    for (descriptors, mood) in [(96, Mood::Hangs), (192, Mood::Resets)] {
+async fn idle_clients_that_use_up_the_descriptors_block_neither_discovery_nor_the_admin_address() {
+    for (descriptors, behavior) in [(96, AgentBehavior::Hangs), (192, AgentBehavior::Resets)] {
         let servers = [Server::start(Behavior::Stream(1)).await, Server::start(Behavior::Stream(1)).await];
-        let known = Outage::told(&servers, 1, "up");
-        let registry = Registry::start(mood, known.clone()).await;
-        let mut config = settings(registry.address, &known);
+        let known = AgentOutage::served_list(&servers, 1, "up");
+        let discovery_agent = SwitchableAgent::start(behavior, known.clone()).await;
+        let mut config = settings(discovery_agent.address, &known);
         config["limits"]["sockets"] = json!(descriptors);
-        let process = Process::start(&format!("list-descriptors-{descriptors}"), config, descriptors).await;
+        let process =
+            ServerProcess::start(&format!("list-descriptors-{descriptors}"), config, descriptors).await;
         let mut idle = Vec::new();
         for at in 0..2 * descriptors {
             let mut stream = TcpStream::connect(process.port).await.unwrap();
-            // Some say nothing, some begin a request and stop.
+            // Some clients send nothing, others send the beginning of a request and stop.
             if at % 3 == 0 {
-                let _ = stream.write_all(b"POST /v1").await; // it may be closed by now
+                let _ = stream.write_all(b"POST /v1").await; // may fail, as the connection may be closed by now
             }
             idle.push(stream);
         }
-        assert_eq!(process.figure("members").await, Some(2), "the second address answers");
+        assert_eq!(process.metric("members").await, Some(2), "the admin address answers");
         let id = format!("{descriptors:x}");
         let start = Instant::now();
-        let mut said = 0;
-        while said != 200 {
-            assert!(start.elapsed() < SOON, "{descriptors}: a request gets {said}");
-            let ask = dewladder_test_peers::platform(
+        let mut reply = 0;
+        while reply != 200 {
+            assert!(start.elapsed() < TEST_TIMEOUT, "{descriptors} descriptors: a request gets {reply}");
+            let request = dewladder_test_peers::platform(
                 &format!("{id}{:x}", start.elapsed().as_micros()),
                 "ask",
                 "0.900",
             );
-            said = status(&dewladder_test_peers::until_close(process.port, &ask).await);
+            reply = status(&dewladder_test_peers::until_close(process.port, &request).await);
         }
-        // Discovery returns, with a third server for two.
+        // Discovery comes back, with a third server in place of the first two.
         let third = Server::start(Behavior::Stream(1)).await;
         let back = Instant::now();
-        registry.now(Mood::Answers, &list(2, true, &[entry(third.address, 3, "up")]));
-        while process.figure("members").await != Some(1) {
-            assert!(back.elapsed() < TOLD, "{descriptors}: the list is not taken");
+        discovery_agent.now(AgentBehavior::Answers, &list(2, true, &[server_entry(third.address, 3, "up")]));
+        while process.metric("members").await != Some(1) {
+            assert!(back.elapsed() < DISCOVERY_LIMIT, "{descriptors} descriptors: the list is not applied");
             sleep(Duration::from_millis(20)).await;
         }
-        println!("{descriptors} descriptors: the list was taken {:?} after the return", back.elapsed());
+        println!(
+            "{descriptors} descriptors: the list was applied {:?} after discovery came back",
+            back.elapsed()
+        );
         while third.posts() == 0 {
-            assert!(back.elapsed() < TOLD, "{descriptors}: the third server gets nothing");
-            let ask = dewladder_test_peers::platform(
+            assert!(
+                back.elapsed() < DISCOVERY_LIMIT,
+                "{descriptors} descriptors: the third server receives no request"
+            );
+            let request = dewladder_test_peers::platform(
                 &format!("{id}b{:x}", back.elapsed().as_micros()),
                 "ask",
                 "0.900",
             );
-            dewladder_test_peers::until_close(process.port, &ask).await;
+            dewladder_test_peers::until_close(process.port, &request).await;
         }
         assert!(dewladder_test_peers::until_close(process.admin, "READY\n").await.starts_with("OK"));
     }
 }
 
-/// Two SIGHUPs at once, each with a file of its own: the last file holds, and only its agent is watched in the end.
+/// Two SIGHUPs at once, each with a file of its own: the last file applies, and only its agent is watched in
+/// the end.
 #[tokio::test]
-async fn of_two_signals_at_once_the_last_file_holds() {
+async fn after_two_signals_at_once_the_last_configuration_applies() {
     let servers = [Server::start(Behavior::Stream(1)).await, Server::start(Behavior::Stream(1)).await];
-    let known = Outage::told(&servers, 1, "up");
-    let registries = [
-        Registry::start(Mood::Answers, known.clone()).await,
-        Registry::start(Mood::Answers, known.clone()).await,
-        Registry::start(Mood::Answers, Outage::told(&servers, 1, "removed")).await,
+    let known = AgentOutage::served_list(&servers, 1, "up");
+    let discovery_agents = [
+        SwitchableAgent::start(AgentBehavior::Answers, known.clone()).await,
+        SwitchableAgent::start(AgentBehavior::Answers, known.clone()).await,
+        SwitchableAgent::start(AgentBehavior::Answers, AgentOutage::served_list(&servers, 1, "removed"))
+            .await,
     ];
-    let mut config = settings(registries[0].address, &known);
-    let process = Process::start("list-two-signals", config.clone(), 256).await;
+    let mut config = settings(discovery_agents[0].address, &known);
+    let process = ServerProcess::start("list-two-signals", config.clone(), 256).await;
     (config["listen"], config["admin_addr"]) = (json!(process.port), json!("127.0.0.1:0"));
-    for registry in &registries[1..] {
-        config["discovery"] = json!(registry.address);
-        // Moved into place whole: a signal may find either file, never half of one.
+    for discovery_agent in &discovery_agents[1..] {
+        config["discovery"] = json!(discovery_agent.address);
+        // The file is moved into place as a whole: a signal may find either file, never half of one.
         std::fs::write(process.folder.join("next.json"), config.to_string()).unwrap();
         std::fs::rename(process.folder.join("next.json"), process.folder.join("config.json")).unwrap();
-        process.hangup();
+        process.sighup();
     }
-    registries[2].until_asked(2, AFTER_HANGUP).await;
+    discovery_agents[2].wait_until_asked(2, RELOAD_LIMIT).await;
     let start = Instant::now();
-    while process.figure("members").await != Some(1) {
-        assert!(start.elapsed() < AFTER_HANGUP);
+    while process.metric("members").await != Some(1) {
+        assert!(start.elapsed() < RELOAD_LIMIT);
         sleep(Duration::from_millis(10)).await;
     }
-    registries[0].now(Mood::Answers, &Outage::told(&servers, 9, "up"));
-    registries[1].now(Mood::Answers, &Outage::told(&servers, 9, "up"));
-    registries[2].now(Mood::Answers, &list(2, true, &[]));
+    discovery_agents[0].now(AgentBehavior::Answers, &AgentOutage::served_list(&servers, 9, "up"));
+    discovery_agents[1].now(AgentBehavior::Answers, &AgentOutage::served_list(&servers, 9, "up"));
+    discovery_agents[2].now(AgentBehavior::Answers, &list(2, true, &[]));
     let start = Instant::now();
-    while process.figure("members").await != Some(0) {
-        assert!(start.elapsed() < SOON, "the last agent is watched");
+    while process.metric("members").await != Some(0) {
+        assert!(start.elapsed() < TEST_TIMEOUT, "the last agent is not watched");
         sleep(Duration::from_millis(10)).await;
     }
-    assert_eq!(process.figure("config_reload_errors").await, Some(0));
+    assert_eq!(process.metric("config_reload_errors").await, Some(0));
 }
