--- a/tests/crossings_clients.rs
+++ b/tests/crossings_clients.rs
@@ -1,15 +1,16 @@
-//! A client that leaves, or rests, against what the dispatcher does at that moment: each test forces one crossing over
-//! sockets. The rules: no attempt begins over 0.1 s after the close, what is held is let go of, and a connection that is
-//! ended between requests never takes an answer along.
+//! A client disconnects, or its connection is idle, at the moment when the dispatcher takes a certain step;
+//! each test forces one such coincidence over sockets. The rules: no attempt begins more than 0.1 s after the
+//! close of its client, held state is released, and a connection that is closed between requests never cuts off
+//! an answer.
 
-mod crossing;
+mod controlled_servers;
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
 
-use crossing::*;
+use controlled_servers::*;
 use dewladder::edge::clients::connection_limits::ConnectionLimits;
 use dewladder::edge::clients::listener;
 use dewladder::edge::phase::Phase;
@@ -21,283 +22,306 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout, Instant};
 
-/// How a client goes.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug)]
-enum Goes {
+enum Disconnect {
     Closes,
     Resets,
-    /// It closes behind a blank line, as some clients send one after a body.
-    BehindABlankLine,
-    /// It closes behind half of a next request.
-    BehindHalfARequest,
-    /// It closes behind a whole next request.
-    BehindARequest,
-    /// It closes behind more than the dispatcher reads ahead.
-    BehindALot,
-    /// It resets behind half of a next request.
-    ResetsBehindHalfARequest,
-}
-
-impl Goes {
-    fn behind(self, text: &str) -> String {
+    /// It closes after a blank line, as some clients send one after a body.
+    ClosesAfterBlankLine,
+    /// It closes after half of a next request.
+    ClosesAfterHalfRequest,
+    /// It closes after a whole next request.
+    ClosesAfterWholeRequest,
+    /// It closes after more bytes than the dispatcher reads ahead.
+    ClosesAfterLongInput,
+    /// It resets after half of a next request.
+    ResetsAfterHalfRequest,
+}
+
+impl Disconnect {
+    fn final_bytes(self, text: &str) -> String {
         match self {
             Self::Closes | Self::Resets => String::new(),
-            Self::BehindABlankLine => "\r\n".to_owned(),
-            Self::BehindHalfARequest | Self::ResetsBehindHalfARequest => text[..text.len() / 2].to_owned(),
-            Self::BehindARequest => text.replace("9b1f03aa5c7e2d41", "9b1f03aa5c7e2d42"),
-            Self::BehindALot => "x".repeat(200 << 10),
+            Self::ClosesAfterBlankLine => "\r\n".to_owned(),
+            Self::ClosesAfterHalfRequest | Self::ResetsAfterHalfRequest => text[..text.len() / 2].to_owned(),
+            Self::ClosesAfterWholeRequest => text.replace("9b1f03aa5c7e2d41", "9b1f03aa5c7e2d42"),
+            Self::ClosesAfterLongInput => "x".repeat(200 << 10),
         }
     }
 
-    async fn goes(self, mut client: Line, text: &str) {
-        let behind = self.behind(text);
-        if !behind.is_empty() {
-            client.says(&behind).await.unwrap();
+    async fn disconnect(self, mut client: Line, text: &str) {
+        let final_bytes = self.final_bytes(text);
+        if !final_bytes.is_empty() {
+            client.says(&final_bytes).await.unwrap();
         }
         match self {
-            Self::Resets | Self::ResetsBehindHalfARequest => client.resets(),
+            Self::Resets | Self::ResetsAfterHalfRequest => client.resets(),
             _ => drop(client),
         }
     }
 }
 
-/// A client goes while its prompt is read; the read ends well over 0.1 s later. Nothing may be sent to the writer, and
-/// what was read is let go of.
-async fn goes_during_the_read(goes: Goes, fronts: &str, change: fn(&mut serde_json::Value)) {
+/// A client disconnects while its prompt is read, and the read ends more than 0.1 s later. No request may be
+/// sent to the writer, and the state at the reader has to be released.
+async fn disconnect_during_read(disconnect: Disconnect, fronts: &str, change: fn(&mut serde_json::Value)) {
     for front in 0..2 {
-        let (reader, writer) = (Stepped::start().await, Stepped::start().await);
-        let site = Crossing::between(&reader, &writer, fronts, change).await;
-        let (address, text) = site.fronts()[front].clone();
+        let (reader, writer) = (ControlledServer::start().await, ControlledServer::start().await);
+        let dispatcher = TestDispatcher::with_reader_and_writer(&reader, &writer, fronts, change).await;
+        let (address, text) = dispatcher.fronts()[front].clone();
         let mut client = Line::to(address).await;
         client.says(&text).await.unwrap();
-        eventually("the read is out", || reader.count("POST") == 1).await;
-        goes.goes(client, &text).await;
-        sleep(AFTER_CLOSE + AFTER_CLOSE / 2).await;
-        reader.says(READ);
+        eventually("the read is in flight", || reader.count("POST") == 1).await;
+        disconnect.disconnect(client, &text).await;
+        sleep(MAX_START_AFTER_CLOSE + MAX_START_AFTER_CLOSE / 2).await;
+        reader.says(READ_RESPONSE);
         writer.says(&stream("late"));
-        sleep(SOON).await;
+        sleep(SETTLE_TIME).await;
         let posts = (reader.count("POST"), writer.count("POST"));
         assert_eq!(
             posts,
             (1, 0),
-            "{goes:?} at front {front}: reader {:?}, writer {:?}",
+            "{disconnect:?} at front {front}: reader {:?}, writer {:?}",
             reader.log(),
             writer.log()
         );
         let released = || reader.count("DELETE") + writer.count("DELETE") > 0;
-        eventually("what was read is let go of", released).await;
+        eventually("the state is released", released).await;
     }
 }
 
-/// A close, and a reset, while the prompt is read: the attempt is called off and its state let go of.
+/// A close or a reset during the read: the attempt is cancelled and its state released.
 #[tokio::test]
-async fn a_client_that_closes_or_resets_during_the_read_is_not_written_for() {
-    for goes in [Goes::Closes, Goes::Resets] {
-        goes_during_the_read(goes, FRONTS, patient).await;
+async fn no_write_is_sent_for_a_client_that_closes_or_resets_during_the_read() {
+    for disconnect in [Disconnect::Closes, Disconnect::Resets] {
+        disconnect_during_read(disconnect, FRONTS_CONFIG, with_long_timeouts).await;
     }
 }
 
-/// The same on a chat front that knows repeats: there the request runs in a task of its own, not in the handler that
-/// the close drops.
+/// With deduplication on the chat front the request runs in a task of its own, not in the handler that is
+/// dropped at the close: the close has to reach that task.
 #[tokio::test]
-async fn a_client_that_closes_during_the_read_is_not_written_for_where_repeats_are_known() {
-    goes_during_the_read(Goes::Closes, &format!("{FRONTS}{REPEATS}"), patient).await;
+async fn no_write_is_sent_for_a_client_that_closes_during_the_read_with_deduplication() {
+    disconnect_during_read(
+        Disconnect::Closes,
+        &format!("{FRONTS_CONFIG}{REPEATS_CONFIG}"),
+        with_long_timeouts,
+    )
+    .await;
 }
 
-/// Where the settings do not let attempts be called off, the read goes on to its end: it is not written for all the same.
+/// With `cancel` off, the read goes on to its end, but no write follows it.
 #[tokio::test]
-async fn a_client_that_closes_during_a_read_that_may_not_be_called_off_is_not_written_for() {
-    for goes in [Goes::Closes, Goes::Resets] {
-        goes_during_the_read(goes, FRONTS, without_cancel).await;
+async fn no_write_is_sent_for_a_client_that_closes_during_a_read_that_is_not_cancelled() {
+    for disconnect in [Disconnect::Closes, Disconnect::Resets] {
+        disconnect_during_read(disconnect, FRONTS_CONFIG, with_long_timeouts_and_no_cancel).await;
     }
 }
 
-/// A close behind a blank line: a client's library that ends its body with one has gone all the same.
+/// A close after a blank line: some client libraries send one after the body, and the dispatcher has to notice
+/// the close behind it.
 #[tokio::test]
-async fn a_close_behind_a_blank_line_is_seen_during_the_read() {
-    goes_during_the_read(Goes::BehindABlankLine, FRONTS, patient).await;
+async fn a_close_after_a_blank_line_is_noticed_during_the_read() {
+    disconnect_during_read(Disconnect::ClosesAfterBlankLine, FRONTS_CONFIG, with_long_timeouts).await;
 }
 
-/// A close behind half of a next request: what lies unread must not hide the close.
+/// A close after half of a next request: the unread bytes must not hide the close.
 #[tokio::test]
-async fn a_close_behind_half_a_request_is_seen_during_the_read() {
-    goes_during_the_read(Goes::BehindHalfARequest, FRONTS, patient).await;
+async fn a_close_after_half_a_request_is_noticed_during_the_read() {
+    disconnect_during_read(Disconnect::ClosesAfterHalfRequest, FRONTS_CONFIG, with_long_timeouts).await;
 }
 
-/// A close behind a whole next request: neither of the two may be sent on any more.
+/// A close after a whole next request: neither of the two may be sent to a server any more.
 #[tokio::test]
-async fn a_close_behind_a_whole_request_is_seen_during_the_read() {
-    goes_during_the_read(Goes::BehindARequest, FRONTS, patient).await;
+async fn a_close_after_a_whole_request_is_noticed_during_the_read() {
+    disconnect_during_read(Disconnect::ClosesAfterWholeRequest, FRONTS_CONFIG, with_long_timeouts).await;
 }
 
-/// A close behind more than a head may hold.
+/// A close after more bytes than a request head may hold.
 #[tokio::test]
-async fn a_close_behind_a_lot_is_seen_during_the_read() {
-    goes_during_the_read(Goes::BehindALot, FRONTS, patient).await;
+async fn a_close_after_more_than_is_read_ahead_is_noticed_during_the_read() {
+    disconnect_during_read(Disconnect::ClosesAfterLongInput, FRONTS_CONFIG, with_long_timeouts).await;
 }
 
-/// A reset behind half of a next request.
+/// A reset after half of a next request.
 #[tokio::test]
-async fn a_reset_behind_half_a_request_is_seen_during_the_read() {
-    goes_during_the_read(Goes::ResetsBehindHalfARequest, FRONTS, patient).await;
+async fn a_reset_after_half_a_request_is_noticed_during_the_read() {
+    disconnect_during_read(Disconnect::ResetsAfterHalfRequest, FRONTS_CONFIG, with_long_timeouts).await;
 }
 
-/// The client has gone while the connection to the reader is still coming up; then it comes up. Nothing may be written
-/// on it: the attempt would begin over 0.1 s after the close.
-async fn goes_while_connecting(goes: Goes, change: fn(&mut serde_json::Value)) {
+/// The client disconnects while the connection to the reader is not established yet; then it is established. No
+/// request may be written on it: the attempt would begin more than 0.1 s after the close.
+async fn disconnect_while_connecting(disconnect: Disconnect, change: fn(&mut serde_json::Value)) {
     for front in 0..2 {
-        let (late, writer) = (LatePeer::start().await, Stepped::start().await);
+        let (late, writer) = (LatePeer::start().await, ControlledServer::start().await);
         let members = vec![read(late.address, "up"), write(writer.address, "up")];
-        let site = Crossing::start(members, FRONTS, change).await;
-        let (address, text) = site.fronts()[front].clone();
+        let dispatcher = TestDispatcher::start(members, FRONTS_CONFIG, change).await;
+        let (address, text) = dispatcher.fronts()[front].clone();
         let mut client = Line::to(address).await;
         client.says(&text).await.unwrap();
-        sleep(AFTER_CLOSE).await; // its connect has been dropped once by now
-        goes.goes(client, &text).await;
-        sleep(AFTER_CLOSE + AFTER_CLOSE / 2).await;
-        let reader = Stepped::on(late.opens().await);
-        sleep(Duration::from_millis(2_200)).await; // the system tries again after 1 s
+        sleep(MAX_START_AFTER_CLOSE).await; // its first connection attempt has been dropped by now
+        disconnect.disconnect(client, &text).await;
+        sleep(MAX_START_AFTER_CLOSE + MAX_START_AFTER_CLOSE / 2).await;
+        let reader = ControlledServer::on_peer(late.opens().await);
+        sleep(Duration::from_millis(2_200)).await; // the kernel retries the connection after 1 s
         let log = reader.log();
-        assert!(!log.contains(&"POST".to_owned()), "{goes:?} at front {front}: {log:?}");
+        assert!(!log.contains(&"POST".to_owned()), "{disconnect:?} at front {front}: {log:?}");
     }
 }
 
 #[tokio::test]
-async fn a_client_that_closes_while_its_connection_comes_up_is_not_sent_on() {
-    goes_while_connecting(Goes::Closes, patient).await;
+async fn no_request_is_sent_for_a_client_that_closes_while_connecting_to_a_server() {
+    disconnect_while_connecting(Disconnect::Closes, with_long_timeouts).await;
 }
 
-/// The same where attempts may not be called off: this one has not begun.
+/// The same with `cancel` off: this attempt has not begun, so that it may not begin either.
 #[tokio::test]
-async fn a_client_that_closes_while_its_connection_comes_up_is_not_sent_on_without_cancel() {
-    goes_while_connecting(Goes::Closes, without_cancel).await;
+async fn no_request_is_sent_for_a_client_that_closes_while_connecting_without_cancel() {
+    disconnect_while_connecting(Disconnect::Closes, with_long_timeouts_and_no_cancel).await;
 }
 
 #[tokio::test]
-async fn a_close_behind_half_a_request_is_seen_while_a_connection_comes_up() {
-    goes_while_connecting(Goes::BehindHalfARequest, patient).await;
+async fn a_close_after_half_a_request_is_noticed_while_connecting_to_a_server() {
+    disconnect_while_connecting(Disconnect::ClosesAfterHalfRequest, with_long_timeouts).await;
 }
 
-/// The late connection proves itself: where the client stays, it does come up and the request is sent on over it.
+/// A control for the tests above: if the client stays, the late connection is established and the request is
+/// sent on it.
 #[tokio::test]
-async fn a_client_that_stays_while_its_connection_comes_up_is_sent_on() {
-    let (late, writer) = (LatePeer::start().await, Stepped::saying(&stream("late")).await);
+async fn the_request_of_a_client_that_stays_is_sent_once_the_connection_is_established() {
+    let (late, writer) = (LatePeer::start().await, ControlledServer::responding(&stream("late")).await);
     let members = vec![read(late.address, "up"), write(writer.address, "up")];
-    let site = Crossing::start(members, FRONTS, patient).await;
-    let mut client = Line::to(site.platform).await;
-    client.says(&asks("9b1f03aa5c7e2d41", "8.000")).await.unwrap();
-    sleep(AFTER_CLOSE).await;
-    let reader = Stepped::on(late.opens().await);
-    reader.says(READ);
+    let dispatcher = TestDispatcher::start(members, FRONTS_CONFIG, with_long_timeouts).await;
+    let mut client = Line::to(dispatcher.platform).await;
+    client.says(&request("9b1f03aa5c7e2d41", "8.000")).await.unwrap();
+    sleep(MAX_START_AFTER_CLOSE).await;
+    let reader = ControlledServer::on_peer(late.opens().await);
+    reader.says(READ_RESPONSE);
     client.until("[DONE]").await;
     assert_eq!((reader.count("POST"), writer.count("POST")), (1, 1));
 }
 
-/// The client goes with a state read and no writer there to take it: the state is let go of at once, and a writer that
-/// comes up afterwards gets nothing.
-async fn goes_between_read_and_write(goes: Goes) {
+/// The client disconnects while its state is held and no writer is available: the state is released at once,
+/// and a writer that becomes available afterwards receives no request.
+async fn disconnect_between_read_and_write(disconnect: Disconnect) {
     for front in 0..2 {
-        let (reader, writer) = (Stepped::saying(READ).await, Stepped::saying(&stream("late")).await);
+        let (reader, writer) = (
+            ControlledServer::responding(READ_RESPONSE).await,
+            ControlledServer::responding(&stream("late")).await,
+        );
         let members = vec![read(reader.address, "up"), write(writer.address, "draining")];
-        let site = Crossing::start(members, FRONTS, patient).await;
-        let (address, text) = site.fronts()[front].clone();
+        let dispatcher = TestDispatcher::start(members, FRONTS_CONFIG, with_long_timeouts).await;
+        let (address, text) = dispatcher.fronts()[front].clone();
         let mut client = Line::to(address).await;
         client.says(&text).await.unwrap();
-        eventually("the read is out", || reader.count("POST") == 1).await;
-        sleep(AFTER_CLOSE).await; // the state waits for a writer
-        assert_eq!(reader.count("DELETE"), 0, "it is held");
-        goes.goes(client, &text).await;
-        sleep(AFTER_CLOSE + AFTER_CLOSE / 2).await;
+        eventually("the read is in flight", || reader.count("POST") == 1).await;
+        sleep(MAX_START_AFTER_CLOSE).await; // the state waits for a writer
+        assert_eq!(reader.count("DELETE"), 0, "the state is held");
+        disconnect.disconnect(client, &text).await;
+        sleep(MAX_START_AFTER_CLOSE + MAX_START_AFTER_CLOSE / 2).await;
         let up = [write(writer.address, "up")];
-        site.agent.tells(Some(json!({"revision": 2, "complete": false, "members": up})));
-        eventually("let go of", || reader.count("DELETE") + writer.count("DELETE") > 0).await;
-        sleep(SOON).await;
-        assert_eq!(writer.count("POST"), 0, "{goes:?} at front {front}");
+        dispatcher.agent.tells(Some(json!({"revision": 2, "complete": false, "members": up})));
+        eventually("the state is released", || reader.count("DELETE") + writer.count("DELETE") > 0).await;
+        sleep(SETTLE_TIME).await;
+        assert_eq!(writer.count("POST"), 0, "{disconnect:?} at front {front}");
     }
 }
 
 #[tokio::test]
-async fn a_client_that_goes_between_read_and_write_is_not_written_for() {
-    for goes in [Goes::Closes, Goes::Resets] {
-        goes_between_read_and_write(goes).await;
+async fn no_write_is_sent_for_a_client_that_disconnects_between_read_and_write() {
+    for disconnect in [Disconnect::Closes, Disconnect::Resets] {
+        disconnect_between_read_and_write(disconnect).await;
     }
 }
 
 #[tokio::test]
-async fn a_close_behind_half_a_request_is_seen_between_read_and_write() {
-    goes_between_read_and_write(Goes::BehindHalfARequest).await;
+async fn a_close_after_half_a_request_is_noticed_between_read_and_write() {
+    disconnect_between_read_and_write(Disconnect::ClosesAfterHalfRequest).await;
 }
 
-/// A client goes while the first attempt is out; then the server turns it away, which would allow another attempt.
-async fn goes_before_a_further_attempt(goes: Goes) {
+/// A client disconnects while the first attempt is in flight; then the server rejects that attempt, which would
+/// allow another one.
+async fn disconnect_before_next_attempt(disconnect: Disconnect) {
     for front in 0..2 {
-        let (reader, other, writer) =
-            (Stepped::start().await, Stepped::start().await, Stepped::start().await);
+        let (reader, other, writer) = (
+            ControlledServer::start().await,
+            ControlledServer::start().await,
+            ControlledServer::start().await,
+        );
         let two = dewladder_test_peers::member(other.address, 3, "prefill", "up");
         let members = vec![read(reader.address, "up"), two, write(writer.address, "up")];
-        let site = Crossing::start(members, FRONTS, without_cancel).await;
-        let (address, text) = site.fronts()[front].clone();
+        let dispatcher =
+            TestDispatcher::start(members, FRONTS_CONFIG, with_long_timeouts_and_no_cancel).await;
+        let (address, text) = dispatcher.fronts()[front].clone();
         let mut client = Line::to(address).await;
         client.says(&text).await.unwrap();
         let posts = || reader.count("POST") + other.count("POST");
-        eventually("the read is out", || posts() == 1).await;
-        goes.goes(client, &text).await;
-        sleep(AFTER_CLOSE + AFTER_CLOSE / 2).await;
-        reader.says(TURNED_AWAY);
-        other.says(TURNED_AWAY);
-        sleep(SOON).await;
-        assert_eq!((posts(), writer.count("POST")), (1, 0), "{goes:?} at front {front}");
+        eventually("the read is in flight", || posts() == 1).await;
+        disconnect.disconnect(client, &text).await;
+        sleep(MAX_START_AFTER_CLOSE + MAX_START_AFTER_CLOSE / 2).await;
+        reader.says(REJECTED_RESPONSE);
+        other.says(REJECTED_RESPONSE);
+        sleep(SETTLE_TIME).await;
+        assert_eq!((posts(), writer.count("POST")), (1, 0), "{disconnect:?} at front {front}");
     }
 }
 
 #[tokio::test]
-async fn a_client_that_goes_before_a_further_attempt_gets_none() {
-    for goes in [Goes::Closes, Goes::Resets] {
-        goes_before_a_further_attempt(goes).await;
+async fn no_further_attempt_is_sent_for_a_client_that_has_disconnected() {
+    for disconnect in [Disconnect::Closes, Disconnect::Resets] {
+        disconnect_before_next_attempt(disconnect).await;
     }
 }
 
 #[tokio::test]
-async fn a_close_behind_half_a_request_is_seen_before_a_further_attempt() {
-    goes_before_a_further_attempt(Goes::BehindHalfARequest).await;
+async fn a_close_after_half_a_request_is_noticed_before_a_further_attempt() {
+    disconnect_before_next_attempt(Disconnect::ClosesAfterHalfRequest).await;
 }
 
-/// The request's last byte and the end of the client's sending come in one go: whatever the dispatcher has begun by then
-/// is called off, and nothing begins later.
+/// The last byte of the request and the close of the client arrive together: attempts that the dispatcher has
+/// begun by then are cancelled, and none begins later.
 #[tokio::test]
-async fn a_close_that_comes_with_the_last_byte_leaves_nothing_to_be_sent() {
+async fn a_close_together_with_the_last_byte_of_a_request_cancels_it() {
     for front in 0..2 {
         for turn in 0..5 {
-            let (reader, writer) = (Stepped::start().await, Stepped::start().await);
-            let site = Crossing::between(&reader, &writer, FRONTS, patient).await;
-            let (address, text) = site.fronts()[front].clone();
-            // In one turn of the runtime: nothing of it is read before all has come.
+            let (reader, writer) = (ControlledServer::start().await, ControlledServer::start().await);
+            let dispatcher =
+                TestDispatcher::with_reader_and_writer(&reader, &writer, FRONTS_CONFIG, with_long_timeouts)
+                    .await;
+            let (address, text) = dispatcher.fronts()[front].clone();
+            // Both happen without a return to the runtime: the dispatcher reads nothing before all has arrived.
             let mut client = std::net::TcpStream::connect(address).unwrap();
             if turn % 2 == 0 {
-                sleep(Duration::from_millis(20)).await; // accepted, and waited at for its first byte
+                sleep(Duration::from_millis(20)).await; // accepted, with no byte received yet
             }
             std::io::Write::write_all(&mut client, text.as_bytes()).unwrap();
             drop(client);
-            sleep(AFTER_CLOSE + AFTER_CLOSE / 2).await;
+            sleep(MAX_START_AFTER_CLOSE + MAX_START_AFTER_CLOSE / 2).await;
             let begun = reader.count("POST");
-            reader.says(READ);
-            sleep(SOON).await;
+            reader.says(READ_RESPONSE);
+            sleep(SETTLE_TIME).await;
             assert_eq!((reader.count("POST"), writer.count("POST")), (begun, 0), "front {front}");
             if begun > 0 {
-                eventually("let go of", || reader.count("DELETE") + writer.count("DELETE") > 0).await;
+                eventually("the state is released", || reader.count("DELETE") + writer.count("DELETE") > 0)
+                    .await;
             }
         }
     }
 }
 
-/// Half of a body, then the close: nothing is sent on.
+/// The client disconnects within the body: nothing is sent to a server.
 #[tokio::test]
-async fn half_a_request_that_ends_is_not_sent_on() {
+async fn an_incomplete_request_is_not_sent_to_a_server() {
     for front in 0..2 {
         for reset in [false, true] {
-            let (reader, writer) = (Stepped::saying(READ).await, Stepped::saying(&stream("x")).await);
-            let site = Crossing::between(&reader, &writer, FRONTS, patient).await;
-            let (address, text) = site.fronts()[front].clone();
+            let (reader, writer) = (
+                ControlledServer::responding(READ_RESPONSE).await,
+                ControlledServer::responding(&stream("x")).await,
+            );
+            let dispatcher =
+                TestDispatcher::with_reader_and_writer(&reader, &writer, FRONTS_CONFIG, with_long_timeouts)
+                    .await;
+            let (address, text) = dispatcher.fronts()[front].clone();
             let mut client = Line::to(address).await;
             client.says(&text[..text.len() - 3]).await.unwrap();
             sleep(Duration::from_millis(20)).await;
@@ -306,55 +330,59 @@
             } else {
                 drop(client);
             }
-            sleep(SOON).await;
+            sleep(SETTLE_TIME).await;
             assert_eq!((reader.count("POST"), writer.count("POST")), (0, 0), "front {front}, reset {reset}");
         }
     }
 }
 
-/// A client beyond all room that asks and goes: nothing of it is sent on.
+/// A client over the capacity for connections sends a request and disconnects: the request is never sent to a
+/// server.
 #[tokio::test]
-async fn a_client_beyond_all_room_that_goes_is_not_sent_on() {
-    let (reader, writer) = (Stepped::start().await, Stepped::start().await);
-    let site = Crossing::between(&reader, &writer, FRONTS, |config| {
-        patient(config);
+async fn no_request_is_sent_for_a_client_over_capacity_that_disconnects() {
+    let (reader, writer) = (ControlledServer::start().await, ControlledServer::start().await);
+    let dispatcher = TestDispatcher::with_reader_and_writer(&reader, &writer, FRONTS_CONFIG, |config| {
+        with_long_timeouts(config);
         config["limits"]["sockets"] = json!(40); // four connections
     })
     .await;
     let mut held = Vec::new();
     for at in 0..4 {
-        let mut client = Line::to(site.platform).await;
-        client.says(&asks(&format!("0{at}"), "8.000")).await.unwrap();
+        let mut client = Line::to(dispatcher.platform).await;
+        client.says(&request(&format!("0{at}"), "8.000")).await.unwrap();
         held.push(client);
     }
-    eventually("all are at work", || reader.count("POST") == 4).await;
-    for (goes, id) in [(Goes::Closes, "11"), (Goes::Resets, "12"), (Goes::BehindARequest, "13")] {
-        let mut client = Line::to(site.platform).await;
-        let text = asks(id, "8.000");
+    eventually("all four reads are in flight", || reader.count("POST") == 4).await;
+    for (disconnect, id) in
+        [(Disconnect::Closes, "11"), (Disconnect::Resets, "12"), (Disconnect::ClosesAfterWholeRequest, "13")]
+    {
+        let mut client = Line::to(dispatcher.platform).await;
+        let text = request(id, "8.000");
         client.says(&text).await.unwrap();
-        goes.goes(client, &text).await;
+        disconnect.disconnect(client, &text).await;
     }
-    sleep(AFTER_CLOSE).await;
-    held.clear(); // now there is room
-    sleep(SOON).await;
+    sleep(MAX_START_AFTER_CLOSE).await;
+    held.clear(); // frees the slots
+    sleep(SETTLE_TIME).await;
     assert_eq!(reader.count("POST"), 4);
 }
 
-/// A client goes in the very moment in which its stream's first event comes: whichever is seen first, the writer's
-/// connection is closed and the dispatcher holds nothing any more.
+/// A client disconnects at the moment when the first event of its stream arrives: whichever the dispatcher
+/// notices first, it closes the writer's connection and holds no resources of the request any more.
 #[tokio::test]
-async fn a_client_that_goes_as_its_stream_begins_leaves_nothing_open() {
+async fn a_client_that_disconnects_as_its_stream_begins_leaves_nothing_open() {
     for front in 0..2 {
         for first in [true, false] {
-            let (reader, peer) = (Stepped::saying(READ).await, Peer::start().await);
+            let (reader, peer) = (ControlledServer::responding(READ_RESPONSE).await, Peer::start().await);
             let members = vec![read(reader.address, "up"), write(peer.address, "up")];
-            let mut site = Crossing::start(members, FRONTS, patient).await;
-            let (address, text) = site.fronts()[front].clone();
+            let mut dispatcher = TestDispatcher::start(members, FRONTS_CONFIG, with_long_timeouts).await;
+            let (address, text) = dispatcher.fronts()[front].clone();
             let mut client = Line::to(address).await;
             client.says(&text).await.unwrap();
-            let (mut writer, _) = timeout(LONG, peer.asked()).await.expect("a write");
-            let begin = STREAM.to_owned() + &event("one");
-            // No wait between the two: the dispatcher finds both.
+            let (mut writer, _) =
+                timeout(TEST_TIMEOUT, peer.asked()).await.expect("no write within the time limit");
+            let begin = STREAM_HEAD.to_owned() + &event("one");
+            // There is no wait between the two steps: the dispatcher finds both.
             if first {
                 writer.says(&begin).await.unwrap();
                 drop(client);
@@ -363,164 +391,185 @@
                 writer.says(&begin).await.unwrap();
             }
             let ended = timeout(Duration::from_secs(2), writer.rest()).await;
-            assert!(ended.is_ok(), "the writer is let go of: front {front}, event first: {first}");
-            site.told_to_end();
-            site.ended().await;
+            assert!(
+                ended.is_ok(),
+                "the connection to the writer stays open: front {front}, event first: {first}"
+            );
+            dispatcher.begin_shutdown();
+            dispatcher.ended().await;
         }
     }
 }
 
-/// A client goes in the middle of its stream: the writer is let go of, on both fronts.
+/// A client disconnects in the middle of its stream: the connection to the writer is closed, on both fronts.
 #[tokio::test]
-async fn a_client_that_goes_in_mid_stream_lets_its_writer_go() {
+async fn a_client_that_disconnects_in_mid_stream_releases_its_writer() {
     for front in 0..2 {
-        for goes in [Goes::Closes, Goes::Resets] {
-            let (reader, peer) = (Stepped::saying(READ).await, Peer::start().await);
+        for disconnect in [Disconnect::Closes, Disconnect::Resets] {
+            let (reader, peer) = (ControlledServer::responding(READ_RESPONSE).await, Peer::start().await);
             let members = vec![read(reader.address, "up"), write(peer.address, "up")];
-            let site = Crossing::start(members, FRONTS, patient).await;
-            let (address, text) = site.fronts()[front].clone();
+            let dispatcher = TestDispatcher::start(members, FRONTS_CONFIG, with_long_timeouts).await;
+            let (address, text) = dispatcher.fronts()[front].clone();
             let mut client = Line::to(address).await;
             client.says(&text).await.unwrap();
-            let (mut writer, _) = timeout(LONG, peer.asked()).await.expect("a write");
-            writer.says(&(STREAM.to_owned() + &event("one"))).await.unwrap();
+            let (mut writer, _) =
+                timeout(TEST_TIMEOUT, peer.asked()).await.expect("no write within the time limit");
+            writer.says(&(STREAM_HEAD.to_owned() + &event("one"))).await.unwrap();
             client.until("one").await;
-            goes.goes(client, &text).await;
+            disconnect.disconnect(client, &text).await;
             let ended = timeout(Duration::from_secs(2), writer.rest()).await;
-            assert!(ended.is_ok(), "{goes:?} at front {front}");
+            assert!(ended.is_ok(), "{disconnect:?} at front {front}");
         }
     }
 }
 
-// ---- Connections that rest ----
+// ---- Idle connections ----
 
-/// A connection on which nothing ever came is ended by the dispatcher; the client's request comes right behind that end.
-/// It is read and dropped, never sent on, and the client sees a plain end.
+/// The dispatcher closes a connection on which no byte was ever received, and the request of the client arrives
+/// right after that: it is read and dropped, never sent to a server, and the client sees a plain end of the
+/// connection.
 #[tokio::test]
-async fn a_request_behind_the_end_of_a_silent_connection_is_not_sent_on() {
-    let (reader, writer) = (Stepped::saying(READ).await, Stepped::saying(&stream("x")).await);
-    let site = Crossing::between(&reader, &writer, FRONTS, patient).await;
-    for (address, text) in site.fronts() {
+async fn a_request_after_the_end_of_a_silent_connection_is_not_sent_to_a_server() {
+    let (reader, writer) =
+        (ControlledServer::responding(READ_RESPONSE).await, ControlledServer::responding(&stream("x")).await);
+    let dispatcher =
+        TestDispatcher::with_reader_and_writer(&reader, &writer, FRONTS_CONFIG, with_long_timeouts).await;
+    for (address, text) in dispatcher.fronts() {
         let mut client = Line::to(address).await;
-        let (said, ended) = timeout(LONG, client.rest()).await.expect("it is ended");
-        assert!(said.is_empty() && ended.is_ok(), "{said:?} {ended:?}");
+        let (response, ended) =
+            timeout(TEST_TIMEOUT, client.rest()).await.expect("not closed within the time limit");
+        assert!(response.is_empty() && ended.is_ok(), "{response:?} {ended:?}");
         client.says(&text).await.unwrap();
-        sleep(SOON).await;
+        sleep(SETTLE_TIME).await;
     }
     assert_eq!((reader.count("POST"), writer.count("POST")), (0, 0));
 }
 
-/// A front of a test's own behind the listener: one path, whose answer is this long and one piece.
-async fn listening(room: ConnectionLimits, answer: usize) -> (SocketAddr, watch::Sender<Phase>) {
+/// Starts a listener with a front of the test: `/` answers with this many bytes in one piece, `/wait` never
+/// answers.
+async fn start_text_front(
+    slot_limits: ConnectionLimits,
+    answer: usize,
+) -> (SocketAddr, watch::Sender<Phase>) {
     let front = axum::Router::new()
         .route("/", axum::routing::get(move || async move { "y".repeat(answer) }))
         .route("/wait", axum::routing::get(|| async { std::future::pending::<()>().await }));
-    served(room, front)
+    start_front(slot_limits, front)
 }
 
-/// A listener with a front of the test's own.
-fn served(room: ConnectionLimits, front: axum::Router) -> (SocketAddr, watch::Sender<Phase>) {
+/// Starts a listener with this front; returns its address and the sender of its phase.
+fn start_front(slot_limits: ConnectionLimits, front: axum::Router) -> (SocketAddr, watch::Sender<Phase>) {
     let listener: TcpListener = listener::listen("127.0.0.1:0".parse().unwrap(), false).unwrap();
     let at = listener.local_addr().unwrap();
     let (phase, phases) = watch::channel(Phase::Serving);
-    tokio::spawn(listener::serve(listener, front, room, Figures::default(), phases));
+    tokio::spawn(listener::serve(listener, front, slot_limits, Figures::default(), phases));
     (at, phase)
 }
 
 const GET: &str = "GET / HTTP/1.1\r\nHost: h\r\n\r\n";
 
-/// Room is short: a connection that has been served and rests has to make room, and its next request has come but is not
-/// read. It is ended with no answer at all, and the new one is served. (The page lets a close between requests cross one.)
+/// Connection slots run out: a connection that has been served and is idle has to be evicted, and its next
+/// request has arrived but is not read. It is closed without any answer, and the new connection is served. (The
+/// protocol allows a close between requests to coincide with a request.)
 #[tokio::test]
-async fn a_resting_connection_that_makes_room_as_its_request_comes_gets_no_half_answer() {
-    let (at, _phase) = listening(ConnectionLimits::new(1), 1_000).await;
-    let mut resting = std::net::TcpStream::connect(at).unwrap();
-    resting.set_nonblocking(true).unwrap();
-    std::io::Write::write_all(&mut resting, GET.as_bytes()).unwrap();
+async fn an_idle_connection_evicted_as_its_request_arrives_gets_no_partial_answer() {
+    let (at, _phase) = start_text_front(ConnectionLimits::new(1), 1_000).await;
+    let mut idle_client = std::net::TcpStream::connect(at).unwrap();
+    idle_client.set_nonblocking(true).unwrap();
+    std::io::Write::write_all(&mut idle_client, GET.as_bytes()).unwrap();
     let mut first = Vec::new();
-    let end = Instant::now() + LONG;
+    let end = Instant::now() + TEST_TIMEOUT;
     while !first.ends_with(b"yyyy\n") && first.iter().filter(|&&byte| byte == b'y').count() < 1_000 {
         assert!(Instant::now() < end);
         sleep(Duration::from_millis(5)).await;
-        let _ = std::io::Read::read_to_end(&mut resting, &mut first);
+        let _ = std::io::Read::read_to_end(&mut idle_client, &mut first);
     }
-    sleep(Duration::from_millis(2_100)).await; // from now on it may be asked to leave
-                                               // In one turn of the runtime: the new connection comes, then the bytes of the one that rests.
+    // After this time the connection may be evicted.
+    sleep(Duration::from_millis(2_100)).await;
+    // Without a return to the runtime, the new connection arrives, then the bytes on the idle one.
     let new = std::net::TcpStream::connect(at).unwrap();
-    std::io::Write::write_all(&mut resting, GET.as_bytes()).unwrap();
+    std::io::Write::write_all(&mut idle_client, GET.as_bytes()).unwrap();
     new.set_nonblocking(true).unwrap();
-    let closes = GET.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n");
-    std::io::Write::write_all(&mut &new, closes.as_bytes()).unwrap();
+    let closing_request = GET.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n");
+    std::io::Write::write_all(&mut &new, closing_request.as_bytes()).unwrap();
     let read_all = |stream: std::net::TcpStream| async move {
         let mut stream = tokio::net::TcpStream::from_std(stream).unwrap();
         let mut read = Vec::new();
-        let ended = timeout(LONG, stream.read_to_end(&mut read)).await;
+        let ended = timeout(TEST_TIMEOUT, stream.read_to_end(&mut read)).await;
         (String::from_utf8(read).unwrap(), ended.is_ok())
     };
     let (answer, _) = read_all(new).await;
-    assert_eq!(status(&answer), 200, "the new one is served: {answer:?}");
-    let (left, ended) = read_all(resting).await;
-    assert!(left.is_empty() && ended, "it is ended, with no answer: {left:?}");
+    assert_eq!(status(&answer), 200, "the new connection is served: {answer:?}");
+    let (remaining_bytes, ended) = read_all(idle_client).await;
+    assert!(
+        remaining_bytes.is_empty() && ended,
+        "the idle connection is closed without an answer: {remaining_bytes:?}"
+    );
 }
 
-/// Room is short, and a new connection on which nothing has come for a while has to make room as its request comes. The
-/// bytes come first, after, or in the same turn as the one that wants its place: what the front has been handed is
-/// answered, and a connection that is closed with no answer has had nothing of it read.
+/// Connection slots run out, and a new connection on which no byte has been received for a while has to be
+/// evicted as its request arrives. The bytes arrive before, after, or together with the competing connection: a
+/// request that was passed to the front is answered, and of a connection that is closed without an answer
+/// nothing was read.
 #[tokio::test]
-async fn a_new_connection_that_makes_room_as_its_request_comes_is_answered_if_it_was_read() {
+async fn a_new_connection_evicted_as_its_request_arrives_is_answered_if_it_was_read() {
     let mut closed = 0;
     for turns in [0, 1, 2, 3, 5, 8] {
         for bytes_first in [true, false] {
-            let taken = Arc::new(AtomicUsize::new(0));
-            let (counted, room) = (taken.clone(), ConnectionLimits::new(1));
+            let handled = Arc::new(AtomicUsize::new(0));
+            let (handled_counter, slot_limits) = (handled.clone(), ConnectionLimits::new(1));
             let answers = move || {
-                counted.fetch_add(1, Ordering::Relaxed);
+                handled_counter.fetch_add(1, Ordering::Relaxed);
                 async { "y".repeat(1_000) }
             };
             let front = axum::Router::new()
                 .route("/first", axum::routing::get(answers))
                 .route("/", axum::routing::get(|| async { "other" }));
-            let (at, _phase) = served(room, front);
+            let (at, _phase) = start_front(slot_limits, front);
             let first = std::net::TcpStream::connect(at).unwrap();
-            sleep(Duration::from_millis(200)).await; // from now on it may be asked to leave
-            let asks = || {
+            sleep(Duration::from_millis(200)).await; // from now on the connection may be evicted
+            let request = || {
                 let text = "GET /first HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n";
                 std::io::Write::write_all(&mut &first, text.as_bytes()).unwrap();
             };
-            let wants_its_place = || std::net::TcpStream::connect(at).unwrap();
+            let connect_competitor = || std::net::TcpStream::connect(at).unwrap();
             let other = if bytes_first {
-                asks();
+                request();
                 for _ in 0..turns {
                     tokio::task::yield_now().await;
                 }
-                wants_its_place()
+                connect_competitor()
             } else {
-                let other = wants_its_place();
+                let other = connect_competitor();
                 for _ in 0..turns {
                     tokio::task::yield_now().await;
                 }
-                asks();
+                request();
                 other
             };
             first.set_nonblocking(true).unwrap();
             let mut first = TcpStream::from_std(first).unwrap();
             let mut read = Vec::new();
-            let ended = timeout(LONG, first.read_to_end(&mut read)).await;
+            let ended = timeout(TEST_TIMEOUT, first.read_to_end(&mut read)).await;
             drop(other);
-            assert!(ended.is_ok(), "it is ended");
+            assert!(ended.is_ok(), "the connection was not closed");
             let answered = status(&String::from_utf8_lossy(&read)) == 200 && read.ends_with(b"yyy");
             closed += usize::from(!answered);
-            let was_read = taken.load(Ordering::Relaxed) > 0;
+            let was_read = handled.load(Ordering::Relaxed) > 0;
             assert_eq!(was_read, answered, "{turns} turns, bytes first: {bytes_first}; {} bytes", read.len());
         }
     }
-    assert!(closed > 0, "none was asked to leave: nothing was put to the test");
+    assert!(closed > 0, "no connection was evicted: the test checked nothing");
 }
 
-/// Bytes of the answer that still come, to its end or that of the connection.
-async fn takes_in(slow: &mut TcpStream, most: usize) -> usize {
+/// Reads until this many bytes have arrived or the connection ends; returns their number.
+async fn read_up_to(slow: &mut TcpStream, limit: usize) -> usize {
     let (mut length, mut piece) = (0, vec![0; 1 << 20]);
-    while length < most {
-        match timeout(LONG, slow.read(&mut piece)).await.expect("it goes on or ends") {
+    while length < limit {
+        match timeout(TEST_TIMEOUT, slow.read(&mut piece))
+            .await
+            .expect("no bytes and no end within the time limit")
+        {
             Ok(0) | Err(_) => break,
             Ok(more) => length += more,
         }
@@ -528,207 +577,225 @@
     length
 }
 
-/// More than the system takes in for a client that does not read.
-const ANSWER: usize = 24 << 20;
+/// More than the buffers of the kernel hold for a client that does not read.
+const RESPONSE_LENGTH: usize = 24 << 20;
 
-/// Room is short while a client still reads its answer, slowly: all of the answer is in the dispatcher's hands, but not
-/// all of it is written. A connection that still writes does not rest: it may not be ended to make room.
+/// Connection slots run out while a client still reads its answer slowly: the dispatcher has the whole answer
+/// but has not written all of it. A connection that is still being written to is not idle and may not be
+/// evicted.
 #[tokio::test]
-async fn a_client_that_still_reads_its_answer_is_not_ended_to_make_room() {
-    let (at, _phase) = listening(ConnectionLimits::new(1), ANSWER).await;
+async fn a_client_that_still_reads_its_answer_is_not_evicted() {
+    let (at, _phase) = start_text_front(ConnectionLimits::new(1), RESPONSE_LENGTH).await;
     let mut slow = TcpStream::connect(at).await.unwrap();
     slow.write_all(GET.as_bytes()).await.unwrap();
-    assert!(slow.read(&mut [0; 64]).await.unwrap() > 0, "it has begun");
-    sleep(Duration::from_millis(2_200)).await; // more than what a resting connection may have at least
+    assert!(slow.read(&mut [0; 64]).await.unwrap() > 0, "the answer has begun");
+    sleep(Duration::from_millis(2_200)).await; // longer than the minimum idle time before an eviction
     let mut new = Line::to(at).await;
     new.says(GET).await.unwrap();
     sleep(Duration::from_millis(100)).await;
     drop(new);
-    let length = takes_in(&mut slow, ANSWER).await;
-    assert!(length >= ANSWER, "{length} of {ANSWER} bytes came");
+    let length = read_up_to(&mut slow, RESPONSE_LENGTH).await;
+    assert!(length >= RESPONSE_LENGTH, "{length} of {RESPONSE_LENGTH} bytes arrived");
 }
 
-/// The same for the time after which a resting connection is ended: one that still writes does not rest. The settings
-/// of the listener itself wait 30 s for a client that takes in nothing.
+/// A connection that is still being written to is not closed at the idle deadline either. The settings of the
+/// listener itself allow 30 s for a client that reads nothing.
 #[tokio::test]
-async fn a_client_that_still_reads_its_answer_is_not_ended_as_idle() {
-    let (at, _phase) = listening(ConnectionLimits::new(9), ANSWER).await;
+async fn a_client_that_still_reads_its_answer_is_not_closed_as_idle() {
+    let (at, _phase) = start_text_front(ConnectionLimits::new(9), RESPONSE_LENGTH).await;
     let mut slow = TcpStream::connect(at).await.unwrap();
     slow.write_all(GET.as_bytes()).await.unwrap();
-    assert!(slow.read(&mut [0; 64]).await.unwrap() > 0, "it has begun");
+    assert!(slow.read(&mut [0; 64]).await.unwrap() > 0, "the answer has begun");
     sleep(Duration::from_millis(15_500)).await;
-    let length = takes_in(&mut slow, ANSWER).await;
-    assert!(length >= ANSWER, "{length} of {ANSWER} bytes came");
+    let length = read_up_to(&mut slow, RESPONSE_LENGTH).await;
+    assert!(length >= RESPONSE_LENGTH, "{length} of {RESPONSE_LENGTH} bytes arrived");
 }
 
-/// The same for the shutdown: connections are closed while the answer is still being written.
+/// The shutdown closes idle connections while the answer is still being written: the answer is not cut off.
 #[tokio::test]
 async fn a_client_that_still_reads_its_answer_is_not_cut_by_the_shutdown() {
-    let (at, phase) = listening(ConnectionLimits::new(9), ANSWER).await;
+    let (at, phase) = start_text_front(ConnectionLimits::new(9), RESPONSE_LENGTH).await;
     let mut slow = TcpStream::connect(at).await.unwrap();
     slow.write_all(GET.as_bytes()).await.unwrap();
-    assert!(slow.read(&mut [0; 64]).await.unwrap() > 0, "it has begun");
+    assert!(slow.read(&mut [0; 64]).await.unwrap() > 0, "the answer has begun");
     sleep(Duration::from_millis(100)).await;
     phase.send_replace(Phase::Closing);
     sleep(Duration::from_millis(700)).await;
-    let length = takes_in(&mut slow, ANSWER).await;
-    assert!(length >= ANSWER, "{length} of {ANSWER} bytes came");
+    let length = read_up_to(&mut slow, RESPONSE_LENGTH).await;
+    assert!(length >= RESPONSE_LENGTH, "{length} of {RESPONSE_LENGTH} bytes arrived");
 }
 
-/// A slot's own times, both orders of two events: bytes that come just before the end of its rest put that off to the
-/// time a request may take; an answer that is handed over starts the rest anew.
+/// The deadlines of a connection slot, in both orders of two events: bytes that arrive just before the idle
+/// deadline move it to the time limit of a request, and a complete answer starts a new idle period.
 #[tokio::test]
-async fn a_request_that_comes_just_before_the_end_of_a_rest_is_waited_for() {
+async fn a_request_that_begins_just_before_the_idle_deadline_is_waited_for() {
     let (limits, start) = (ConnectionLimits::new(2), Instant::now());
     let guard = limits.admit(start).unwrap();
     let slot = &guard.slot;
     slot.received(start, GET.as_bytes());
     let _ = slot.request_taken(start);
-    assert_eq!(slot.deadline(), None, "while it is open it has no end");
+    assert_eq!(slot.deadline(), None, "an open request has no idle deadline");
     slot.request_answered(start);
-    let rests = slot.deadline().unwrap();
-    let just_before = rests - Duration::from_micros(1);
+    let idle_deadline = slot.deadline().unwrap();
+    let just_before = idle_deadline - Duration::from_micros(1);
     slot.received(just_before, &GET.as_bytes()[..5]);
-    let waits = slot.deadline().unwrap();
-    assert!(waits > rests, "half of a request has come");
-    slot.received(waits, &GET.as_bytes()[5..]);
-    let receive_deadline = slot.request_taken(waits).receive_deadline;
-    assert_eq!(receive_deadline, waits, "counted from its first byte");
+    let request_deadline = slot.deadline().unwrap();
+    assert!(request_deadline > idle_deadline, "a part of a request has arrived");
+    slot.received(request_deadline, &GET.as_bytes()[5..]);
+    let receive_deadline = slot.request_taken(request_deadline).receive_deadline;
+    assert_eq!(receive_deadline, request_deadline, "the time limit counts from the first byte");
     assert_eq!(slot.deadline(), None);
-    slot.request_answered(waits);
-    assert_eq!(slot.deadline().unwrap() - waits, rests - start);
+    slot.request_answered(request_deadline);
+    assert_eq!(slot.deadline().unwrap() - request_deadline, idle_deadline - start);
 }
 
-/// Slots are short: one that is idle is evicted only after a time, one within a request that goes on does not, and one whose
-/// request is open never does.
+/// Slots run out: an idle connection is evicted only after a minimum idle time, one on which a request has
+/// begun to arrive is not, and one with an open request never is.
 #[tokio::test]
-async fn only_an_idle_connection_is_evicted_where_slots_are_short() {
+async fn only_an_idle_connection_is_evicted_when_slots_run_out() {
     let (limits, start) = (ConnectionLimits::new(1), Instant::now());
     let guard = limits.admit(start).unwrap();
     guard.slot.received(start, GET.as_bytes());
     let _ = guard.slot.request_taken(start);
     let later = start + Duration::from_secs(3_600);
-    assert!(limits.admit(later).unwrap().slot.over_capacity, "its request is open");
+    assert!(limits.admit(later).unwrap().slot.over_capacity, "the request is open");
     guard.slot.request_answered(later);
-    assert!(limits.admit(later).unwrap().slot.over_capacity, "it has just been answered");
-    let rested = later + Duration::from_secs(3);
-    guard.slot.received(rested, &GET.as_bytes()[..5]);
-    assert!(limits.admit(rested).unwrap().slot.over_capacity, "a request has just begun to come");
-    guard.slot.received(rested, &GET.as_bytes()[5..]);
-    let _ = guard.slot.request_taken(rested);
-    guard.slot.request_answered(rested);
-    assert!(!limits.admit(rested + Duration::from_secs(3)).unwrap().slot.over_capacity, "it rests");
-}
-
-/// A chat client that asks for two choices goes during their reads: both are called off.
-#[tokio::test]
-async fn a_client_that_goes_is_gone_for_all_of_its_choices() {
-    let (reader, writer) = (Stepped::start().await, Stepped::start().await);
-    let site = Crossing::between(&reader, &writer, FRONTS, patient).await;
+    assert!(limits.admit(later).unwrap().slot.over_capacity, "the request has just been answered");
+    let idle_at = later + Duration::from_secs(3);
+    guard.slot.received(idle_at, &GET.as_bytes()[..5]);
+    assert!(limits.admit(idle_at).unwrap().slot.over_capacity, "a request has just begun to arrive");
+    guard.slot.received(idle_at, &GET.as_bytes()[5..]);
+    let _ = guard.slot.request_taken(idle_at);
+    guard.slot.request_answered(idle_at);
+    assert!(
+        !limits.admit(idle_at + Duration::from_secs(3)).unwrap().slot.over_capacity,
+        "the connection is idle"
+    );
+}
+
+/// A chat client that requested two choices disconnects during their reads: both are cancelled.
+#[tokio::test]
+async fn a_client_that_disconnects_cancels_all_of_its_choices() {
+    let (reader, writer) = (ControlledServer::start().await, ControlledServer::start().await);
+    let dispatcher =
+        TestDispatcher::with_reader_and_writer(&reader, &writer, FRONTS_CONFIG, with_long_timeouts).await;
     let body = json!({"model": "kiln-ask", "stream": true, "n": 2,
         "messages": [{"role": "user", "content": "A glaze firing on Friday?"}]});
-    let mut client = Line::to(site.chat).await;
+    let mut client = Line::to(dispatcher.chat).await;
     client.says(&dewladder_test_peers::post(&body.to_string(), "key-of-clay")).await.unwrap();
-    eventually("both reads are out", || reader.count("POST") == 2).await;
+    eventually("both reads are in flight", || reader.count("POST") == 2).await;
     drop(client);
-    sleep(AFTER_CLOSE + AFTER_CLOSE / 2).await;
-    reader.says(READ);
+    sleep(MAX_START_AFTER_CLOSE + MAX_START_AFTER_CLOSE / 2).await;
+    reader.says(READ_RESPONSE);
     writer.says(&stream("late"));
-    sleep(SOON).await;
+    sleep(SETTLE_TIME).await;
     assert_eq!((reader.count("POST"), writer.count("POST")), (2, 0));
-    eventually("both are let go of", || reader.count("DELETE") + writer.count("DELETE") >= 2).await;
+    eventually("both states are released", || reader.count("DELETE") + writer.count("DELETE") >= 2).await;
 }
 
-/// Two clients with one answer, where repeats are known: the first goes, and the request goes on for the second; once
-/// that one goes too it is called off.
+/// Two clients share one request through deduplication: the first disconnects, and the request goes on for the
+/// second; once the second disconnects too, the request is cancelled.
 #[tokio::test]
 async fn a_request_goes_on_as_long_as_one_of_its_clients_stays() {
-    let (reader, writer) = (Stepped::start().await, Stepped::start().await);
-    let site = Crossing::between(&reader, &writer, &format!("{FRONTS}{REPEATS}"), patient).await;
-    let text = chats().replace("Host: h\r\n", "Host: h\r\nIdempotency-Key: k1\r\n");
-    let (mut first, mut second) = (Line::to(site.chat).await, Line::to(site.chat).await);
+    let (reader, writer) = (ControlledServer::start().await, ControlledServer::start().await);
+    let dispatcher = TestDispatcher::with_reader_and_writer(
+        &reader,
+        &writer,
+        &format!("{FRONTS_CONFIG}{REPEATS_CONFIG}"),
+        with_long_timeouts,
+    )
+    .await;
+    let text = chat_request().replace("Host: h\r\n", "Host: h\r\nIdempotency-Key: k1\r\n");
+    let (mut first, mut second) = (Line::to(dispatcher.chat).await, Line::to(dispatcher.chat).await);
     first.says(&text).await.unwrap();
-    eventually("the read is out", || reader.count("POST") == 1).await;
+    eventually("the read is in flight", || reader.count("POST") == 1).await;
     second.says(&text).await.unwrap();
-    sleep(AFTER_CLOSE).await;
+    sleep(MAX_START_AFTER_CLOSE).await;
     drop(first);
-    sleep(AFTER_CLOSE).await;
-    assert_eq!((reader.count("POST"), reader.count("closed")), (1, 0), "it goes on for the second");
+    sleep(MAX_START_AFTER_CLOSE).await;
+    assert_eq!(
+        (reader.count("POST"), reader.count("closed")),
+        (1, 0),
+        "the request goes on for the second client"
+    );
     drop(second);
-    sleep(AFTER_CLOSE + AFTER_CLOSE / 2).await;
-    reader.says(READ);
+    sleep(MAX_START_AFTER_CLOSE + MAX_START_AFTER_CLOSE / 2).await;
+    reader.says(READ_RESPONSE);
     writer.says(&stream("late"));
-    sleep(SOON).await;
+    sleep(SETTLE_TIME).await;
     assert_eq!((reader.count("POST"), writer.count("POST")), (1, 0));
-    eventually("let go of", || reader.count("DELETE") + writer.count("DELETE") > 0).await;
+    eventually("the state is released", || reader.count("DELETE") + writer.count("DELETE") > 0).await;
 }
 
-/// A chat answer breaks off and its rest may be asked for elsewhere, but the client has gone meanwhile: nothing more is
-/// sent. `goes` says how it went.
-async fn goes_before_the_rest_is_asked_for(goes: Goes) {
-    let (reader, peer) = (Stepped::saying(READ).await, Peer::start().await);
+/// A chat answer breaks off and could be resumed on another attempt, but the client has disconnected in the
+/// meantime, in the given way: no further request is sent.
+async fn disconnect_before_resume(disconnect: Disconnect) {
+    let (reader, peer) = (ControlledServer::responding(READ_RESPONSE).await, Peer::start().await);
     let members = vec![read(reader.address, "up"), write(peer.address, "up")];
-    let fronts = format!("{FRONTS}[chat.resume]\nenabled = true\nmost = 3\n");
-    let site = Crossing::start(members, &fronts, patient).await;
-    let mut client = Line::to(site.chat).await;
+    let fronts = format!("{FRONTS_CONFIG}[chat.resume]\nenabled = true\nmost = 3\n");
+    let dispatcher = TestDispatcher::start(members, &fronts, with_long_timeouts).await;
+    let mut client = Line::to(dispatcher.chat).await;
     let text = dewladder_test_peers::chat("kiln-ask", true).replace("Connection: close\r\n", "");
     client.says(&text).await.unwrap();
-    let (mut writer, _) = timeout(LONG, peer.asked()).await.expect("a write");
-    writer.says(&(STREAM.to_owned() + &event("one "))).await.unwrap();
+    let (mut writer, _) = timeout(TEST_TIMEOUT, peer.asked()).await.expect("no write within the time limit");
+    writer.says(&(STREAM_HEAD.to_owned() + &event("one "))).await.unwrap();
     client.until("one ").await;
-    goes.goes(client, &text).await;
-    sleep(AFTER_CLOSE + AFTER_CLOSE / 2).await;
-    drop(writer); // it breaks off
-    sleep(SOON).await;
-    assert_eq!(reader.count("POST"), 1, "{goes:?}: the rest is not asked for");
+    disconnect.disconnect(client, &text).await;
+    sleep(MAX_START_AFTER_CLOSE + MAX_START_AFTER_CLOSE / 2).await;
+    drop(writer); // the answer breaks off
+    sleep(SETTLE_TIME).await;
+    assert_eq!(reader.count("POST"), 1, "{disconnect:?}: a resumed request was sent");
 }
 
 #[tokio::test]
-async fn a_client_that_goes_before_its_answer_breaks_off_is_not_asked_on_for() {
-    for goes in [Goes::Closes, Goes::Resets] {
-        goes_before_the_rest_is_asked_for(goes).await;
+async fn no_resume_is_sent_for_a_client_that_disconnected_before_its_answer_broke_off() {
+    for disconnect in [Disconnect::Closes, Disconnect::Resets] {
+        disconnect_before_resume(disconnect).await;
     }
 }
 
 #[tokio::test]
-async fn a_close_behind_half_a_request_is_seen_before_an_answer_breaks_off() {
-    goes_before_the_rest_is_asked_for(Goes::BehindHalfARequest).await;
+async fn a_close_after_half_a_request_is_noticed_before_an_answer_breaks_off() {
+    disconnect_before_resume(Disconnect::ClosesAfterHalfRequest).await;
 }
 
-/// A client that stays has its rest asked for: the crossing above is a real one.
+/// A control for the tests above: the answer of a client that stays is resumed.
 #[tokio::test]
-async fn a_client_that_stays_has_its_rest_asked_for() {
-    let (reader, peer) = (Stepped::saying(READ).await, Peer::start().await);
+async fn the_answer_of_a_client_that_stays_is_resumed() {
+    let (reader, peer) = (ControlledServer::responding(READ_RESPONSE).await, Peer::start().await);
     let members = vec![read(reader.address, "up"), write(peer.address, "up")];
-    let fronts = format!("{FRONTS}[chat.resume]\nenabled = true\nmost = 3\n");
-    let site = Crossing::start(members, &fronts, patient).await;
-    let mut client = Line::to(site.chat).await;
+    let fronts = format!("{FRONTS_CONFIG}[chat.resume]\nenabled = true\nmost = 3\n");
+    let dispatcher = TestDispatcher::start(members, &fronts, with_long_timeouts).await;
+    let mut client = Line::to(dispatcher.chat).await;
     client.says(&dewladder_test_peers::chat("kiln-ask", true)).await.unwrap();
-    let (mut writer, _) = timeout(LONG, peer.asked()).await.expect("a write");
-    writer.says(&(STREAM.to_owned() + &event("one "))).await.unwrap();
+    let (mut writer, _) = timeout(TEST_TIMEOUT, peer.asked()).await.expect("no write within the time limit");
+    writer.says(&(STREAM_HEAD.to_owned() + &event("one "))).await.unwrap();
     client.until("one ").await;
     drop(writer);
-    eventually("the rest is read", || reader.count("POST") == 2).await;
+    eventually("the resumed request is read", || reader.count("POST") == 2).await;
 }
 
-/// A server drains while the connection to it is still coming up, and the client has gone before: nothing is written on
-/// it.
+/// A server starts to drain while the connection to it is not established yet, and then the client closes: no
+/// request is written on that connection.
 #[tokio::test]
-async fn a_client_that_closes_while_a_connection_to_a_draining_server_comes_up_is_not_sent_on() {
-    for (what, change) in [("cancel", patient as fn(&mut serde_json::Value)), ("no cancel", without_cancel)] {
-        let (late, writer) = (LatePeer::start().await, Stepped::start().await);
+async fn no_request_is_sent_for_a_client_that_closes_while_connecting_to_a_draining_server() {
+    for (label, change) in [
+        ("cancel", with_long_timeouts as fn(&mut serde_json::Value)),
+        ("no cancel", with_long_timeouts_and_no_cancel),
+    ] {
+        let (late, writer) = (LatePeer::start().await, ControlledServer::start().await);
         let members = vec![read(late.address, "up"), write(writer.address, "up")];
-        let site = Crossing::start(members, FRONTS, change).await;
-        let mut client = Line::to(site.platform).await;
-        client.says(&asks("9b1f03aa5c7e2d41", "8.000")).await.unwrap();
-        sleep(AFTER_CLOSE).await;
+        let dispatcher = TestDispatcher::start(members, FRONTS_CONFIG, change).await;
+        let mut client = Line::to(dispatcher.platform).await;
+        client.says(&request("9b1f03aa5c7e2d41", "8.000")).await.unwrap();
+        sleep(MAX_START_AFTER_CLOSE).await;
         let drains = [read(late.address, "draining")];
-        site.agent.tells(Some(json!({"revision": 2, "complete": false, "members": drains})));
+        dispatcher.agent.tells(Some(json!({"revision": 2, "complete": false, "members": drains})));
         sleep(Duration::from_millis(50)).await;
         drop(client);
-        sleep(AFTER_CLOSE + AFTER_CLOSE / 2).await;
-        let reader = Stepped::on(late.opens().await);
-        sleep(Duration::from_millis(2_200)).await; // the system tries again after 1 s
-        assert!(!reader.log().contains(&"POST".to_owned()), "{what}: {:?}", reader.log());
+        sleep(MAX_START_AFTER_CLOSE + MAX_START_AFTER_CLOSE / 2).await;
+        let reader = ControlledServer::on_peer(late.opens().await);
+        sleep(Duration::from_millis(2_200)).await; // the kernel retries the connection after 1 s
+        assert!(!reader.log().contains(&"POST".to_owned()), "{label}: {:?}", reader.log());
     }
 }
