--- a/src/conform.rs
+++ b/src/conform.rs
@@ -1,4 +1,4 @@
-//! `dewladder conform`: the conformance suite against any front on loopback.
+//! `dewladder conform`: runs the conformance suite against a chat front on loopback and prints the results.
 
 use std::io;
 use std::net::{SocketAddr, ToSocketAddrs as _};
@@ -7,24 +7,24 @@
 use dewladder_conform::{cases, run, CaseReport, CaseResult, CasesError, Target};
 use pico_args::Arguments;
 
-/// Why the suite was not run, or that not all cases passed. `Display` writes one plain line.
+/// Why the suite was not run, or that not all cases passed. The `Display` text is one line.
 #[derive(Debug, thiserror::Error)]
 pub enum ConformError {
-    /// An argument that can't be read.
+    /// An argument could not be parsed.
     #[error(transparent)]
     Argument(#[from] pico_args::Error),
-    /// An argument that the command does not have.
+    /// The command has no such argument.
     #[error("{0} is not known; 'dewladder help' lists what is")]
     UnknownArgument(String),
-    /// An argument that must be given: what it is, and how to give it.
+    /// A required argument is missing.
     #[error("no {what}: give {how}")]
     MissingArgument {
-        /// What is missing.
+        /// What the argument names.
         what: &'static str,
-        /// How to give it.
+        /// The argument, with a placeholder or description of its value.
         how: &'static str,
     },
-    /// A URL that can't be used.
+    /// The URL can't be used.
     #[error("--url '{url}': {reason}")]
     Url {
         /// The URL as given.
@@ -32,54 +32,55 @@
         /// What is wrong with it.
         reason: UrlError,
     },
-    /// The cases can't be read.
+    /// The files with the cases could not be read or parsed.
     #[error(transparent)]
     Cases(#[from] CasesError),
-    /// No case has this in its name.
-    #[error("--only: no case's name holds '{0}'")]
+    /// No case's name contains the text given with `--only`.
+    #[error("--only: no case's name contains '{0}'")]
     NoSuchCase(String),
     /// Some cases did not pass.
     #[error("{not_passed} of {all} cases did not pass")]
     NotPassed {
-        /// Cases that failed or could not be run.
+        /// Number of cases that failed or could not be run.
         not_passed: usize,
-        /// All cases.
+        /// Number of all cases.
         all: usize,
     },
 }
 
-/// What is wrong with a URL.
+/// Why a URL can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum UrlError {
-    /// Another scheme, or none.
+    /// The URL has no scheme or one other than `http`.
     #[error("it must begin with http://")]
     Scheme,
-    /// Its host can't be resolved.
+    /// The host could not be resolved.
     #[error(transparent)]
     Host(#[from] io::Error),
-    /// Its host has no address.
-    #[error("it names no address")]
+    /// The host was resolved, but to no address.
+    #[error("the host has no address")]
     NoAddress,
-    /// An address elsewhere.
+    /// The address is not on loopback. The suite is not run against other machines.
     #[error("only addresses on loopback are tried")]
     NotLoopback,
 }
 
-/// What the arguments ask for.
+/// The parsed arguments of the command.
 struct Options {
+    /// The front under test, and the models and keys to use.
     target: Target,
-    /// Only cases with this in their names.
+    /// Run only cases whose names contain this text.
     only: Option<String>,
-    /// Cases that passed are printed too.
+    /// Also print cases that passed.
     verbose: bool,
-    /// Also cases that ask servers to fail.
+    /// Also run cases that make servers fail, which only simulated servers can do on request.
     faults: bool,
 }
 
-/// Runs the cases that the arguments name, and prints a table.
+/// Runs the cases that the arguments select, and prints a table of the results.
 ///
 /// # Errors
-/// Arguments that can't be used, or how many cases did not pass.
+/// The arguments or the cases can't be used, or some cases did not pass.
 pub async fn conform(arguments: Arguments) -> Result<(), ConformError> {
     let options = Options::parse(arguments)?;
     let mut cases = cases()?;
@@ -95,6 +96,7 @@
 }
 
 impl Options {
+    /// Parses the arguments. Each call makes a new nonce, so that idempotency keys differ from those of earlier runs.
     fn parse(mut arguments: Arguments) -> Result<Self, ConformError> {
         let mut option = |name: &'static str| arguments.opt_value_from_str::<_, String>(name);
         let (url, key, other_key) = (option("--url")?, option("--key")?, option("--other-key")?);
@@ -105,7 +107,7 @@
         }
         let missing = |what, how| ConformError::MissingArgument { what, how };
         let url = url.ok_or(missing("front", "--url http://ADDRESS:PORT"))?;
-        // Names of models are each front's own.
+        // There are no defaults: each front names its own models.
         let model = model.ok_or(missing("model", "--model, one whose requests may be repeated"))?;
         let once = once.ok_or(missing("model", "--once, one whose requests must not run twice"))?;
         let nonce = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |time| time.as_nanos());
@@ -115,6 +117,10 @@
     }
 }
 
+/// Prints the cases that did not pass, or all of them, and the totals.
+///
+/// # Errors
+/// How many cases did not pass, if any.
 fn print_reports(reports: &[CaseReport], verbose: bool) -> Result<(), ConformError> {
     let (mut passed, mut failed, mut not_run) = (0, 0, 0);
     for CaseReport { name, result } in reports {
@@ -144,7 +150,7 @@
     }
 }
 
-/// The address that a URL names: on loopback only.
+/// The address of a URL, which must be on loopback.
 fn loopback_address(url: &str) -> Result<SocketAddr, UrlError> {
     let rest = url.strip_prefix("http://").ok_or(UrlError::Scheme)?;
     let mut addresses = rest.trim_end_matches('/').to_socket_addrs()?;
--- a/src/edge/dispatcher.rs
+++ b/src/edge/dispatcher.rs
@@ -31,7 +31,7 @@
 use crate::edge::phase::Phase;
 use crate::edge::settings::{Config, FieldError, Fronts};
 use crate::edge::stats::Figures;
-use crate::edge::transient::{self, is_transient, outlast};
+use crate::edge::transient::{self, is_transient, retry_transient};
 use dewladder_hot_restart::Stage;
 
 /// Why a dispatcher can't start. The message is a single line.
@@ -188,6 +188,6 @@
     let cluster = cluster.map(Cluster::view);
     let sources = Sources { health: health.clone(), cluster, driver: driver.clone() };
     let start = || Admin::start(at, sources.clone());
-    outlast("second address", transient::START, is_transient, start)
+    retry_transient("second address", transient::START, is_transient, start)
         .map_err(|error: io::Error| ListenError { address: at, error })
 }
--- a/src/edge/dispatcher/listeners.rs
+++ b/src/edge/dispatcher/listeners.rs
@@ -9,7 +9,7 @@
 
 use crate::edge::clients::listener;
 use crate::edge::gossip_transport::GossipTransport;
-use crate::edge::transient::{self, is_transient, outlast};
+use crate::edge::transient::{self, is_transient, retry_transient};
 
 /// How long opening an optional socket is retried at startup.
 const OPTIONAL_BIND_TIME: Duration = Duration::from_millis(500);
@@ -28,14 +28,14 @@
 /// Opens the socket for load gossip. Blocks the thread for [`OPTIONAL_BIND_TIME`] at most, as the dispatcher can
 /// serve without it.
 pub(super) fn bind_gossip(at: SocketAddr, all: SocketAddr, shared: bool) -> io::Result<GossipTransport> {
-    outlast("peers", OPTIONAL_BIND_TIME, is_transient, || GossipTransport::bind(at, all, shared))
+    retry_transient("peers", OPTIONAL_BIND_TIME, is_transient, || GossipTransport::bind(at, all, shared))
 }
 
 /// Opens a listener for clients. If `shared` is set, another process of this dispatcher may listen on the same
 /// address. Blocks the thread while it retries after transient errors, which is harmless as nothing is served yet.
 pub(super) fn listen(address: SocketAddr, shared: bool) -> Result<TcpListener, ListenError> {
     let listen = || listener::listen(address, shared);
-    let listening = outlast("listener", transient::START, is_transient, listen);
+    let listening = retry_transient("listener", transient::START, is_transient, listen);
     listening.map_err(|error| ListenError { address, error })
 }
 
--- a/src/edge/transient.rs
+++ b/src/edge/transient.rs
@@ -1,6 +1,5 @@
-//! Failures of system calls that pass by themselves, by the errnos of the man pages: the system lacks descriptors, memory
-//! or ports for a moment, an address is about to be free, a disk is full or fails. What must be done all the same is
-//! done again after a short wait.
+//! Retries of system calls that fail for a transient reason, as told by their errno: the system lacks descriptors,
+//! memory or ports for a moment, an address is still in use, a disk is full or fails.
 
 use std::fmt::Display;
 use std::io;
@@ -9,13 +8,13 @@
 
 use log::warn;
 
-/// What a start needs is asked for again for so long; the platform waits 10 s for a process to be ready.
+/// How long calls that are needed at startup are retried. The platform waits 10 s for a process to be ready.
 pub const START: Duration = Duration::from_secs(6);
-/// Time between two tries.
+/// Time between two tries of a call.
 pub const PAUSE: Duration = Duration::from_millis(20);
 
-/// Errnos of `socket(2)`, `bind(2)`, `listen(2)`, `accept(2)`, `connect(2)`, `open(2)`, `write(2)` and `flock(2)` that say
-/// nothing of the other side, and that may be gone a moment later.
+/// Errnos of `socket(2)`, `bind(2)`, `listen(2)`, `accept(2)`, `connect(2)`, `open(2)`, `write(2)` and `flock(2)`
+/// whose cause is on this machine rather than at the peer, and may be gone a moment later.
 const TRANSIENT: [i32; 13] = [
     libc::EINTR,
     libc::EAGAIN,
@@ -32,30 +31,31 @@
     libc::ENOLCK,
 ];
 
-/// Whether a failed call may do its work a moment later.
+/// Whether a call that failed with this error may succeed a moment later.
 #[must_use]
 pub fn is_transient(error: &io::Error) -> bool {
     error.raw_os_error().is_some_and(|errno| TRANSIENT.contains(&errno))
 }
 
-/// Makes a call that a start can't do without, again and again while it fails for a moment, for so long at most. Blocks
-/// the thread: nothing is served yet.
+/// Calls `call`, and retries it for `time` while it fails with errors for which `may_pass` holds. The first such
+/// error is logged with `part`, the name of what is being started. Blocks the thread, so it is only for the startup,
+/// before anything is served.
 ///
 /// # Errors
-/// What it says last, or at once where that does not pass.
-pub fn outlast<T, E: Display>(
-    what: &str,
+/// The first error for which `may_pass` does not hold, or the last error once the time is over.
+pub fn retry_transient<T, E: Display>(
+    part: &str,
     time: Duration,
-    passes: impl Fn(&E) -> bool,
+    may_pass: impl Fn(&E) -> bool,
     mut call: impl FnMut() -> Result<T, E>,
 ) -> Result<T, E> {
-    let until = Instant::now() + time;
-    let mut told = false;
+    let retry_until = Instant::now() + time;
+    let mut is_logged = false;
     loop {
         match call() {
-            Err(error) if passes(&error) && Instant::now() < until => {
-                if !std::mem::replace(&mut told, true) {
-                    warn!(part = what, reason:% = error; "start: tried again");
+            Err(error) if may_pass(&error) && Instant::now() < retry_until => {
+                if !std::mem::replace(&mut is_logged, true) {
+                    warn!(part = part, reason:% = error; "start: failed for now, retrying");
                 }
                 thread::sleep(PAUSE);
             }
