--- a/src/edge/admin.rs
+++ b/src/edge/admin.rs
@@ -1,8 +1,9 @@
-//! The second address, for the staff and the platform: each connection carries one line, is answered and closed.
-//! `READY` says whether this process can serve, `STATS` shows the figures, `HELD` those of state that servers hold, and
-//! `REQUESTS` the histories of open requests.
+//! The admin server, which operators and the platform query at a second address. Each connection carries one command
+//! line; the server answers it and closes the connection. `READY` tells whether this process can serve, `STATS` lists
+//! the metrics, `HELD` the statistics of the state that servers hold, and `REQUESTS` the histories of open requests.
+//! `GET /cluster/members` returns the members of the cluster, if there is one.
 //!
-//! It runs on a thread of its own, so that a caller does not wait behind all that a busy dispatcher has to do.
+//! The server runs on a thread of its own, so that a busy dispatcher does not delay its answers.
 
 use std::collections::VecDeque;
 use std::io;
@@ -22,39 +23,42 @@
 use crate::edge::driver::{DriverHandle, Message};
 use crate::edge::tcp::UninterruptedStream;
 
-/// Callers at once. The oldest that has not sent its line yet makes room for a new one.
-const MAX_CALLERS: usize = 16;
-/// But each has so long to send it, however many others come.
-const MIN_LINE_TIME: Duration = Duration::from_millis(100);
-/// A line that has not come by then is not waited for.
+/// Maximum number of open connections. At the maximum, a new connection closes the oldest one.
+const MAX_CONNECTIONS: usize = 16;
+/// Minimum time that a connection stays open before a new one may close it.
+const MIN_CONNECTION_TIME: Duration = Duration::from_millis(100);
+/// How long the server waits for the line.
 const LINE_TIMEOUT: Duration = Duration::from_secs(6);
-/// A caller that does not read its answer by then is not waited for.
+/// How long the server waits for the client to read the answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
-/// What a caller sends behind its line is read for so long: unread, it would take the answer along.
+/// How long data after the line is read and dropped. Closing a socket with unread data resets the connection, and the
+/// client would lose the answer.
 const LINGER_TIME: Duration = Duration::from_millis(200);
-/// What only the driver knows is waited for so long: a busy one is late, and callers wait for 1 s.
+/// How long the server waits for an answer of the driver, which may be busy; clients wait 1 s.
 const DRIVER_TIMEOUT: Duration = Duration::from_millis(700);
-/// A line holds so many bytes at most.
+/// Maximum length of a line (bytes).
 const MAX_LINE_BYTES: usize = 256;
-/// After an accept that failed.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// The pause after an accept that failed.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Descriptors of the second address: its listener, its runtime's own, its callers.
-pub const DESCRIPTORS: usize = MAX_CALLERS + 6;
+/// Maximum number of file descriptors that the admin server uses: its connections, its listener and those of its
+/// runtime.
+pub const DESCRIPTORS: usize = MAX_CONNECTIONS + 6;
 
-/// Where answers come from.
+/// Where the admin server gets its answers from.
 #[derive(Clone)]
 pub struct Sources {
-    /// Whether this process can serve, and its figures.
+    /// For `READY` and `STATS`: whether this process can serve, and its metrics.
     pub health: Health,
-    /// The members of the cluster, where there is one.
+    /// For `GET /cluster/members`: the members of the cluster; `None` if there is no cluster.
     pub cluster: Option<View>,
-    /// Open requests and held state.
+    /// For `HELD` and `REQUESTS`, which only the driver can answer.
     pub driver: DriverHandle,
 }
 
 impl Sources {
-    /// Asks the driver, and adds the line that ends its answer.
+    /// Sends the driver a query and returns its lines with the end marker, or an error line if the driver does not
+    /// answer within [`DRIVER_TIMEOUT`].
     async fn ask_driver(&self, message: impl FnOnce(oneshot::Sender<String>) -> Message) -> String {
         let (reply, replied) = oneshot::channel();
         self.driver.send(message(reply));
@@ -65,18 +69,19 @@
     }
 }
 
-/// The thread that answers; it ends when this is dropped.
+/// The handle of the admin server's thread, which ends when the handle is dropped.
 #[derive(Debug)]
 pub struct Admin {
     address: SocketAddr,
-    _end: oneshot::Sender<()>,
+    /// Dropping the sender ends the thread.
+    _end_sender: oneshot::Sender<()>,
 }
 
 impl Admin {
-    /// Listens at `address` and answers from then on.
+    /// Listens at `address` and starts the thread.
     ///
     /// # Errors
-    /// What the system says.
+    /// The error of the system call that failed.
     pub fn start(address: SocketAddr, sources: Sources) -> io::Result<Self> {
         let socket = std::net::TcpListener::bind(address)?;
         socket.set_nonblocking(true)?;
@@ -90,76 +95,80 @@
                         () = serve(listener, sources) => {}
                         _ = ended => {}
                     },
-                    Err(what) => error!(reason:% = what; "second address: not started"),
+                    Err(error) => error!(reason:% = error; "second address: listener not started"),
                 }
             });
         };
         std::thread::Builder::new().name("admin".to_owned()).spawn(serve)?;
-        Ok(Self { address, _end: end })
+        Ok(Self { address, _end_sender: end })
     }
 
-    /// Where it listens.
+    /// The address that the server listens at, with the actual port.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 }
 
-/// Answers callers for ever.
+/// Accepts connections and answers each in a task of its own. Never returns.
 pub async fn serve(listener: TcpListener, sources: Sources) {
-    let mut callers: VecDeque<(Instant, JoinHandle<()>)> = VecDeque::new();
+    let mut connections: VecDeque<(Instant, JoinHandle<()>)> = VecDeque::new();
     loop {
         let stream = match accept(&listener).await {
             Ok(stream) => stream,
             Err(error) => {
                 warn!(reason:% = error; "second address: accept failed");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        callers.retain(|(_, caller)| !caller.is_finished());
-        if callers.len() >= MAX_CALLERS {
-            if let Some((since, caller)) = callers.pop_front() {
-                tokio::time::sleep_until(since + MIN_LINE_TIME).await;
-                caller.abort();
+        connections.retain(|(_, task)| !task.is_finished());
+        if connections.len() >= MAX_CONNECTIONS {
+            if let Some((accepted_at, task)) = connections.pop_front() {
+                tokio::time::sleep_until(accepted_at + MIN_CONNECTION_TIME).await;
+                task.abort();
             }
         }
         let now = Instant::now();
-        let answering = tokio::spawn(answer(stream, sources.clone(), now + LINE_TIMEOUT));
-        callers.push_back((now, answering));
+        let answer_task = tokio::spawn(answer(stream, sources.clone(), now + LINE_TIMEOUT));
+        connections.push_back((now, answer_task));
     }
 }
 
-async fn answer(stream: TcpStream, sources: Sources, by: Instant) {
+/// Answers one connection. The line must arrive before the deadline.
+async fn answer(stream: TcpStream, sources: Sources, deadline: Instant) {
     let mut stream = UninterruptedStream(stream);
-    let response = match timeout_at(by, read_line(&mut stream)).await {
+    let response = match timeout_at(deadline, read_line(&mut stream)).await {
         Ok(Ok(line)) => response(&line, &sources).await,
-        Ok(Err(what)) => format!("ERR {what}\n"),
+        Ok(Err(error)) => format!("ERR {error}\n"),
         Err(_) => "ERR no line came\n".to_owned(),
     };
     let write = async {
         stream.write_all(response.as_bytes()).await?;
         stream.shutdown().await
     };
-    // A caller that has left, or does not read, has no use for the answer.
+    // Write errors are ignored: the client has left or does not read.
     if let Ok(Ok(())) = timeout_at(Instant::now() + ANSWER_TIMEOUT, write).await {
-        let mut nowhere = tokio::io::sink();
-        let _ = timeout_at(Instant::now() + LINGER_TIME, tokio::io::copy(&mut stream, &mut nowhere)).await;
+        let mut sink = tokio::io::sink();
+        let _ = timeout_at(Instant::now() + LINGER_TIME, tokio::io::copy(&mut stream, &mut sink)).await;
     }
 }
 
-/// Why a caller's line can't be answered; the words are part of the answer.
+/// Why a line can't be answered. The texts are part of the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 enum LineError {
+    /// The line exceeds [`MAX_LINE_BYTES`].
     #[error("the line is too long")]
     TooLong,
+    /// The client closed the connection without sending anything.
     #[error("no line came")]
     Absent,
+    /// Reading from the socket failed.
     #[error("the line can't be read")]
     Unreadable,
 }
 
-/// The line that a caller sends, without its end; a caller that has no more to send has come to its end too.
+/// Reads one line and returns it without its newline. The end of the stream also ends the line.
 async fn read_line(stream: &mut (impl AsyncRead + Unpin)) -> Result<Vec<u8>, LineError> {
     let mut line = Vec::with_capacity(MAX_LINE_BYTES);
     loop {
@@ -179,10 +188,11 @@
     }
 }
 
+/// The answer to a line. Only if there is a cluster, `GET` requests are answered.
 async fn response(line: &[u8], sources: &Sources) -> String {
     let line = line.strip_suffix(b"\r").unwrap_or(line);
     if let (Some(cluster), Some(path)) = (&sources.cluster, line.strip_prefix(b"GET ")) {
-        return http(path, cluster);
+        return http_response(path, cluster);
     }
     match line {
         b"READY" => match sources.health.ready() {
@@ -197,8 +207,8 @@
     }
 }
 
-/// The answer to an HTTP client, where there is a cluster to tell of. The connection ends with it.
-fn http(request: &[u8], cluster: &View) -> String {
+/// The response to an HTTP request, whose text after `GET ` is `request`.
+fn http_response(request: &[u8], cluster: &View) -> String {
     let (status, body) = if request.starts_with(b"/cluster/members HTTP/1.") {
         ("200 OK", cluster.json())
     } else {
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -1,5 +1,5 @@
-//! The real dispatcher: a reducer that deals in requests, attempts and outcomes (`core`), the loop that
-//! feeds it (`driver`), and a module for each peer that is spoken to.
+//! The dispatcher on sockets: the reducer of requests, attempts and outcomes (`core`), the event loop that feeds it
+//! (`driver`), and modules for its peers: clients, servers, discovery, balancers and other dispatchers.
 
 pub mod accept;
 pub mod admin;
--- a/src/edge/shutdown_times.rs
+++ b/src/edge/shutdown_times.rs
@@ -1,41 +1,42 @@
-//! The times of a shutdown. A process that was told to end may be killed as early as the longest deadline of its classes
-//! and a grace period after that (the protocol page): these times follow from the settings.
+//! The schedule of a shutdown. By the platform's protocol, a process may be killed once the longest deadline of its
+//! classes plus a grace period have passed since the signal to end; the schedule follows from that.
 
 use crate::interface::{Micros, Settings};
 
-/// Deadlines count as this at most (us).
+/// Longer deadlines of classes count as this in the schedule (us).
 const MAX_DEADLINE: Micros = 3_000_000;
-/// A process may be killed so long after the longest deadline (us). A request that comes later than this after the signal
-/// has to be answered before the kill.
+/// Time from the longest deadline to the earliest kill (us). A request that arrives later than this after the signal
+/// may have a deadline after the kill, but must be answered before it.
 const GRACE_PERIOD: Micros = 700_000;
-/// New connections go on coming for up to 0.4 s after the signal; only then are idle ones closed (us).
-const CLOSE_AFTER: Micros = 600_000;
-/// A process may be held up for so long between a request's arrival and its being read (us).
-const MAX_HOLD_UP: Micros = 150_000;
-/// Answers, and the release of what is held, take so long at most (us).
+/// When listeners and idle connections are closed after the signal (us): later than new connections still arrive, which
+/// is up to 0.4 s after the signal.
+const CLOSE_DELAY: Micros = 600_000;
+/// Maximum time from the arrival of a request until the process reads it (us).
+const MAX_READ_DELAY: Micros = 150_000;
+/// Time reserved before the kill for writing answers and releasing held state (us).
 const ANSWER_MARGIN: Micros = 100_000;
 
-/// When what happens after the signal to end, on the dispatcher's clock (us).
+/// The times of the steps of a shutdown, on the dispatcher's clock (us).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownTimes {
-    /// Listeners and idle connections are closed.
+    /// When listeners and idle connections are closed.
     pub close_at: Micros,
-    /// Requests that are read from then on are refused: their streams might not come to their end.
+    /// Requests that are read from this time on are rejected, as their streams might not end before the kill.
     pub refuse_from: Micros,
-    /// All requests have their answer by then, or the first event of their stream.
+    /// The latest time for each open request to get its answer, or the first event of its stream.
     pub answer_by: Micros,
 }
 
 impl ShutdownTimes {
-    /// The times of a process that is told to end now.
+    /// The schedule of a process that gets the signal to end at `now` (us).
     #[must_use]
     pub fn new(settings: &Settings, now: Micros) -> Self {
         let longest_deadline = settings.classes.values().map(|class| class.default_timeout).max();
-        let killed_at = now + longest_deadline.unwrap_or(MAX_DEADLINE).min(MAX_DEADLINE) + GRACE_PERIOD;
+        let earliest_kill = now + longest_deadline.unwrap_or(MAX_DEADLINE).min(MAX_DEADLINE) + GRACE_PERIOD;
         Self {
-            close_at: now + CLOSE_AFTER,
-            refuse_from: now + GRACE_PERIOD + MAX_HOLD_UP,
-            answer_by: killed_at.saturating_sub(ANSWER_MARGIN),
+            close_at: now + CLOSE_DELAY,
+            refuse_from: now + GRACE_PERIOD + MAX_READ_DELAY,
+            answer_by: earliest_kill.saturating_sub(ANSWER_MARGIN),
         }
     }
 }
--- a/src/edge/stats.rs
+++ b/src/edge/stats.rs
@@ -1,5 +1,5 @@
-//! The figures: one record of what became of requests, written where it happens, and views of it. Nothing here
-//! does I/O; times do not matter.
+//! Metrics: one shared record of request outcomes and other counts, updated where the events happen, and its text
+//! format. Nothing here does I/O or depends on time.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -8,36 +8,36 @@
 use crate::edge::guard::{Guard, Rule};
 use crate::edge::transitions::Transitions;
 
-/// How a request ended. Each ends once.
+/// How a request ended. Each request has exactly one end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// Served: its stream was passed on to its end.
+    /// Served: the client got the whole stream.
     Completed,
-    /// Refused with 429 or 503: trying again is harmless.
+    /// Rejected with status 429 or 503: a retry is safe.
     Rejected,
-    /// Answered with anything else, or its stream was cut.
+    /// Answered with any other status, or the stream broke off.
     Failed,
-    /// Its client went away before the end.
+    /// The client disconnected before the end.
     Left,
 }
 
-/// What became of the requests of one class since the start.
+/// Numbers of requests by outcome since the start, of one class or of all classes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Requests that were taken.
+    /// Requests that have arrived, with those still pending.
     pub taken: u64,
-    /// Of these, served.
+    /// Requests that ended with [`End::Completed`].
     pub completed: u64,
-    /// Refused.
+    /// Requests that ended with [`End::Rejected`].
     pub rejected: u64,
-    /// Failed.
+    /// Requests that ended with [`End::Failed`].
     pub failed: u64,
-    /// Left by their clients.
+    /// Requests that ended with [`End::Left`].
     pub left: u64,
 }
 
 impl Counts {
-    /// Taken and not ended.
+    /// Requests that have arrived and not ended.
     #[must_use]
     pub fn pending(&self) -> u64 {
         self.taken - self.completed - self.rejected - self.failed - self.left
@@ -61,7 +61,7 @@
         self.left += other.left;
     }
 
-    /// What has been added since `before`.
+    /// The differences from the earlier counts `before`.
     #[must_use]
     pub fn since(&self, before: &Self) -> Self {
         Self {
@@ -74,60 +74,61 @@
     }
 }
 
-/// The record. See the [module](self).
+/// All metrics of the process. See the [module](self).
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Record {
-    /// By class. A class that is dropped stays: counters never go back.
+    /// Counts by the name of the class. A class that was removed from the settings stays, as counters must never
+    /// decrease.
     classes: BTreeMap<Arc<str>, Counts>,
-    /// Attempts written whole to servers.
+    /// Attempts whose request was written completely to a server.
     pub sent_whole: u64,
     /// Servers in the list.
     pub members: usize,
-    /// Servers of the list that are avoided now.
+    /// Servers in the list that the router avoids now. Updated at intervals.
     pub members_unavailable: usize,
-    /// Servers of the list that take work, as it says.
+    /// Servers that the list marks as ready for work.
     pub members_ready: usize,
-    /// They can serve a request together.
+    /// The ready servers of the list can together serve a request.
     pub serves: bool,
-    /// Configurations taken over at SIGHUP.
+    /// Configurations that were applied after SIGHUP.
     pub reloads: u64,
-    /// Configurations turned down at SIGHUP.
+    /// Configurations that were rejected after SIGHUP.
     pub reload_errors: u64,
-    /// Requests that the reducer has, with those that are over while an attempt is still out.
+    /// Requests in the reducer, including those that have ended while an attempt is still in flight.
     pub open: usize,
-    /// Releases under way.
+    /// Releases of held state that are in progress.
     pub releases: usize,
-    /// Messages of other dispatchers that were dropped.
+    /// Load gossip messages of other dispatchers that were dropped as invalid.
     pub messages_dropped: u64,
-    /// The refused sends and the violations that the guard has counted.
+    /// The guard's counts of refused sends and rule violations.
     pub guard: Guard,
-    /// What became of attempts and requests, by reason.
+    /// Counts of the transitions of attempts and requests, by reason.
     pub transitions: Transitions,
 }
 
 impl Record {
-    /// Has a class counted from now on; it is there with zeros at once.
+    /// Adds a class with counts of zero, if it is not there yet. Requests of other classes are not counted.
     pub fn know(&mut self, class: &str) {
         if !self.classes.contains_key(class) {
             self.classes.insert(class.into(), Counts::default());
         }
     }
 
-    /// A request of a class that is known has been taken; one that is not known is not counted.
+    /// Counts the arrival of a request, if its class is [known](Self::know).
     pub fn taken(&mut self, class: &str) {
         if let Some(counts) = self.classes.get_mut(class) {
             counts.taken += 1;
         }
     }
 
-    /// A request that had been taken has ended.
+    /// Counts the end of a request that was counted by [`taken`](Self::taken).
     pub fn ended(&mut self, class: &str, end: End) {
         if let Some(counts) = self.classes.get_mut(class) {
             counts.ended(end);
         }
     }
 
-    /// All classes together.
+    /// The sums over all classes.
     #[must_use]
     pub fn all(&self) -> Counts {
         let mut all = Counts::default();
@@ -135,18 +136,18 @@
         all
     }
 
-    /// One class.
+    /// The counts of one class; `None` if it is not known.
     #[must_use]
     pub fn class(&self, name: &str) -> Option<Counts> {
         self.classes.get(name).copied()
     }
 
-    /// The figures as the second address shows them, without the last line.
+    /// The metrics in the text format of the admin command `STATS`, without the line that ends the answer.
     #[must_use]
     pub fn lines(&self) -> String {
         let mut text = String::new();
         let mut line = |name: &str, value: u64, kind: char| {
-            let _ = writeln!(text, "edge_router.{name}:{value}|{kind}"); // a String takes all
+            let _ = writeln!(text, "edge_router.{name}:{value}|{kind}"); // writing to a String can't fail
         };
         for (class, counts) in &self.classes {
             let class = escaped(class);
@@ -160,17 +161,18 @@
         line("pending", self.all().pending(), 'g');
         line("members", self.members as u64, 'g');
         line("members_unavailable", self.members_unavailable as u64, 'g');
-        for (at, rule) in Rule::ALL.into_iter().enumerate() {
-            line(&format!("guard_refused.{}", rule.name()), self.guard.refused()[at], 'c');
-            line(&format!("guard_broken.{}", rule.name()), self.guard.violations()[at], 'c');
+        for (index, rule) in Rule::ALL.into_iter().enumerate() {
+            line(&format!("guard_refused.{}", rule.name()), self.guard.refused()[index], 'c');
+            line(&format!("guard_broken.{}", rule.name()), self.guard.violations()[index], 'c');
         }
         self.transitions.counts().for_each(|(name, count)| line(&name, count, 'c'));
         text
     }
 }
 
-/// A class's name as part of a figure's: whatever would break the form (a dot, a colon, a bar, spaces, ends of
-/// lines, what is no ASCII) is written as `%` and two hex digits, so that no two names look alike.
+/// Escapes the name of a class for use in the name of a metric. Bytes that would break the line format (dots, colons,
+/// bars, whitespace, and all bytes that are not ASCII letters, digits, `_` or `-`) become `%` and two hex digits, so
+/// that different names stay different.
 fn escaped(name: &str) -> String {
     let mut text = String::new();
     for byte in name.bytes() {
@@ -183,17 +185,18 @@
     text
 }
 
-/// The record, as all who write or show it share it.
+/// A shared handle to the [`Record`].
 #[derive(Clone, Debug, Default)]
 pub struct Figures(Arc<Mutex<Record>>);
 
 impl Figures {
-    /// The record, to be held for a few additions only: the second address waits for it.
+    /// Locks the record. Hold the lock only briefly: the admin server waits for it.
     pub fn record(&self) -> MutexGuard<'_, Record> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A front has answered a request by itself. Without a class that is known it is not counted.
+    /// Counts the arrival and the end of a request that a front answered without passing it to the driver. Without a
+    /// known class the request is not counted.
     pub fn answered_by_front(&self, class: Option<&str>, end: End) {
         if let Some(class) = class {
             let mut record = self.record();
@@ -202,31 +205,31 @@
         }
     }
 
-    /// Requests that are open.
+    /// Number of requests in the reducer: [`Record::open`].
     #[must_use]
     pub fn open(&self) -> usize {
         self.record().open
     }
 
-    /// Servers that take work, by the list.
+    /// Number of servers that the list marks as ready: [`Record::members_ready`].
     #[must_use]
     pub fn servers(&self) -> usize {
         self.record().members_ready
     }
 
-    /// Whether they can serve a request together.
+    /// Whether the ready servers can together serve a request: [`Record::serves`].
     #[must_use]
     pub fn serves(&self) -> bool {
         self.record().serves
     }
 
-    /// Messages of other dispatchers that were no claim that can be used.
+    /// Number of load gossip messages dropped as invalid: [`Record::messages_dropped`].
     #[must_use]
     pub fn messages_dropped(&self) -> u64 {
         self.record().messages_dropped
     }
 
-    /// Whether neither a request is open nor a release under way.
+    /// Whether no request is open and no release is in progress.
     #[must_use]
     pub fn nothing_held(&self) -> bool {
         let record = self.record();
