--- a/crates/chat/src/stream_writer.rs
+++ b/crates/chat/src/stream_writer.rs
@@ -79,7 +79,7 @@
     /// The event that ends a stream whose servers failed: a single error, without `[DONE]` or any other sign of a
     /// complete answer. Only chunk streams report `code`; a response always reports `server_error`.
     #[must_use]
-    pub fn cut(&mut self, code: &str, message: &str) -> String {
+    pub fn fail(&mut self, code: &str, message: &str) -> String {
         match &mut self.format {
             StreamFormat::Response(stream) => stream.fail(message),
             StreamFormat::Chunks(_) => {
--- a/crates/chat/tests/written_bytes.rs
+++ b/crates/chat/tests/written_bytes.rs
@@ -527,7 +527,7 @@
                 collected.push(choice, &event);
             }
             text += &writer.close();
-            cut_text += &cut.cut("stream_cut", "the server's stream broke");
+            cut_text += &cut.fail("stream_cut", "the server's stream broke");
             writeln!(text, "--- cut\n{cut_text}").expect("write to a String");
             writeln!(text, "--- whole\n{}", collected.chat(&metadata())).expect("write to a String");
             writeln!(text, "{}", collected.completion(&metadata(), |choice| format!("<{choice}>")))
--- a/crates/idempotency/src/entry.rs
+++ b/crates/idempotency/src/entry.rs
@@ -2,7 +2,7 @@
 
 use crate::fingerprint::Fingerprint;
 use crate::recording::Recording;
-use crate::types::{Execution, IncomingRequest, Outcome, RequestIdentity};
+use crate::types::{IncomingRequest, Outcome, RequestIdentity, RunInfo};
 use crate::Micros;
 
 /// Bytes that one entry takes in the index, the timing wheel and the eviction lists.
@@ -52,7 +52,7 @@
     pub(crate) run: u32,
     /// Position of the run among all runs of the store: later runs have greater numbers.
     pub(crate) sequence: u32,
-    pub(crate) execution: Execution,
+    pub(crate) run_info: RunInfo,
     /// Bytes that the table charges for this entry and its answer.
     pub(crate) charged_bytes: u32,
     /// The entry was removed from the index; its slot is freed when the last reader leaves.
@@ -74,7 +74,7 @@
             readers: 1,
             run: 0,
             sequence: 0,
-            execution: Execution::default(),
+            run_info: RunInfo::default(),
             charged_bytes: 0,
             is_detached: false,
         }
--- a/crates/idempotency/src/lib.rs
+++ b/crates/idempotency/src/lib.rs
@@ -32,8 +32,8 @@
 pub use retry_budget::RetryBudgetPolicy;
 pub use store::IdempotencyStore;
 pub use types::{
-    Admission, DeferReason, Effect, EntryId, Execution, IncomingRequest, Outcome, ReadResult, RejectReason,
-    RequestIdentity, Stats,
+    Admission, DeferReason, Effect, EntryId, IncomingRequest, Outcome, ReadResult, RejectReason,
+    RequestIdentity, RunInfo, Stats,
 };
 
 /// A point on the caller's clock, or a duration, in microseconds.
--- a/crates/idempotency/src/store.rs
+++ b/crates/idempotency/src/store.rs
@@ -6,7 +6,7 @@
 use crate::policy::Policy;
 use crate::recording::RESERVED_BYTES;
 use crate::tenants::Tenants;
-use crate::types::{Effect, EntryId, Execution, Outcome, ReadResult, Stats};
+use crate::types::{Effect, EntryId, Outcome, ReadResult, RunInfo, Stats};
 use crate::Micros;
 
 /// The store. The caller reports events through the methods that take `now`, and then fetches the actions to take
@@ -83,15 +83,15 @@
     }
 
     /// Stores data of the caller with a run.
-    pub fn set_execution(&mut self, id: EntryId, execution: Execution) {
+    pub fn set_run_info(&mut self, id: EntryId, run_info: RunInfo) {
         if let Some(entry) = self.entries.get_mut(id) {
-            entry.execution = execution;
+            entry.run_info = run_info;
         }
     }
 
     /// The data that the caller stored with a run; zeros if there is none or the run is gone.
-    pub fn execution(&mut self, id: EntryId) -> Execution {
-        self.entries.get_mut(id).map_or(Execution::default(), |entry| entry.execution)
+    pub fn run_info(&mut self, id: EntryId) -> RunInfo {
+        self.entries.get_mut(id).map_or(RunInfo::default(), |entry| entry.run_info)
     }
 
     /// Reports that the answer of a run has begun to arrive.
--- a/crates/idempotency/src/types.rs
+++ b/crates/idempotency/src/types.rs
@@ -153,7 +153,7 @@
 
 /// Data of the caller that the store keeps with a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Execution {
+pub struct RunInfo {
     /// The id under which the request is sent to servers.
     pub request_id: u64,
     /// When the run began (us).
--- a/crates/resume/src/stream.rs
+++ b/crates/resume/src/stream.rs
@@ -177,7 +177,7 @@
     /// Whether the answer is complete when the current part ends without an error. It is not if the part ends while
     /// it still repeats text: then the part is shorter than what the client has received.
     #[must_use]
-    pub fn ended_whole(&self) -> bool {
+    pub fn is_complete_at_end(&self) -> bool {
         self.repeated_bytes.is_none()
     }
 }
--- a/crates/resume/tests/model.rs
+++ b/crates/resume/tests/model.rs
@@ -79,7 +79,7 @@
                 }
                 prop_assert!(answer.starts_with(&received), "text lost or repeated: {:?}", received);
             }
-            prop_assert!(stream.ended_whole());
+            prop_assert!(stream.is_complete_at_end());
             break true;
         };
         prop_assert!(!is_complete || received == answer);
@@ -109,7 +109,7 @@
                 forwarded => prop_assert!(false, "{:?}", forwarded),
             }
         }
-        prop_assert!(diverged || !stream.ended_whole(), "the restarted part was accepted");
+        prop_assert!(diverged || !stream.is_complete_at_end(), "the restarted part was accepted");
     }
 }
 
--- a/src/edge/clients/answer_reader.rs
+++ b/src/edge/clients/answer_reader.rs
@@ -49,8 +49,8 @@
     /// for all readers of this answer.
     #[must_use]
     pub fn request(&self) -> (RequestId, Micros) {
-        let execution = self.store.update(|store, _| store.execution(self.id));
-        (RequestId(execution.request_id), execution.started_us)
+        let run_info = self.store.update(|store, _| store.run_info(self.id));
+        (RequestId(run_info.request_id), run_info.started_us)
     }
 
     /// Waits until the answer begins, or until it is known that there is none.
--- a/src/edge/clients/chat/answer_source.rs
+++ b/src/edge/clients/chat/answer_source.rs
@@ -1,4 +1,5 @@
-//! Where a choice of an answer comes from.
+//! Sources of a choice's event stream (a server, or the recording of another run), the errors that end an answer
+//! early, and the storage of finished responses.
 
 use std::pin::Pin;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -13,23 +14,24 @@
 use crate::edge::clients::answer_reader::AnswerReader;
 use crate::edge::servers::{Cut, Relay};
 
-/// The most that is put together for a client that wants no stream, or of a response (bytes).
-pub(super) const MAX_ANSWER_BYTES: usize = 1 << 20;
+/// Maximum size of the text of an answer that is collected in memory (bytes): for clients that want no stream, and of
+/// responses.
+pub(super) const MAX_TEXT_BYTES: usize = 1 << 20;
 
-/// Where a choice comes from.
+/// Where the event stream of a choice comes from.
 pub(super) enum AnswerSource {
-    /// A server's stream.
+    /// The stream of a server that runs the request for this client.
     Relay {
         relay: Box<Relay>,
-        /// Its tenant's leave for one open request, held for as long.
+        /// Counts against the tenant's limit of open requests while the stream lasts.
         _permit: OwnedSemaphorePermit,
     },
-    /// What is recorded of one.
+    /// The recorded stream of a run, which several clients may read.
     Recorded(AnswerReader),
 }
 
 impl AnswerSource {
-    /// More of the server's stream; `None` at its end.
+    /// The next bytes of the server's stream; `None` at its end.
     pub(super) fn poll_data(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Bytes, Cut>>> {
         let frame = match self {
             Self::Relay { relay, .. } => ready!(Pin::new(&mut **relay).poll_frame(context)),
@@ -39,49 +41,50 @@
     }
 }
 
-/// Why an answer ends before its end. `Display` writes what the client reads.
+/// Why an answer is incomplete. The `Display` text is sent to the client.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum AnswerError {
-    /// A server's stream was cut.
+    /// A server's stream broke off.
     #[error(transparent)]
     Cut(#[from] Cut),
-    /// A server sent what can't be read.
+    /// A server sent an event that could not be parsed.
     #[error("{0}")]
     Unreadable(#[from] RequestError),
-    /// A server's stream ended while it still repeated what the client had.
+    /// The stream of a resumed choice ended before it had repeated all text that the client already has.
     #[error("the server's stream ended before what it had told")]
     EndedEarly,
-    /// The rest of the answer was requested, and refused.
+    /// The request for the rest of the answer was refused or failed.
     #[error("no server had room")]
-    NoRoom,
-    /// The rest of the answer was requested until no time was left.
+    ResumeFailed,
+    /// No server accepted the rest of the answer within the time and the number of resumptions that are allowed.
     #[error("the server's stream broke, and no other server had room")]
     NoOtherServer,
-    /// The resumed part does not repeat what the client had.
+    /// The resumed part does not repeat the text that the client already has.
     #[error("another server came to other words")]
     Diverged,
-    /// The answer can't be put together.
+    /// The answer broke off for a reason that has no text of its own.
     #[error("the server's stream broke")]
     Broken,
-    /// It is longer than what is put together.
+    /// The text of the answer exceeds [`MAX_TEXT_BYTES`].
     #[error("the answer is too long")]
     TooLong,
 }
 
-/// Keeps a response once it is whole.
+/// Stores one response once it is complete, so that the client can fetch it and later requests can continue it.
 #[derive(Clone)]
-pub(super) struct ResponseKeeper {
+pub(super) struct ResponseSaver {
     pub(super) store: Arc<Mutex<ResponseStore>>,
-    /// The tenant's number.
+    /// The number of the tenant, which alone can read the response.
     pub(super) tenant: u32,
-    /// The response's id.
+    /// The response's id, `resp_` and the request id.
     pub(super) id: String,
-    /// The items of its input.
+    /// The items of the request's input, which are stored before the output items.
     pub(super) input_items: Vec<Value>,
 }
 
-impl ResponseKeeper {
-    pub(super) fn keep(self, response: Value, output_items: Vec<Value>) {
+impl ResponseSaver {
+    /// Stores the response, with the items of its input and output.
+    pub(super) fn save(self, response: Value, output_items: Vec<Value>) {
         let items = self.input_items.into_iter().chain(output_items).collect();
         let mut store = self.store.lock().unwrap_or_else(PoisonError::into_inner);
         store.insert(self.tenant, &self.id, StoredResponse { response, items });
--- a/src/edge/clients/chat/answer_stream.rs
+++ b/src/edge/clients/chat/answer_stream.rs
@@ -1,4 +1,5 @@
-//! A client's stream, as the body of its HTTP response.
+//! The body of a streamed HTTP response: writes the events of all choices in the client's format, and comments that
+//! keep the connection open while no event comes.
 
 use std::future::Future as _;
 use std::pin::Pin;
@@ -10,48 +11,53 @@
 use http_body::{Body, Frame};
 use tokio::time::{sleep_until, Instant, Sleep};
 
-use crate::edge::clients::chat::answer_source::{
-    AnswerError, AnswerSource, ResponseKeeper, MAX_ANSWER_BYTES,
-};
+use crate::edge::clients::chat::answer_source::{AnswerError, AnswerSource, ResponseSaver, MAX_TEXT_BYTES};
 use crate::edge::clients::chat::choice_stream::ChoiceStreams;
 use crate::edge::clients::chat::resumption::Resumption;
 
-/// The comment that keeps a stream alive.
+/// A comment line of the event stream, which clients ignore.
 const KEEPALIVE: &[u8] = b": waiting\n\n";
-/// The code of the error that ends a stream before its end.
+/// The `code` of the error event that ends an incomplete stream.
 const CUT_CODE: &str = "stream_cut";
 
-/// A client's stream: where a choice's server breaks off for good, one error ends it, and the others are dropped.
+/// The stream that answers one request, with all its choices. If one choice breaks off and is not resumed, a single
+/// error event ends the stream, and the other choices are dropped.
 pub(super) struct AnswerStream {
-    /// `None` once the stream has ended.
+    /// The events still to come; `None` once the last event has been written.
     choices: Option<ChoiceStreams>,
     writer: StreamWriter,
+    /// The events that start the stream have been written.
     is_open: bool,
-    keeper: Option<ResponseKeeper>,
+    /// Stores the response at the end; `None` if the client did not ask for that.
+    saver: Option<ResponseSaver>,
+    /// `None` if no comments are to be sent.
     keepalive: Option<Keepalive>,
 }
 
-/// Shows the client that it is still served, where nothing has come for a while.
+/// Sends a comment after each `interval` without an event, so that the client, or a proxy before it, does not take the
+/// connection for dead.
 struct Keepalive {
     interval: Duration,
+    /// Ends when the next comment is due.
     sleep: Pin<Box<Sleep>>,
 }
 
 impl AnswerStream {
-    /// The stream of these sources, one for each choice.
+    /// Creates the stream from `sources`, one for each choice.
     pub(super) fn new(
         sources: Vec<AnswerSource>,
         writer: StreamWriter,
-        keeper: Option<ResponseKeeper>,
+        saver: Option<ResponseSaver>,
         resumption: Option<Resumption>,
         keepalive: Option<Duration>,
     ) -> Self {
         let keepalive = keepalive
             .map(|interval| Keepalive { interval, sleep: Box::pin(sleep_until(Instant::now() + interval)) });
         let choices = Some(ChoiceStreams::new(sources, resumption));
-        Self { choices, writer, is_open: false, keeper, keepalive }
+        Self { choices, writer, is_open: false, saver, keepalive }
     }
 
+    /// The next text to send; `None` after the end of the stream.
     fn poll_text(&mut self, context: &mut Context<'_>) -> Poll<Option<String>> {
         if !std::mem::replace(&mut self.is_open, true) {
             let text = self.writer.open();
@@ -62,9 +68,9 @@
         loop {
             let Some(choices) = &mut self.choices else { return Poll::Ready(None) };
             let text = match ready!(choices.poll_next(context)) {
-                Some(Ok(_)) if self.writer.text_bytes() > MAX_ANSWER_BYTES => self.cut(&AnswerError::TooLong),
+                Some(Ok(_)) if self.writer.text_bytes() > MAX_TEXT_BYTES => self.fail(&AnswerError::TooLong),
                 Some(Ok((choice, event))) => self.writer.event(choice, &event),
-                Some(Err(error)) => self.cut(&error),
+                Some(Err(error)) => self.fail(&error),
                 None => self.close(),
             };
             if !text.is_empty() {
@@ -73,18 +79,18 @@
         }
     }
 
-    /// Ends the stream with an error. All choices are dropped: one that went on would never be seen.
-    fn cut(&mut self, error: &AnswerError) -> String {
+    /// Ends the stream with an error event. Drops all choices, as the client would never see more of them.
+    fn fail(&mut self, error: &AnswerError) -> String {
         self.choices = None;
-        self.writer.cut(CUT_CODE, &error.to_string())
+        self.writer.fail(CUT_CODE, &error.to_string())
     }
 
-    /// Ends the stream in good order.
+    /// Ends the stream after all choices are complete, and stores the response if the client asked for that.
     fn close(&mut self) -> String {
         self.choices = None;
         let text = self.writer.close();
-        if let (Some(keeper), Some(response)) = (self.keeper.take(), self.writer.response()) {
-            keeper.keep(response, self.writer.output_items());
+        if let (Some(saver), Some(response)) = (self.saver.take(), self.writer.response()) {
+            saver.save(response, self.writer.output_items());
         }
         text
     }
--- a/src/edge/clients/chat/choice_stream.rs
+++ b/src/edge/clients/chat/choice_stream.rs
@@ -1,4 +1,5 @@
-//! The events of an answer's choices, whichever servers they come from.
+//! Reads the event streams of an answer's choices, resumes choices whose server broke off, and merges the events of all
+//! choices into one sequence.
 
 use std::collections::VecDeque;
 use std::task::{ready, Context, Poll};
@@ -10,37 +11,41 @@
 use serde_json::{json, Value};
 
 use crate::edge::clients::chat::answer_source::{AnswerError, AnswerSource};
-use crate::edge::clients::chat::resumption::{RestError, RestFuture, RestRequest, Resumption};
+use crate::edge::clients::chat::resumption::{ResumeError, ResumeFuture, ResumeRequest, Resumption};
 use crate::edge::servers::Cut;
 use crate::interface::Micros;
 
-/// Fields of a delta that are more than text.
-const MORE_THAN_TEXT: [&str; 3] = ["tool_calls", "refusal", "function_call"];
+/// Fields of a delta that hold something other than text. An answer with one of them can't be resumed.
+const NON_TEXT_FIELDS: [&str; 3] = ["tool_calls", "refusal", "function_call"];
 
 /// Where the next events of a choice come from.
 enum Input {
+    /// An open stream.
     Source(AnswerSource),
-    /// Its rest has been requested, and has not begun.
-    Requested(RestFuture),
+    /// The rest of the answer has been requested and has not begun.
+    Resuming(ResumeFuture),
+    /// No more events follow.
     Ended,
 }
 
-/// What has come of a choice.
+/// The result of polling a choice.
 enum Progress {
     /// Events for the client.
     Events(Vec<Value>),
-    /// It has ended in good order.
+    /// The choice is complete.
     Ended,
-    /// It has ended before its end.
+    /// The choice broke off and is not resumed.
     Failed(AnswerError),
 }
 
-/// One choice.
+/// One choice of an answer, across all servers that generate parts of it.
 struct ChoiceStream {
+    /// Index of the choice within the answer.
     choice: usize,
     input: Input,
+    /// Parses the current input.
     parser: EventParser,
-    /// What the client has had, where the choice may be resumed.
+    /// Tracks what the client has received; `None` if the answer is not resumed.
     resumable: Option<ResumableStream>,
 }
 
@@ -49,17 +54,18 @@
         matches!(self.input, Input::Ended)
     }
 
+    /// Polls the input until there is something for the client.
     fn poll(&mut self, resumption: Option<&Resumption>, context: &mut Context<'_>) -> Poll<Progress> {
         loop {
             let progress = match &mut self.input {
                 Input::Ended => return Poll::Ready(Progress::Ended),
-                Input::Requested(rest) => {
+                Input::Resuming(rest) => {
                     let rest = ready!(rest.as_mut().poll(context));
-                    self.rest_arrived(rest, resumption)
+                    self.on_resume_result(rest, resumption)
                 }
                 Input::Source(source) => {
                     let data = ready!(source.poll_data(context));
-                    self.data_arrived(data, resumption)
+                    self.on_data(data, resumption)
                 }
             };
             if let Some(progress) = progress {
@@ -68,10 +74,10 @@
         }
     }
 
-    /// The rest that was requested has begun, or has not.
-    fn rest_arrived(
+    /// Handles the result of a request for the rest of the answer.
+    fn on_resume_result(
         &mut self,
-        rest: Result<AnswerSource, RestError>,
+        rest: Result<AnswerSource, ResumeError>,
         resumption: Option<&Resumption>,
     ) -> Option<Progress> {
         self.input = Input::Ended;
@@ -84,15 +90,16 @@
             Err(error) => error,
         };
         let (Some(resumption), Some(resumable)) = (resumption, &mut self.resumable) else {
-            return Some(Progress::Failed(AnswerError::NoRoom));
+            return Some(Progress::Failed(AnswerError::ResumeFailed));
         };
         let retry_after_us = error.retry_after_us();
         let decision = resumable.on_resume_failed(resumption.clock.now(), retry_after_us);
-        self.apply(decision, resumption, retry_after_us.unwrap_or(0), AnswerError::NoRoom)
+        self.apply(decision, resumption, retry_after_us.unwrap_or(0), AnswerError::ResumeFailed)
     }
 
-    /// More of the server's stream has come, or its end.
-    fn data_arrived(
+    /// Handles bytes of a server's stream, or its end (`None`). A stream that ends with an error, or too early, is
+    /// resumed if possible.
+    fn on_data(
         &mut self,
         data: Option<Result<Bytes, Cut>>,
         resumption: Option<&Resumption>,
@@ -108,12 +115,12 @@
         }
         let events = match self.forward(events) {
             Ok(events) => events,
-            Err(reason) => return Some(Progress::Failed(error_of(reason))),
+            Err(reason) => return Some(Progress::Failed(cut_error(reason))),
         };
         let error = match data {
             Some(Ok(_)) => return (!events.is_empty()).then_some(Progress::Events(events)),
             Some(Err(cut)) => AnswerError::Cut(cut),
-            None if self.resumable.as_ref().is_none_or(ResumableStream::ended_whole) => {
+            None if self.resumable.as_ref().is_none_or(ResumableStream::is_complete_at_end) => {
                 self.input = Input::Ended;
                 return Some(if events.is_empty() { Progress::Ended } else { Progress::Events(events) });
             }
@@ -127,7 +134,8 @@
         self.apply(decision, resumption, 0, error)
     }
 
-    /// Does what is decided where the choice has broken off with this error; how it goes on, but for a resumption.
+    /// Carries out the decision on a choice that has broken off with `error`. Returns `None` if the choice is
+    /// resumed, and otherwise how it ends. A resumption waits `wait_us` before it sends its request.
     fn apply(
         &mut self,
         decision: BreakDecision,
@@ -141,8 +149,8 @@
                 let request_id = resumption.request_id;
                 info!(request_id:% = request_id, choice, text_bytes = text.len(), reason:% = error;
                     "chat: answer broke off, rest requested");
-                let rest = RestRequest { choice, text, max_tokens, deadline_us, wait_us };
-                self.input = Input::Requested((resumption.request_rest)(rest));
+                let rest = ResumeRequest { choice, text, max_tokens, deadline_us, wait_us };
+                self.input = Input::Resuming((resumption.resume_choice)(rest));
                 None
             }
             BreakDecision::Finished => Some(Progress::Ended),
@@ -151,13 +159,13 @@
                 Some(Progress::Events(vec![end]))
             }
             BreakDecision::Cut(reason @ (CutReason::Diverged | CutReason::NoServer)) => {
-                Some(Progress::Failed(error_of(reason)))
+                Some(Progress::Failed(cut_error(reason)))
             }
             BreakDecision::Cut(_) => Some(Progress::Failed(error)),
         }
     }
 
-    /// What of a server's events the client gets, now that others may have come before.
+    /// Converts a server's events into those that the client gets: text that the client already has is left out.
     fn forward(&mut self, events: Vec<ServerEvent>) -> Result<Vec<Value>, CutReason> {
         let mut forwarded = Vec::with_capacity(events.len());
         for event in events {
@@ -172,14 +180,14 @@
     }
 }
 
-/// What of a server's event the client gets.
+/// The part of a server's event that the client gets; `None` if the client already has all of it.
 fn forward_event(resumable: &mut ResumableStream, mut event: Value) -> Result<Option<Value>, CutReason> {
-    // Never by an index that is written to: what servers send may be of any shape.
+    // Indexing a `Value` mutably would insert missing fields, and panics on other types; a server may send any JSON.
     let Some(choice) = event.get_mut("choices").and_then(|choices| choices.get_mut(0)) else {
         return Ok(Some(event));
     };
     let delta = &choice["delta"];
-    let has_more = MORE_THAN_TEXT.iter().any(|name| !delta[*name].is_null());
+    let has_more = NON_TEXT_FIELDS.iter().any(|name| !delta[*name].is_null());
     let forward = resumable.on_event(AnswerEvent {
         text: delta["content"].as_str().unwrap_or(""),
         has_more_than_text: has_more || !choice["logprobs"].is_null(),
@@ -198,7 +206,8 @@
     }
 }
 
-fn error_of(reason: CutReason) -> AnswerError {
+/// The error that a client gets if a choice is cut for this reason.
+fn cut_error(reason: CutReason) -> AnswerError {
     match reason {
         CutReason::Diverged => AnswerError::Diverged,
         CutReason::NoServer => AnswerError::NoOtherServer,
@@ -206,17 +215,20 @@
     }
 }
 
-/// The events of all choices, as they come.
+/// The events of all choices, in the order in which they arrive.
 pub(super) struct ChoiceStreams {
     choices: Vec<ChoiceStream>,
+    /// `None` if choices are not resumed.
     resumption: Option<Resumption>,
-    /// Which choice is looked at first: in turns, so that none holds up the others.
+    /// Index of the choice that is polled first. It advances past each choice that had something (round robin), so that
+    /// no choice starves the others.
     next: usize,
+    /// Events that have been read and not been returned yet, with the index of their choice.
     ready: VecDeque<(usize, Value)>,
 }
 
 impl ChoiceStreams {
-    /// The choices of an answer, each from its source.
+    /// Creates the choices of an answer, one for each source.
     pub(super) fn new(sources: Vec<AnswerSource>, resumption: Option<Resumption>) -> Self {
         let new_choice = |(choice, source)| ChoiceStream {
             choice,
@@ -230,7 +242,7 @@
         Self { choices, resumption, next: 0, ready: VecDeque::new() }
     }
 
-    /// The next event of any choice, with its index; `None` once all have ended in good order.
+    /// The next event of any choice, with the choice's index; `None` once all choices are complete.
     pub(super) fn poll_next(
         &mut self,
         context: &mut Context<'_>,
@@ -253,18 +265,18 @@
         }
     }
 
-    /// The next progress of any choice that has not ended.
+    /// Polls the choices that have not ended in turn, and returns the first result with the choice's index.
     fn poll_choices(&mut self, context: &mut Context<'_>) -> Poll<(usize, Progress)> {
         let count = self.choices.len();
-        for step in 0..count {
-            let at = (self.next + step) % count;
-            let choice = &mut self.choices[at];
+        for offset in 0..count {
+            let index = (self.next + offset) % count;
+            let choice = &mut self.choices[index];
             if choice.has_ended() {
                 continue;
             }
             if let Poll::Ready(progress) = choice.poll(self.resumption.as_ref(), context) {
-                self.next = (at + 1) % count;
-                return Poll::Ready((at, progress));
+                self.next = (index + 1) % count;
+                return Poll::Ready((index, progress));
             }
         }
         Poll::Pending
--- a/src/edge/clients/chat/endpoint.rs
+++ b/src/edge/clients/chat/endpoint.rs
@@ -1,4 +1,4 @@
-//! Paths of the chat front, the methods that each allows, and what browsers are told of them.
+//! Paths of the chat front, the methods that each path allows, and the CORS headers.
 
 use axum::body::Body;
 use axum::http::header::{
@@ -7,33 +7,34 @@
 use axum::http::{HeaderValue, Method, Response, StatusCode};
 use dewladder_chat::RequestKind;
 
-/// The path of chat requests, also at servers.
+/// The path of chat requests, at this front and at the servers.
 pub(super) const CHAT_PATH: &str = "/v1/chat/completions";
-/// Headers that browser apps may send.
+/// Request headers that apps in a browser may send (`access-control-allow-headers`). The `x-stainless-` headers are
+/// sent by the client libraries of the API.
 const ALLOWED_HEADERS: &str =
     "authorization, content-type, idempotency-key, x-stainless-retry-count, x-stainless-arch, \
     x-stainless-lang, x-stainless-os, x-stainless-package-version, x-stainless-runtime, \
     x-stainless-runtime-version, x-stainless-timeout";
-/// Headers of answers that browser apps may read.
+/// Response headers that apps in a browser may read (`access-control-expose-headers`).
 pub(super) const EXPOSED_HEADERS: &str =
     "retry-after, retry-after-ms, x-should-retry, x-request-id, idempotent-replayed";
-/// How long browsers may remember what they are allowed (seconds).
+/// How long browsers may cache the response to a preflight request (seconds).
 const PREFLIGHT_MAX_AGE_S: &str = "600";
 
-/// What lies at a path.
+/// The resource at a path.
 pub(super) enum Endpoint<'a> {
-    /// An answer is made.
+    /// Generates an answer to a request of this kind.
     Create(RequestKind),
     /// The list of models.
     Models,
-    /// A model, by its name.
+    /// One model, by its name.
     Model(&'a str),
-    /// A response that is kept, by its id.
+    /// A stored response, by its id.
     StoredResponse(&'a str),
 }
 
 impl<'a> Endpoint<'a> {
-    /// What lies at a path, and which methods it allows.
+    /// The resource at `path` and the methods that it allows; `None` if there is no such path.
     pub(super) fn at(path: &'a str) -> Option<(Self, &'static [Method])> {
         const POST: &[Method] = &[Method::POST];
         const GET: &[Method] = &[Method::GET];
@@ -54,18 +55,18 @@
     }
 }
 
-/// What follows a prefix, if it is one segment of a path.
+/// The rest of `path` after `prefix`, if the rest is exactly one non-empty segment.
 fn last_segment<'a>(path: &'a str, prefix: &str) -> Option<&'a str> {
     path.strip_prefix(prefix).filter(|segment| !segment.is_empty() && !segment.contains('/'))
 }
 
-/// Methods as a header lists them.
+/// The methods as a comma-separated header value.
 pub(super) fn method_list(methods: &[Method]) -> HeaderValue {
     let names: Vec<&str> = methods.iter().map(Method::as_str).collect();
     HeaderValue::from_str(&names.join(", ")).unwrap_or(HeaderValue::from_static(""))
 }
 
-/// The answer to a browser that asks what it may ask.
+/// The response to a CORS preflight request.
 pub(super) fn preflight(methods: &[Method]) -> Response<Body> {
     let mut response = Response::new(Body::empty());
     *response.status_mut() = StatusCode::NO_CONTENT;
--- a/src/edge/clients/chat/mod.rs
+++ b/src/edge/clients/chat/mod.rs
@@ -1,11 +1,12 @@
-//! The chat front: an OpenAI-style API with streamed events, for apps that speak no platform headers. It derives from the
-//! requests what the platform's headers would tell; decisions and rules are the same. What requests may hold, and how
-//! answers are written, is in `crates/chat`; what repeats get, in `crates/idempotency`. It listens where the fronts file
-//! says, and not at all without one.
+//! The chat front: an OpenAI-compatible API with streamed events, for apps that don't send the platform's headers. The
+//! front derives from each request the values that those headers would carry; requests then follow the same rules as
+//! those of the platform's front. The formats of requests and answers are in `crates/chat`, the handling of repeated
+//! requests in `crates/idempotency`. The front listens on the address in the fronts file, and is off without one.
 //!
-//! Order of the modules, lower ones first: `endpoint` (paths and methods), `state` (what all requests share),
-//! `answer_source`, `choice_stream`, `answer_stream` and `whole_answer` (from servers' streams to a client's answer),
-//! `server_request` (what servers and router are told), `requests` (the way of one request), and this one: routes.
+//! The modules, each of which uses only those before it: `endpoint` (paths and methods), `answer_source`,
+//! `resumption`, `choice_stream`, `answer_stream` and `whole_answer` (from servers' streams to the client's answer),
+//! `state` (shared by all requests), `server_request` (the request to servers and its description for the router),
+//! `requests` (handling of one request), and this module (routing).
 
 mod answer_source;
 mod answer_stream;
@@ -36,13 +37,13 @@
 use crate::edge::driver::DriverHandle;
 use crate::edge::settings::{ChatSettings, Config, FieldError};
 
-/// Whether the settings fit the configuration.
+/// Checks the settings of the chat front against the platform's configuration.
 ///
 /// # Errors
-/// A model whose class the configuration does not know, or a bound that can't be used.
+/// A model whose class is not in the configuration, or a setting that is out of its range.
 pub fn check(chat: &ChatSettings, config: &Config) -> Result<(), FieldError> {
     chat.repeats.policy(&config.limits)?;
-    chat.bounds(&config.limits)?;
+    chat.check_and_response_memory(&config.limits)?;
     chat.resume.policy()?;
     let is_known = |class: &String| config.settings.current().any(|known| known.name == *class);
     match chat.models.iter().find(|(_, class)| !is_known(class)) {
@@ -51,7 +52,7 @@
     }
 }
 
-/// The front's routes.
+/// Creates the router that serves the chat front.
 ///
 /// # Errors
 /// See [`check`].
@@ -67,6 +68,7 @@
     Ok(Router::new().fallback(serve).with_state(Arc::new(front)))
 }
 
+/// Handles a request, and adds the CORS headers if the request's origin is allowed.
 async fn serve(State(front): State<Arc<ChatFront>>, request: Request<Body>) -> Response<Body> {
     let origin = allowed_origin(&front, request.headers());
     let (head, body) = request.into_parts();
@@ -83,7 +85,7 @@
     response
 }
 
-/// The request's origin, where browser apps of it are let in.
+/// The request's origin, if the settings allow it.
 fn allowed_origin(front: &ChatFront, headers: &HeaderMap) -> Option<HeaderValue> {
     let origin = headers.get(ORIGIN)?;
     let text = origin.to_str().ok()?;
@@ -91,16 +93,17 @@
     is_allowed.then(|| origin.clone())
 }
 
+/// Dispatches a request to the handler of its path. Preflight requests need no API key.
 async fn route(
     front: &Arc<ChatFront>,
     head: &Parts,
     body: Body,
-    is_browser: bool,
+    is_origin_allowed: bool,
 ) -> Result<Response<Body>, ErrorResponse> {
     let Some((endpoint, methods)) = Endpoint::at(head.uri.path()) else {
         return Err(ErrorResponse::new(StatusCode::NOT_FOUND, "not_found", "there is no such path"));
     };
-    if is_browser && head.method == Method::OPTIONS {
+    if is_origin_allowed && head.method == Method::OPTIONS {
         return Ok(preflight(methods));
     }
     if !methods.contains(&head.method) {
@@ -118,6 +121,7 @@
     }
 }
 
+/// The response with status 405, which lists the allowed methods.
 fn method_not_allowed(method: &Method, allowed: &[Method]) -> Response<Body> {
     let message = format!("{method} is not allowed here");
     let error = ErrorResponse::new(StatusCode::METHOD_NOT_ALLOWED, "method_not_allowed", message);
@@ -126,7 +130,8 @@
     response
 }
 
-/// A response that is kept: read, or forgotten. Of another tenant's nothing is told, not even that it is.
+/// Returns or deletes a stored response. The response of another tenant is reported as not found, so that its existence
+/// is not disclosed.
 fn stored_response(
     front: &ChatFront,
     tenant: &Tenant,
@@ -150,16 +155,19 @@
     }
 }
 
+/// The models whose classes exist now, in the API's format.
 fn model_list(front: &ChatFront) -> Value {
     let names = front.models.keys().filter(|name| front.model(name).is_ok());
     let models: Vec<Value> = names.map(|name| model_json(name)).collect();
     json!({"object": "list", "data": models})
 }
 
+/// A model in the API's format.
 fn model_json(name: &str) -> Value {
     json!({"id": name, "object": "model", "created": 0, "owned_by": "dewladder"})
 }
 
+/// The response with status 200 and this JSON body.
 fn ok_json(value: &Value) -> Response<Body> {
     json_response(StatusCode::OK, Bytes::from(value.to_string()))
 }
--- a/src/edge/clients/chat/requests.rs
+++ b/src/edge/clients/chat/requests.rs
@@ -1,4 +1,4 @@
-//! The way of one request: read, admitted, sent to servers, answered.
+//! Handles one request for an answer: parses it, recognizes repeats, sends it to servers and builds the HTTP response.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 use serde_json::Value;
 
 use crate::edge::clients::answer_reader::{AnswerReader, AnswerStart};
-use crate::edge::clients::chat::answer_source::{AnswerSource, ResponseKeeper};
+use crate::edge::clients::chat::answer_source::{AnswerSource, ResponseSaver};
 use crate::edge::clients::chat::answer_stream::AnswerStream;
 use crate::edge::clients::chat::choice_stream::ChoiceStreams;
 use crate::edge::clients::chat::server_request::AcceptedRequest;
@@ -28,26 +28,31 @@
 use crate::edge::servers::header;
 use crate::interface::{Micros, RequestId};
 
-/// A body may be nested so deep.
-const MAX_DEPTH: usize = 64;
-/// A request whose run is canceled while its repeat waits is submitted again so often at most.
+/// Maximum nesting depth of a JSON body.
+const MAX_JSON_DEPTH: usize = 64;
+/// How often a repeat is submitted at most, if each run that it joins is canceled or its record is dropped before the
+/// answer begins.
 const MAX_SUBMISSIONS: usize = 8;
-/// Says of an answer that it is that of an earlier request, which this one repeats.
-const REPLAYED: HeaderName = HeaderName::from_static("idempotent-replayed");
+/// The header that marks the answer of an earlier request, which this request repeats.
+const REPLAYED_HEADER: HeaderName = HeaderName::from_static("idempotent-replayed");
 
-/// The servers' side of an answer.
+/// An answer as it comes from servers.
 struct ServerAnswer {
-    /// The id and the start (us) of the request, or of its first choice.
+    /// The id under which the request, or its first choice, was sent to servers.
     id: RequestId,
+    /// When the answer began (us), for its `created` field; if it is recorded, when its run began.
     started_us: Micros,
-    /// One for each choice.
+    /// The event stream of each choice.
     sources: Vec<AnswerSource>,
-    /// This client's request runs for it: it is not another's answer that it reads.
+    /// The request was run for this client, rather than joined to the run of an earlier request.
     is_own_run: bool,
 }
 
 impl ChatFront {
-    /// Answers a request for an answer.
+    /// Handles a request that generates an answer.
+    ///
+    /// # Errors
+    /// The error response, if the answer could not be started or, without a stream, not be completed.
     pub(super) async fn create(
         self: &Arc<Self>,
         kind: RequestKind,
@@ -60,7 +65,7 @@
         let arrived_us = self.clock.now();
         let body = body
             .map_err(|error| ErrorResponse::new(error.status(), "invalid_request_error", error.message()))?;
-        let mut request = self.read(kind, body)?;
+        let mut request = self.parse_request(kind, body)?;
         let model = &self.model(&request.model)?;
         check_single_answer(&request, model)?;
         self.prepend_previous(&mut request, tenant)?;
@@ -68,9 +73,10 @@
         let Some(idempotency) = self.idempotency.as_ref().filter(|_| request.choice_count() == 1) else {
             return self.run_unrecorded(&accepted).await;
         };
-        let whose = TenantRef { number: tenant.number, name: &tenant.name };
-        let described = idempotency.describe(&head.headers, whose, kind, model.at_most_once, &request.body);
-        let incoming = described.map_err(|error| {
+        let tenant_ref = TenantRef { number: tenant.number, name: &tenant.name };
+        let described_request =
+            idempotency.describe(&head.headers, tenant_ref, kind, model.at_most_once, &request.body);
+        let incoming = described_request.map_err(|error| {
             ErrorResponse::bad_request("invalid_value", error.to_string()).with_param("Idempotency-Key")
         })?;
         let record = Idempotency::record_id(&head.headers, &tenant.name).filter(|_| model.at_most_once);
@@ -78,9 +84,10 @@
         self.run_idempotently(idempotency, &incoming, &accepted, replica).await
     }
 
-    fn read(&self, kind: RequestKind, body: Bytes) -> Result<Request, ErrorResponse> {
-        let value = parse_body(&body, MAX_DEPTH)?;
-        drop(body); // not held beside what was read of it
+    /// Parses and checks a request's body.
+    fn parse_request(&self, kind: RequestKind, body: Bytes) -> Result<Request, ErrorResponse> {
+        let value = parse_body(&body, MAX_JSON_DEPTH)?;
+        drop(body); // the raw bytes are not needed beside the parsed value
         let request = match kind {
             RequestKind::Chat => Request::chat(value, &self.limits),
             RequestKind::Completion => Request::completion(value, &self.limits),
@@ -89,7 +96,7 @@
         Ok(request?)
     }
 
-    /// Puts the response that a request goes on from before its input.
+    /// Puts the items of the stored response that the request continues before the request's own input.
     fn prepend_previous(&self, request: &mut Request, tenant: &Tenant) -> Result<(), ErrorResponse> {
         let Some(previous) = request.previous_response_id.clone() else { return Ok(()) };
         let mut responses = self.responses();
@@ -101,21 +108,21 @@
         Ok(())
     }
 
-    /// Has a request run of which nothing is remembered: each choice as a request of its own.
+    /// Runs a request without a record in the idempotency store. Each choice is a request of its own to servers.
     async fn run_unrecorded(
         self: &Arc<Self>,
         accepted: &AcceptedRequest<'_>,
     ) -> Result<Response<Body>, ErrorResponse> {
-        let mut waiting = Vec::new();
+        let mut pending_choices = Vec::new();
         for choice in 0..accepted.request.choice_count() {
             let permit = self.permit(accepted.tenant)?;
             let (info, payload) = self.server_request(accepted, choice);
-            waiting.push((info.id, permit, Box::pin(self.driver.submit(info, payload).0)));
+            pending_choices.push((info.id, permit, Box::pin(self.driver.submit(info, payload).0)));
         }
-        let id = waiting[0].0;
+        let id = pending_choices[0].0;
         let mut sources = Vec::new();
-        for (_, permit, reply) in waiting {
-            // Where one is refused or fails, the other choices, open or streaming, go with it.
+        for (_, permit, reply) in pending_choices {
+            // If one choice is refused or fails, returning drops the other choices, pending or streaming.
             match reply.await {
                 Reply::Stream(relay) => {
                     sources.push(AnswerSource::Relay { relay: Box::new(relay), _permit: permit });
@@ -133,7 +140,8 @@
         self.answer(accepted, ServerAnswer { id, started_us, sources, is_own_run: true }).await
     }
 
-    /// Does with a request what is decided of it: it may be a repeat.
+    /// Runs a request under the idempotency store, which decides whether the request runs, joins an earlier run, or is
+    /// not admitted.
     async fn run_idempotently(
         self: &Arc<Self>,
         idempotency: &Idempotency,
@@ -167,7 +175,7 @@
         Err(ErrorResponse::refused(self.driver.settings().max_retry_after))
     }
 
-    /// Starts the run of a request that was admitted.
+    /// Starts the run of an admitted request, which records the answer for `reader`.
     fn start_run(
         &self,
         idempotency: &Idempotency,
@@ -183,6 +191,7 @@
         Ok(())
     }
 
+    /// The HTTP response with the recorded answer that `reader` reads.
     async fn answer_recorded(
         self: &Arc<Self>,
         accepted: &AcceptedRequest<'_>,
@@ -194,14 +203,14 @@
         let mut response =
             self.answer(accepted, ServerAnswer { id, started_us, sources, is_own_run }).await?;
         if !is_own_run {
-            response.headers_mut().insert(REPLAYED, HeaderValue::from_static("true"));
+            response.headers_mut().insert(REPLAYED_HEADER, HeaderValue::from_static("true"));
         }
         Ok(response)
     }
 
-    /// Keeps the response, once it is whole.
-    fn response_keeper(&self, accepted: &AcceptedRequest<'_>, metadata: &AnswerMetadata) -> ResponseKeeper {
-        ResponseKeeper {
+    /// Stores the response to this request once it is complete.
+    fn response_saver(&self, accepted: &AcceptedRequest<'_>, metadata: &AnswerMetadata) -> ResponseSaver {
+        ResponseSaver {
             store: self.response_store.clone(),
             tenant: accepted.tenant.number,
             id: format!("resp_{}", metadata.id),
@@ -209,7 +218,7 @@
         }
     }
 
-    /// The HTTP response to a client.
+    /// The HTTP response to the client: a stream, or the complete answer.
     async fn answer(
         self: &Arc<Self>,
         accepted: &AcceptedRequest<'_>,
@@ -217,8 +226,9 @@
     ) -> Result<Response<Body>, ErrorResponse> {
         let request = accepted.request;
         let id = answer.id;
-        // Clients that joined another's run must not each request its rest. And a long prompt is not held for as long as
-        // its stream lasts: it would add up over all of them.
+        // Only the client that the request runs for resumes it, or every client that joined the run would request the
+        // rest. Requests with long prompts are not resumed: their prompts would be held as long as their streams
+        // last, and the memory would add up over all streams.
         let prompt_bytes: usize = request.prompts.iter().flatten().map(|message| message.text.len()).sum();
         let resumption = self
             .resume_policy
@@ -229,25 +239,26 @@
             model: request.model.clone(),
             created_unix_s: answer.started_us / 1_000_000,
         };
-        let keeper = request.store.then(|| self.response_keeper(accepted, &metadata));
+        let saver = request.store.then(|| self.response_saver(accepted, &metadata));
         let mut response = if request.stream {
             let writer = StreamWriter::new(request, metadata);
-            let stream = AnswerStream::new(answer.sources, writer, keeper, resumption, self.keepalive);
+            let stream = AnswerStream::new(answer.sources, writer, saver, resumption, self.keepalive);
             event_stream_response(Body::new(stream))
         } else {
             let choices = ChoiceStreams::new(answer.sources, resumption);
-            let whole = whole_answer::collect(choices, request, metadata, keeper).await;
-            let whole: Value = whole.map_err(|error| ErrorResponse {
+            let collected = whole_answer::collect(choices, request, metadata, saver).await;
+            let collected: Value = collected.map_err(|error| ErrorResponse {
                 never_retry: accepted.model.at_most_once,
                 ..ErrorResponse::new(StatusCode::BAD_GATEWAY, "server_error", error.to_string())
             })?;
-            json_response(StatusCode::OK, Bytes::from(whole.to_string()))
+            json_response(StatusCode::OK, Bytes::from(collected.to_string()))
         };
         set_request_id(response.headers_mut(), id);
         Ok(response)
     }
 }
 
+/// The response with this event stream as its body.
 fn event_stream_response(body: Body) -> Response<Body> {
     let mut response = Response::new(body);
     let headers = response.headers_mut();
@@ -256,6 +267,7 @@
     response
 }
 
+/// Checks that the body is JSON, if the request states its media type.
 fn check_media_type(headers: &HeaderMap) -> Result<(), ErrorResponse> {
     let Some(media_type) = header(headers, CONTENT_TYPE.as_str()) else { return Ok(()) };
     let media_type = media_type.split(';').next().unwrap_or("").trim();
@@ -266,7 +278,7 @@
     Err(ErrorResponse::new(StatusCode::UNSUPPORTED_MEDIA_TYPE, "unsupported_media_type", message))
 }
 
-/// Refuses several answers of a model whose requests must not run twice.
+/// Rejects requests for several answers from an at-most-once model: each answer would be a run of its own.
 fn check_single_answer(request: &Request, model: &Model) -> Result<(), ErrorResponse> {
     if !model.at_most_once || request.choice_count() == 1 {
         return Ok(());
--- a/src/edge/clients/chat/resumption.rs
+++ b/src/edge/clients/chat/resumption.rs
@@ -1,4 +1,5 @@
-//! How the choices of a request are resumed elsewhere whose server breaks off.
+//! Types by which a choice whose server broke off is resumed: the request for the rest of its answer, the errors of
+//! that request, and the context that is common to all choices.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -10,31 +11,32 @@
 use crate::edge::clock::Clock;
 use crate::interface::{Micros, RequestId};
 
-/// A request for the rest of a choice.
+/// A request for the rest of a choice's answer.
 #[derive(Clone, Debug)]
-pub(super) struct RestRequest {
-    /// Which choice.
+pub(super) struct ResumeRequest {
+    /// Index of the choice.
     pub(super) choice: usize,
-    /// What the client has had of it.
+    /// The text of the choice that the client has received.
     pub(super) text: String,
-    /// The most tokens of the rest.
+    /// Maximum number of tokens that the server may generate.
     pub(super) max_tokens: u64,
-    /// By when it must begin (us).
+    /// When the rest must have begun, on the dispatcher's clock (us).
     pub(super) deadline_us: Micros,
-    /// How long to wait before (us).
+    /// How long to wait before the request is sent (us).
     pub(super) wait_us: Micros,
 }
 
-/// Why the rest of a choice did not begin.
+/// Why the rest of a choice's answer did not begin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum RestError {
-    /// Refused, with a time to come back (us).
+pub(super) enum ResumeError {
+    /// The request was refused before it ran; it may be retried after `retry_after_us`.
     Refused { retry_after_us: Micros },
-    /// Failed.
+    /// The request failed without an answer.
     Failed,
 }
 
-impl RestError {
+impl ResumeError {
+    /// The delay before a retry (us); `None` if the request was not refused.
     pub(super) fn retry_after_us(self) -> Option<Micros> {
         match self {
             Self::Refused { retry_after_us } => Some(retry_after_us),
@@ -43,19 +45,21 @@
     }
 }
 
-/// The rest of a choice, once it begins.
-pub(super) type RestFuture = Pin<Box<dyn Future<Output = Result<AnswerSource, RestError>> + Send>>;
-/// Requests the rest of a choice.
-pub(super) type RequestRest = Arc<dyn Fn(RestRequest) -> RestFuture + Send + Sync>;
+/// Resolves to the stream of the rest once it begins.
+pub(super) type ResumeFuture = Pin<Box<dyn Future<Output = Result<AnswerSource, ResumeError>> + Send>>;
+/// Requests the rest of a choice's answer.
+pub(super) type ResumeFn = Arc<dyn Fn(ResumeRequest) -> ResumeFuture + Send + Sync>;
 
-/// How choices are resumed.
+/// What all choices of a request need in order to be resumed.
 #[derive(Clone)]
 pub(super) struct Resumption {
-    /// The request whose answer it is.
+    /// The id of the client's request, for the log. Each resumption is sent under an id of its own.
     pub(super) request_id: RequestId,
+    /// The limits of resumption, from the settings.
     pub(super) policy: Policy,
-    /// What the choices are like.
+    /// Properties of the request that decide whether and how its choices are resumed.
     pub(super) traits: ChoiceTraits,
-    pub(super) request_rest: RequestRest,
+    /// Requests the rest of a choice.
+    pub(super) resume_choice: ResumeFn,
     pub(super) clock: Clock,
 }
--- a/src/edge/clients/chat/state.rs
+++ b/src/edge/clients/chat/state.rs
@@ -1,4 +1,4 @@
-//! What all requests of the chat front share: models, tenants, limits and stores.
+//! The state that all requests of the chat front share: models, tenants, limits and stores.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -22,54 +22,57 @@
 use crate::edge::settings::{ChatSettings, Config, FieldError};
 use crate::interface::{Class, Effect, RequestId};
 
-/// A model that clients can name, as its class is now.
+/// A model that clients can request, with the current settings of its class.
 #[derive(Clone)]
 pub(super) struct Model {
     pub(super) class: Class,
+    /// The number by which the router knows the class.
     pub(super) class_number: u32,
-    /// A request of it that may have run must not be sent again.
+    /// A request for this model that may have run must not be sent again.
     pub(super) at_most_once: bool,
 }
 
-/// Whose request it is.
+/// The owner of a request, known by its API key.
 #[derive(Clone)]
 pub(super) struct Tenant {
     pub(super) name: String,
-    /// The same for all keys of a tenant; 0 where no keys are asked for.
+    /// The same for all keys of a tenant; 0 if the settings name no keys.
     pub(super) number: u32,
-    /// As many permits as the tenant may have requests open.
-    open: Arc<Semaphore>,
+    /// One permit for each request that the tenant may have open at once.
+    open_permits: Arc<Semaphore>,
 }
 
-/// The front's state.
+/// The state of the chat front.
 pub(super) struct ChatFront {
     pub(super) clock: Clock,
     pub(super) driver: DriverHandle,
-    /// The class of each model, by names.
+    /// The name of each model's class, by the name of the model.
     pub(super) models: BTreeMap<String, String>,
-    /// By API key; empty where none is asked for.
+    /// The tenants by API key; if empty, requests need no key.
     tenants: HashMap<String, Tenant>,
-    /// Whose requests are, where no key is asked for.
+    /// The tenant of all requests if they need no key.
     anonymous: Tenant,
-    /// The most tokens of an answer.
+    /// Maximum number of tokens of an answer; also the number for requests that state none.
     pub(super) max_tokens: u64,
+    /// The limits that requests are checked against.
     pub(super) limits: Limits,
-    /// Origins whose browser apps are let in; `*` for all.
+    /// The origins that are allowed by CORS; `*` allows all.
     pub(super) origins: Vec<String>,
-    /// After this time without an event a stream is sent a comment, if it is to be.
+    /// A comment is sent on a stream after this time without an event; `None` sends none.
     pub(super) keepalive: Option<Duration>,
-    /// How streams are resumed elsewhere, where that is turned on.
+    /// The limits for resuming answers at another server; `None` if resumption is off.
     pub(super) resume_policy: Option<ResumePolicy>,
     ids: IdGenerator,
-    /// Responses that later ones go on from.
+    /// Stored responses, which later requests can continue.
     pub(super) response_store: Arc<Mutex<ResponseStore>>,
-    /// What is known of repeats, where that is turned on.
+    /// Recognizes repeated requests; `None` if that is off.
     pub(super) idempotency: Option<Arc<Idempotency>>,
-    /// By which other instances hold records of at-most-once requests, where that is turned on.
+    /// Replicates the records of at-most-once requests to other instances; `None` if that is off.
     pub(super) quorum: Option<Quorum>,
 }
 
-/// Makes ids: no two alike in one life, and by the seed and the start time none of another life either.
+/// Generates request ids that are unique within the process. The seed and the start time make them differ from the ids
+/// of other processes.
 struct IdGenerator {
     base: u64,
     next: AtomicU64,
@@ -82,10 +85,10 @@
 }
 
 impl ChatFront {
-    /// The front as the settings have it.
+    /// Creates the front's state from the settings.
     ///
     /// # Errors
-    /// Settings that can't be used.
+    /// A setting that is out of its range.
     pub(super) fn new(
         chat: &ChatSettings,
         config: &Config,
@@ -94,10 +97,10 @@
         quorum: Option<Quorum>,
     ) -> Result<Self, FieldError> {
         let policy = chat.repeats.policy(&config.limits)?;
-        let (store_bytes, tenant_bytes) = chat.bounds(&config.limits)?;
+        let (store_bytes, tenant_bytes) = chat.check_and_response_memory(&config.limits)?;
         let resume_policy = chat.resume.policy()?;
         if resume_policy.is_some() && !config.resume {
-            warn!("chat: chat.resume is off, as the platform's settings do not let streams be resumed");
+            warn!("chat: chat.resume has no effect, as the platform's settings don't allow streams to be resumed");
         }
         let secret = mix(config.seed ^ mix(clock.now()));
         let retry_headers = chat.repeats.retry_headers.clone();
@@ -122,12 +125,15 @@
         })
     }
 
-    /// An id that no other request has.
+    /// A new request id.
     pub(super) fn next_id(&self) -> RequestId {
         self.ids.next()
     }
 
-    /// A model whose class there is now: the platform may drop a class in service.
+    /// The model with this name, if its class exists now: the platform may remove a class while the process runs.
+    ///
+    /// # Errors
+    /// 404 if the model or its class is not known.
     pub(super) fn model(&self, name: &str) -> Result<Model, ErrorResponse> {
         let class_name = self.models.get(name).ok_or_else(model_not_found)?;
         let (class_number, class) = self.driver.class(class_name).ok_or_else(model_not_found)?;
@@ -135,7 +141,10 @@
         Ok(Model { class, class_number, at_most_once })
     }
 
-    /// Whose request it is, by its API key.
+    /// The tenant of a request, by its API key.
+    ///
+    /// # Errors
+    /// 401 if keys are required and the request has no known one.
     pub(super) fn tenant(&self, headers: &HeaderMap) -> Result<&Tenant, ErrorResponse> {
         if self.tenants.is_empty() {
             return Ok(&self.anonymous);
@@ -147,30 +156,34 @@
         })
     }
 
-    /// Leave for one more open request of a tenant's.
+    /// A permit for one more open request of this tenant; dropping it ends the request's claim.
+    ///
+    /// # Errors
+    /// 429 if the tenant has the maximum number of requests open.
     pub(super) fn permit(&self, tenant: &Tenant) -> Result<OwnedSemaphorePermit, ErrorResponse> {
-        tenant.open.clone().try_acquire_owned().map_err(|_| {
+        tenant.open_permits.clone().try_acquire_owned().map_err(|_| {
             let message = "too many requests at once";
             ErrorResponse::new(StatusCode::TOO_MANY_REQUESTS, "rate_limit_exceeded", message)
                 .with_retry_after(self.driver.settings().max_retry_after)
         })
     }
 
-    /// The responses that are kept.
+    /// Locks the store of responses.
     pub(super) fn responses(&self) -> MutexGuard<'_, ResponseStore> {
         self.response_store.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Tenants by their API keys, and the one of requests without a key.
+/// The tenants by API key, and the tenant of requests without a key. Tenants are numbered from 1, in the order of their
+/// names.
 fn tenants(chat: &ChatSettings) -> (HashMap<String, Tenant>, Tenant) {
     let mut names: Vec<&String> = chat.tenants.values().collect();
     names.sort_unstable();
     names.dedup();
     let tenant = |name: &str| Tenant {
         name: name.to_owned(),
-        number: names.iter().position(|known| *known == name).map_or(0, |at| at as u32 + 1),
-        open: Arc::new(Semaphore::new(chat.most_open)),
+        number: names.iter().position(|known| *known == name).map_or(0, |index| index as u32 + 1),
+        open_permits: Arc::new(Semaphore::new(chat.most_open)),
     };
     let by_key = chat.tenants.iter().map(|(key, name)| (key.clone(), tenant(name))).collect();
     (by_key, tenant(""))
--- a/src/edge/clients/shared_store.rs
+++ b/src/edge/clients/shared_store.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use dewladder_idempotency::{
-    Admission, Effect, EntryId, Execution, IdempotencyStore, IncomingRequest, Outcome, Policy, ReadResult,
+    Admission, Effect, EntryId, IdempotencyStore, IncomingRequest, Outcome, Policy, ReadResult, RunInfo,
     Stats,
 };
 use dewladder_router::mix;
@@ -88,8 +88,8 @@
     pub(crate) fn begin_run(&self, id: EntryId, request_id: u64) -> oneshot::Receiver<()> {
         let (cancel, canceled) = oneshot::channel();
         let mut state = self.lock();
-        let execution = Execution { request_id, started_us: self.clock.now() };
-        state.store.set_execution(id, execution);
+        let run_info = RunInfo { request_id, started_us: self.clock.now() };
+        state.store.set_run_info(id, run_info);
         state.cancel_senders.insert(id, cancel);
         canceled
     }
--- a/src/edge/settings/fronts.rs
+++ b/src/edge/settings/fronts.rs
@@ -99,7 +99,7 @@
     ///
     /// # Errors
     /// The first field that is out of its range.
-    pub fn bounds(&self, limits: &Limits) -> Result<(usize, usize), FieldError> {
+    pub fn check_and_response_memory(&self, limits: &Limits) -> Result<(usize, usize), FieldError> {
         for (name, value, min, max) in [
             ("keepalive_s", self.keepalive_s, 0.0, 3_600.0),
             ("responses_percent", self.responses_percent, 0.0, 50.0),
--- a/tests/fronts_settings.rs
+++ b/tests/fronts_settings.rs
@@ -40,7 +40,7 @@
         (&["o".to_owned()][..], &"ask".to_owned(), &"t".to_owned())
     );
     let memory = 192 << 20;
-    assert_eq!(chat.bounds(&limits).unwrap(), (memory * 14 / 100, memory * 7 / 100));
+    assert_eq!(chat.check_and_response_memory(&limits).unwrap(), (memory * 14 / 100, memory * 7 / 100));
     let policy = chat.repeats.policy(&limits).unwrap();
     assert!(chat.repeats.enabled);
     assert_eq!(chat.repeats.retry_headers, ["x-r"]);
@@ -69,7 +69,7 @@
     let limits = config().limits;
     assert_eq!(deployed.repeats, plain.repeats);
     assert_eq!(deployed.resume, plain.resume);
-    assert_eq!(deployed.bounds(&limits), plain.bounds(&limits));
+    assert_eq!(deployed.check_and_response_memory(&limits), plain.check_and_response_memory(&limits));
     assert_eq!((deployed.max_tokens, deployed.most_open, deployed.most_choices), (800, 64, 4));
     assert_eq!((plain.max_tokens, plain.most_open, plain.most_choices), (800, 64, 4));
     assert_eq!((deployed.keepalive_s, plain.keepalive_s, plain.origins.len()), (0.0, 0.0, 0));
--- a/tests/stable_texts.rs
+++ b/tests/stable_texts.rs
@@ -217,7 +217,10 @@
         let said = match Fronts::parse("fronts.toml", &format!("{head}{table_line}{lines}\n")) {
             Err(error) => error.to_string(),
             Ok(fronts) => fronts.chat.map_or("can be used".to_owned(), |chat| {
-                let bounds = chat.bounds(&config.limits).map(|_| ()).map_err(|error| error.to_string());
+                let bounds = chat
+                    .check_and_response_memory(&config.limits)
+                    .map(|_| ())
+                    .map_err(|error| error.to_string());
                 let repeats =
                     chat.repeats.policy(&config.limits).map(|_| ()).map_err(|error| error.to_string());
                 let resume = chat.resume.policy().map(|_| ()).map_err(|error| error.to_string());
