--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -1,4 +1,5 @@
-//! Daily service, with the program as it is started: the second address, the figures, and two processes on one port.
+//! Operation of the built program: the admin address, metrics, configuration reloads, and hot restarts with two
+//! processes on one port.
 
 mod processes;
 mod stand_in;
@@ -22,7 +23,7 @@
 use tokio::process::{Child, Command};
 use tokio::time::sleep;
 
-/// A deployment: a fleet, an address for clients, and a folder for its files.
+/// A fleet of test servers, an address for clients, and a folder for the program's files.
 struct Deployment {
     fleet: Fleet,
     port: Port,
@@ -48,7 +49,7 @@
         std::fs::write(self.folder.join("config.json"), config.to_string()).unwrap();
     }
 
-    /// Starts the program on the file that lies there.
+    /// Starts the program on the configuration file in the deployment's folder.
     async fn start(&self) -> Process {
         let mut program = Command::new(env!("CARGO_BIN_EXE_dewladder"));
         program.args(["serve", "--config"]).arg(self.folder.join("config.json"));
@@ -56,12 +57,16 @@
         let mut child = program.stderr(Stdio::piped()).kill_on_drop(true).spawn().unwrap();
         let mut lines = BufReader::new(child.stderr.take().unwrap()).lines();
         let admin = loop {
-            let line = lines.next_line().await.unwrap().expect("it starts");
+            let line = lines
+                .next_line()
+                .await
+                .unwrap()
+                .expect("the program ended before it logged its admin address");
             if let Some((_, address)) = line.split_once("second address: ") {
                 break address.parse().unwrap();
             }
         };
-        // Read on, so that the program never waits for somebody to read its log.
+        // Keep reading, so that the program never blocks on a full pipe.
         let log = tokio::spawn(async move {
             let mut all = Vec::new();
             while let Ok(Some(line)) = lines.next_line().await {
@@ -73,6 +78,7 @@
     }
 }
 
+/// A running dispatcher process.
 struct Process {
     child: Child,
     admin: SocketAddr,
@@ -80,13 +86,15 @@
 }
 
 impl Process {
-    async fn call(&self, line: &str) -> String {
+    /// Sends one line to the admin address and returns the answer.
+    async fn query(&self, line: &str) -> String {
         until_close(self.admin, line).await
     }
 
+    /// Waits for up to 1,000 polls, 5 ms apart, until the process is ready.
     async fn until_ready(&self) {
         for _ in 0..1_000 {
-            if self.call("READY\n").await.starts_with("OK") {
+            if self.query("READY\n").await.starts_with("OK") {
                 return;
             }
             sleep(Duration::from_millis(5)).await;
@@ -94,8 +102,9 @@
         panic!("never ready");
     }
 
-    async fn figure(&self, name: &str) -> u64 {
-        let text = self.call("STATS\n").await;
+    /// Returns the value of a metric, as `STATS` reports it.
+    async fn metric(&self, name: &str) -> u64 {
+        let text = self.query("STATS\n").await;
         assert!(text.ends_with("END\n"), "{text}");
         let prefix = format!("edge_router.{name}:");
         let line = text.lines().find_map(|line| line.strip_prefix(&prefix));
@@ -103,23 +112,24 @@
         value.parse().unwrap()
     }
 
+    /// Waits for up to 1,000 polls, 5 ms apart, until a metric has a value.
     async fn eventually(&self, name: &str, value: u64) {
         for _ in 0..1_000 {
-            if self.figure(name).await == value {
+            if self.metric(name).await == value {
                 return;
             }
             sleep(Duration::from_millis(5)).await;
         }
-        panic!("{name} never became {value}: {}", self.call("STATS\n").await);
+        panic!("{name} never became {value}: {}", self.query("STATS\n").await);
     }
 
-    fn tell(&self, signal: &str) {
+    fn send_signal(&self, signal: &str) {
         let id = self.child.id().unwrap().to_string();
         assert!(std::process::Command::new("kill").args([signal, &id]).status().unwrap().success());
     }
 
-    /// Waits for its end: its code, and its log.
-    async fn ended(mut self) -> (Option<i32>, Vec<String>) {
+    /// Waits until the process has exited; returns its exit code and its log.
+    async fn wait_for_exit(mut self) -> (Option<i32>, Vec<String>) {
         let code = self.child.wait().await.unwrap().code();
         (code, self.log.await.unwrap())
     }
@@ -129,14 +139,16 @@
     answer.split(' ').nth(1).and_then(|code| code.parse().ok()).unwrap_or(0)
 }
 
+/// Each line on the admin address gets its answer, also while more connections than the address keeps open send
+/// nothing or half a line.
 #[tokio::test]
-async fn the_second_address_answers_each_line_and_no_silent_caller_keeps_a_whole_call_waiting() {
+async fn the_admin_address_answers_each_line_despite_silent_connections() {
     let site = Deployment::new("admin", Shape::default()).await;
     site.write(&site.config());
     let process = site.start().await;
     process.until_ready().await;
-    assert_eq!(process.call("READY\r\n").await, "OK ready\n");
-    for (line, says) in [
+    assert_eq!(process.query("READY\r\n").await, "OK ready\n");
+    for (line, expected) in [
         ("\n", "ERR the line is empty\n"),
         ("\r\n", "ERR the line is empty\n"),
         ("READY NOW\n", "ERR not known; READY, STATS, HELD and REQUESTS are\n"),
@@ -145,55 +157,56 @@
         (&"x".repeat(5_000), "ERR the line is too long\n"),
         ("READY\nSTATS\n", "OK ready\n"),
     ] {
-        assert_eq!(process.call(line).await, says, "{line:?}");
+        assert_eq!(process.query(line).await, expected, "{line:?}");
     }
-    // Callers that say nothing, or half a line, and hold on: more than there are places.
+    // Open connections that send nothing or half a line.
     let mut silent = Vec::new();
     for at in 0..40 {
         let mut stream = TcpStream::connect(process.admin).await.unwrap();
         stream.write_all(if at % 2 == 0 { b"" } else { b"STA" }).await.unwrap();
         silent.push(stream);
     }
-    assert_eq!(process.call("READY\n").await, "OK ready\n");
-    // Sixteen of them at most are still held, as each holds a descriptor; the others have been closed.
+    assert_eq!(process.query("READY\n").await, "OK ready\n");
+    // At most sixteen of them stay open, as each takes a file descriptor; the others have been closed.
     let held = |stream: &TcpStream| matches!(stream.try_read(&mut [0; 8]), Err(error) if error.kind() == std::io::ErrorKind::WouldBlock);
-    stand_in::eventually("the oldest made room", || {
+    stand_in::eventually("the oldest connections were closed", || {
         silent.iter().filter(|stream| held(stream)).count() <= 16
     })
     .await;
-    // One that ends its sending without the end of the line has said it all the same.
+    // A line that ends with the end of the stream instead of a newline is answered too.
     let mut half = TcpStream::connect(process.admin).await.unwrap();
     half.write_all(b"READY").await.unwrap();
     half.shutdown().await.unwrap();
-    let mut said = String::new();
-    half.read_to_string(&mut said).await.unwrap();
-    assert_eq!(said, "OK ready\n");
+    let mut reported = String::new();
+    half.read_to_string(&mut reported).await.unwrap();
+    assert_eq!(reported, "OK ready\n");
     drop(silent);
-    process.tell("-TERM");
-    assert_eq!(process.ended().await.0, Some(0));
+    process.send_signal("-TERM");
+    assert_eq!(process.wait_for_exit().await.0, Some(0));
 }
 
-/// Served, refused, failed, left, retried and unreadable requests, held against the fleet's own ledger: equal.
+/// The counters equal what the clients and the fleet saw, for requests that are served, rejected, failed, cancelled by
+/// their client, retried or malformed.
 #[tokio::test]
-async fn the_figures_are_what_the_peers_saw() {
+async fn the_metrics_match_what_the_peers_saw() {
     let site = Deployment::new("figures", Shape { events: 3, ..Shape::default() }).await;
     site.write(&site.config());
     let process = site.start().await;
     process.until_ready().await;
     for name in ["completed.ask", "rejected.book", "failed.book", "upstream_requests", "pending"] {
-        assert_eq!(process.figure(name).await, 0, "{name}");
+        assert_eq!(process.metric(name).await, 0, "{name}");
     }
-    assert_eq!(process.figure("members").await, 4);
+    assert_eq!(process.metric("members").await, 4);
     let at = site.port.address();
     let mut seen = std::collections::BTreeMap::new();
-    let mut count = |lane: &str, answer: &str| {
+    let mut count = |class: &str, answer: &str| {
         let whole = answer.ends_with("0\r\n\r\n");
         let end = match status(answer) {
             200 if whole => "completed",
             429 | 503 => "rejected",
             _ => "failed",
         };
-        *seen.entry(format!("{end}.{lane}")).or_insert(0) += 1;
+        *seen.entry(format!("{end}.{class}")).or_insert(0) += 1;
     };
     let script = [
         Fault::None,
@@ -207,40 +220,40 @@
     ];
     for (number, fault) in script.into_iter().cycle().take(48).enumerate() {
         site.fleet.script([fault]);
-        let lane = if number % 3 == 0 { "book" } else { "ask" };
-        let answer = until_close(at, &platform(&format!("{number:016x}"), lane, "0.900")).await;
-        count(lane, &answer);
+        let class = if number % 3 == 0 { "book" } else { "ask" };
+        let answer = until_close(at, &platform(&format!("{number:016x}"), class, "0.900")).await;
+        count(class, &answer);
     }
-    // What the fronts answer by themselves is counted by the class that it names, if it came whole.
+    // A request that the front rejects as malformed is counted for the class that it names, if it was received whole.
     let bad = platform("ff00", "ask", "soon");
     count("ask", &until_close(at, &bad).await);
     until_close(at, &platform("ff01", "cook", "1.0")).await;
-    // One that leaves in mid-stream has ended, and is in no counter that is shown.
+    // A request whose client disconnects in mid-stream has ended, and is in none of the counters that are compared.
     site.fleet.script([Fault::Stalls(1)]);
     let begun = |text: &str| text.contains("data:");
     talk(at, &platform("ff02", "ask", "0.900"), begun).await;
     process.eventually("pending", 0).await;
-    for (name, told) in &seen {
-        assert_eq!(process.figure(name).await, *told, "{name} of {seen:?}");
+    for (name, expected) in &seen {
+        assert_eq!(process.metric(name).await, *expected, "{name} of {seen:?}");
     }
     for name in
         ["completed.ask", "completed.book", "rejected.ask", "rejected.book", "failed.ask", "failed.book"]
     {
         if !seen.contains_key(name) {
-            assert_eq!(process.figure(name).await, 0, "{name}");
+            assert_eq!(process.metric(name).await, 0, "{name}");
         }
     }
     assert!(["completed.ask", "failed.book"].iter().all(|name| seen.contains_key(*name)), "{seen:?}");
-    assert_eq!(process.figure("upstream_requests").await, site.fleet.received() as u64);
-    process.tell("-TERM");
-    let (code, log) = process.ended().await;
+    assert_eq!(process.metric("upstream_requests").await, site.fleet.received() as u64);
+    process.send_signal("-TERM");
+    let (code, log) = process.wait_for_exit().await;
     assert_eq!(code, Some(0), "{log:?}");
 }
 
-/// A second process takes over under load: each request is answered exactly once, whichever process has it, and the
-/// figures of the two add up to what the fleet saw.
+/// A second process takes over under load: each request runs once and is answered, whichever process has it, and both
+/// processes complete requests.
 #[tokio::test]
-async fn a_new_version_takes_over_under_load_and_nobody_is_lost_at_the_door() {
+async fn a_hot_restart_under_load_loses_no_request() {
     let site = Deployment::new("upgrade", Shape::default()).await;
     site.write(&site.config());
     let old = site.start().await;
@@ -265,11 +278,11 @@
     sleep(Duration::from_millis(200)).await;
     let new = site.start().await;
     new.until_ready().await;
-    assert_eq!(old.call("READY\n").await, "OK ready\n", "both serve");
+    assert_eq!(old.query("READY\n").await, "OK ready\n", "the old process is not ready beside the new one");
     sleep(Duration::from_millis(200)).await;
-    let taken_by_old = old.figure("completed.book").await;
-    old.tell("-TERM");
-    let log = old.ended().await;
+    let completed_by_old = old.metric("completed.book").await;
+    old.send_signal("-TERM");
+    let log = old.wait_for_exit().await;
     assert_eq!(log.0, Some(0), "{:?}", log.1);
     sleep(Duration::from_millis(200)).await;
     stop.send_replace(true);
@@ -278,25 +291,29 @@
         let (a, s) = client.await.unwrap();
         (asked, served) = (asked + a, served + s);
     }
-    assert_eq!(asked, served, "each is answered");
-    assert_eq!(site.fleet.started().len() as u64, asked, "and has run once");
-    assert!(taken_by_old > 0 && new.figure("completed.book").await > 0, "both had some");
-    assert_eq!(new.call("READY\n").await, "OK ready\n");
+    assert_eq!(asked, served, "a request was not served");
+    assert_eq!(site.fleet.started().len() as u64, asked, "a request ran more than once");
+    assert!(
+        completed_by_old > 0 && new.metric("completed.book").await > 0,
+        "one of the processes completed no request"
+    );
+    assert_eq!(new.query("READY\n").await, "OK ready\n");
     assert_eq!(
         field(&until_close(at, &platform("ff", "ask", "0.9")).await, "content-type"),
         Some("text/event-stream".into())
     );
 }
 
-/// What waits in the accept queue as the listener closes would be reset: it is taken in before.
+/// The kernel resets connections that are in the accept queue when a listener closes, so the listener accepts and
+/// serves them first.
 #[tokio::test]
-async fn a_listener_that_closes_leaves_nobody_in_its_queue() {
+async fn a_closing_listener_serves_the_connections_in_its_accept_queue() {
     let listener = listener::listen("127.0.0.1:0".parse().unwrap(), true).unwrap();
     let at = listener.local_addr().unwrap();
     let front = axum::Router::new().route("/", axum::routing::get(|| async { "here" }));
     let (phase, phases) = tokio::sync::watch::channel(Phase::Serving);
     let serving = listener::serve(listener, front, ConnectionLimits::new(500), Figures::default(), phases);
-    // Nothing is accepted yet: all of these wait in the queue when the listener is told to close.
+    // Nothing is accepted yet: all of these connections are in the accept queue when the listener has to close.
     let mut waiting: Vec<std::net::TcpStream> = (0..200)
         .map(|_| {
             let mut stream = std::net::TcpStream::connect(at).unwrap();
@@ -313,67 +330,69 @@
     }
 }
 
-/// An open request keeps the rules of the class that it came with, in both directions; new ones have the new at once.
+/// After a reload that changes the effect of a class, open requests keep the effect that they arrived with, whether it
+/// became stricter or laxer; new requests have the new effect at once.
 #[tokio::test]
-async fn a_class_that_changes_under_a_request_does_not_change_the_request() {
+async fn a_class_change_does_not_affect_open_requests() {
     let site =
         Deployment::new("retune", Shape { read: Duration::from_millis(400), ..Shape::default() }).await;
     let mut config = site.config();
-    // So long that no read is given up, and so many attempts that a repeat is seen whatever goes before it.
-    (0..2).for_each(|lane| config["settings"]["lanes"][lane]["aim_s"] = json!(4.0));
+    // The objective is so long that no read times out, and there are enough attempts for a retry after any failures
+    // before it.
+    (0..2).for_each(|class| config["settings"]["lanes"][class]["aim_s"] = json!(4.0));
     config["settings"]["limits"]["max_attempts"] = json!(9);
     site.write(&config);
     let process = site.start().await;
     process.until_ready().await;
     let at = site.port.address();
-    let ask = |id: &str, lane: &str| {
-        let text = platform(id, lane, "5.0");
+    let ask = |id: &str, class: &str| {
+        let text = platform(id, class, "5.0");
         tokio::spawn(async move { until_close(at, &text).await })
     };
-    // Once open: an `ask` that may repeat, and a `book` that may not.
+    // One open request each of the idempotent class `ask` and of the at-most-once class `book`.
     let (open_ask, open_book) = (ask("a1", "ask"), ask("b1", "book"));
     process.eventually("pending", 2).await;
-    let lanes = &mut config["settings"]["lanes"];
-    lanes[0]["effect"] = json!("at_most_once");
-    lanes[1]["effect"] = json!("idempotent");
-    let mut third = lanes[0].clone();
+    let classes = &mut config["settings"]["lanes"];
+    classes[0]["effect"] = json!("at_most_once");
+    classes[1]["effect"] = json!("idempotent");
+    let mut third = classes[0].clone();
     (third["name"], third["effect"]) = (json!("ask_new"), json!("idempotent"));
-    lanes.as_array_mut().unwrap().push(third);
+    classes.as_array_mut().unwrap().push(third);
     site.write(&config);
-    process.tell("-HUP");
+    process.send_signal("-HUP");
     process.eventually("config_reloads", 1).await;
     site.fleet.fail(1_000, &[Fault::Vanishes], 1);
     let (open_ask, open_book) = (open_ask.await.unwrap(), open_book.await.unwrap());
     let runs = |id: &str| site.fleet.started().iter().filter(|begun| begun.id == id).count();
-    assert!(runs("a1") > 1, "it may still repeat: {open_ask}");
-    assert_eq!((status(&open_book), runs("b1")), (502, 1), "it may still run once only");
+    assert!(runs("a1") > 1, "the open idempotent request was not retried: {open_ask}");
+    assert_eq!((status(&open_book), runs("b1")), (502, 1), "the open at-most-once request was retried");
     let (new_ask, new_book) = (ask("a2", "ask").await.unwrap(), ask("b2", "book").await.unwrap());
     assert_eq!((status(&new_ask), runs("a2")), (502, 1));
     assert!(runs("b2") > 1, "{new_book}");
     site.fleet.fail(0, &[], 1);
     assert_eq!(status(&ask("c1", "ask_new").await.unwrap()), 200);
-    // The figure follows the last byte: read at once it may still lack it.
+    // The counter is increased after the last byte is sent, so it may lag behind the answer.
     process.eventually("completed.ask_new", 1).await;
-    // Dropped: a client that still names it is told what it is told of any unknown class; the counter stays.
+    // The class is removed: new requests that name it are rejected as for any unknown class, and its counter stays.
     let open = ask("c2", "ask_new");
     process.eventually("pending", 1).await;
     config["settings"]["lanes"].as_array_mut().unwrap().pop();
     site.write(&config);
-    process.tell("-HUP");
+    process.send_signal("-HUP");
     process.eventually("config_reloads", 2).await;
     assert_eq!(status(&ask("c3", "ask_new").await.unwrap()), 400);
-    assert_eq!(status(&open.await.unwrap()), 200, "the one that was open ends as it would have");
+    assert_eq!(status(&open.await.unwrap()), 200, "the open request of the removed class was not served");
     process.eventually("completed.ask_new", 2).await;
-    // The same file once more is taken, and changes nothing.
-    process.tell("-HUP");
+    // A reload of an unchanged file succeeds and changes nothing.
+    process.send_signal("-HUP");
     process.eventually("config_reloads", 3).await;
     assert_eq!(status(&ask("d1", "book").await.unwrap()), 200);
 }
 
-/// From a broken file nothing is taken: each kind is counted, named in the log, and leaves all as it was; the same
-/// texts are turned down by `check-config`, but for those that only what is running can tell.
+/// A reload of an invalid file is counted and logged, and leaves the running configuration as it was. `check-config`
+/// rejects the same files, except for those that are invalid only in comparison with the running configuration.
 #[tokio::test]
-async fn nothing_is_taken_from_a_broken_file_of_any_kind() {
+async fn an_invalid_configuration_file_changes_nothing() {
     let site = Deployment::new("broken", Shape::default()).await;
     let good = site.config();
     site.write(&good);
@@ -381,7 +400,7 @@
     process.until_ready().await;
     let with = |change: &dyn Fn(&mut Value)| {
         let mut config = good.clone();
-        // In all of them discovery has moved to where nobody is, and a class has come.
+        // Each invalid file also moves discovery to an address without a listener and adds a class.
         config["discovery"] = json!("127.0.0.1:9");
         let mut third = config["settings"]["lanes"][0].clone();
         third["name"] = json!("ask_new");
@@ -392,13 +411,20 @@
     fn without(path: &'static str) -> impl Fn(&mut Value) {
         move |config| {
             let (parent, key) = path.rsplit_once('/').unwrap();
-            config.pointer_mut(parent).unwrap().as_object_mut().unwrap().remove(key).expect("it was there");
+            config
+                .pointer_mut(parent)
+                .unwrap()
+                .as_object_mut()
+                .unwrap()
+                .remove(key)
+                .expect("the key to remove is missing");
         }
     }
     fn put(path: &'static str, value: Value) -> impl Fn(&mut Value) {
         move |config| *config.pointer_mut(path).unwrap() = value.clone()
     }
     let whole = with(&|_| ());
+    // The file's text, a part of the error, and whether `check-config` rejects the file as well.
     let mut broken: Vec<(String, &str, bool)> = vec![
         (String::new(), "EOF", true),
         (whole[..whole.len() / 2].to_owned(), "EOF", true),
@@ -406,8 +432,9 @@
         (whole.replace("\"give_up_s\":1.0", "\"give_up_s\":NaN"), "expected", true),
         (whole.replace("\"give_up_s\":1.0", "\"give_up_s\":1e999"), "out of range", true),
     ];
-    let mut changed = |change: &dyn Fn(&mut Value), says, always| broken.push((with(change), says, always));
-    for (path, says) in [
+    let mut add =
+        |change: &dyn Fn(&mut Value), expected, always| broken.push((with(change), expected, always));
+    for (path, expected) in [
         ("/settings", "no lanes"),
         ("/settings/lanes", "no lanes"),
         ("/settings/limits/max_attempts", "max_attempts is missing"),
@@ -416,17 +443,17 @@
         ("/settings/lanes/1/name", "lanes.1.name is missing"),
         ("/discovery", "ROUTER_DISCOVERY"),
     ] {
-        changed(&without(path), says, true);
+        add(&without(path), expected, true);
     }
-    for (path, says) in [
+    for (path, expected) in [
         ("/limits", "limits is missing"),
         ("/admin_addr", "admin_addr is missing"),
         ("/settings/domain/release_within_s", "settings.domain.release_within_s is missing"),
         ("/settings/lanes/1/worth", "settings.lanes.1.worth is missing"),
     ] {
-        changed(&without(path), says, false);
+        add(&without(path), expected, false);
     }
-    for (path, value, says) in [
+    for (path, value, expected) in [
         ("/settings/lanes", json!([]), "no lanes"),
         ("/settings/lanes/0/give_up_s", json!(0), "lanes.0.give_up_s: 0"),
         ("/settings/lanes/0/give_up_s", json!(-6.0), "lanes.0.give_up_s: -6.0"),
@@ -450,46 +477,50 @@
         ("/settings/lanes/2/name", json!("ask"), "\"ask\" is there twice"),
         ("/settings/lanes/2/name", json!(""), "lanes.2.name"),
     ] {
-        changed(&put(path, value), says, true);
+        add(&put(path, value), expected, true);
     }
     let at = site.port.address();
     let count = broken.len() as u64;
-    for (turned_down, (text, says, always)) in broken.into_iter().enumerate() {
+    for (rejected_count, (text, expected, always)) in broken.into_iter().enumerate() {
         std::fs::write(site.folder.join("config.json"), &text).unwrap();
-        process.tell("-HUP");
-        process.eventually("config_reload_errors", turned_down as u64 + 1).await;
+        process.send_signal("-HUP");
+        process.eventually("config_reload_errors", rejected_count as u64 + 1).await;
         if always {
             let mut check = Command::new(env!("CARGO_BIN_EXE_dewladder"));
             check.args(["check-config", "--config"]).arg(site.folder.join("config.json")).env_clear();
             let output = check.output().await.unwrap();
-            let said = String::from_utf8(output.stderr).unwrap();
-            assert!(!output.status.success() && said.contains(says), "{says}: {said}");
+            let reported = String::from_utf8(output.stderr).unwrap();
+            assert!(!output.status.success() && reported.contains(expected), "{expected}: {reported}");
         }
     }
     std::fs::remove_file(site.folder.join("config.json")).unwrap();
-    process.tell("-HUP");
+    process.send_signal("-HUP");
     process.eventually("config_reload_errors", count + 1).await;
-    assert_eq!(process.figure("config_reloads").await, 0);
+    assert_eq!(process.metric("config_reloads").await, 0);
     let answer = until_close(at, &platform("f1", "ask_new", "0.9")).await;
-    assert_eq!(status(&answer), 400, "no class was taken");
+    assert_eq!(status(&answer), 400, "a class of an invalid file is served");
     assert_eq!(status(&until_close(at, &platform("f2", "book", "0.9")).await), 200);
-    assert!(!site.fleet.agent.log().contains(&"closed".to_owned()), "the list is watched where it was");
-    process.tell("-TERM");
-    let (code, log) = process.ended().await;
+    assert!(
+        !site.fleet.agent.log().contains(&"closed".to_owned()),
+        "the watch of the server list was closed"
+    );
+    process.send_signal("-TERM");
+    let (code, log) = process.wait_for_exit().await;
     assert_eq!(code, Some(0));
-    let said = |text: &str| log.iter().any(|line| line.contains("not taken over") && line.contains(text));
-    for says in ["lanes.0.give_up_s: -6.0", "settings.lanes.1.worth is missing", "can't read"] {
-        assert!(said(says), "{says} in {log:?}");
+    let reported = |text: &str| log.iter().any(|line| line.contains("not taken over") && line.contains(text));
+    for expected in ["lanes.0.give_up_s: -6.0", "settings.lanes.1.worth is missing", "can't read"] {
+        assert!(reported(expected), "{expected} in {log:?}");
     }
 }
 
-/// Whoever dies when, the other goes on: killed files mean nothing, a new one that never comes to serve leaves the old
-/// one as it was, and upgrades follow one another.
+/// When one of two processes is killed at any time, the other one continues: files that a dead process left are
+/// ignored, a new process that is killed before it serves doesn't affect the old one, and hot restarts can follow one
+/// another.
 #[tokio::test]
-async fn a_process_that_is_killed_leaves_nothing_behind_that_counts() {
+async fn a_killed_process_does_not_affect_its_successors() {
     let site = Deployment::new("killed", Shape::default()).await;
     let shared = site.folder.join("shared");
-    // Files of a process that is long gone, and nonsense: none is held by a lock.
+    // Files of a process that has ended, and files with invalid content: no process holds a lock on them.
     let name = format!("dewladder-127.0.0.1-{}", site.port.address().port());
     std::fs::write(shared.join(format!("{name}.seat0")), format!("{:<63}\n", "7 serving 960 0")).unwrap();
     std::fs::write(shared.join(format!("{name}.seat1")), "not a line").unwrap();
@@ -499,7 +530,7 @@
     let first = site.start().await;
     first.until_ready().await;
     assert_eq!(status(&until_close(at, &platform("a1", "book", "0.9")).await), 200);
-    // A new one that is killed as it starts, before it can say yes: at any moment of its start.
+    // A new process is killed at several times of its start, before it has taken over.
     for wait in [0, 1, 3, 10, 30] {
         let mut new = site.start().await;
         sleep(Duration::from_millis(wait)).await;
@@ -509,30 +540,30 @@
             assert_eq!(status(&until_close(at, &platform(&id, "book", "0.9")).await), 200, "{id}");
         }
     }
-    assert_eq!(first.call("READY\n").await, "OK ready\n");
-    // The old one killed in the middle of handing over: the new one goes on alone.
+    assert_eq!(first.query("READY\n").await, "OK ready\n");
+    // The old process is killed during the handover: the new one continues alone.
     let second = site.start().await;
     second.until_ready().await;
     let mut first = first;
-    first.tell("-TERM");
+    first.send_signal("-TERM");
     first.child.kill().await.unwrap();
     assert_eq!(status(&until_close(at, &platform("c1", "book", "0.9")).await), 200);
-    // And twice more, each in good order: what was learnt goes along.
+    // Two more hot restarts with an orderly shutdown: the learned state is handed over.
     let mut serving = second;
     for turn in 0..2 {
         let next = site.start().await;
         next.until_ready().await;
-        serving.tell("-TERM");
-        let (code, log) = serving.ended().await;
+        serving.send_signal("-TERM");
+        let (code, log) = serving.wait_for_exit().await;
         assert_eq!(code, Some(0), "{log:?}");
-        let said = |text: &str| log.iter().any(|line| line.contains(text));
-        assert!(said("told to end: another process takes new clients"), "{log:?}");
-        assert!(said("hot restart: learned state exported"), "{log:?}");
+        let reported = |text: &str| log.iter().any(|line| line.contains(text));
+        assert!(reported("told to end: another process takes new clients"), "{log:?}");
+        assert!(reported("hot restart: learned state exported"), "{log:?}");
         assert_eq!(status(&until_close(at, &platform(&format!("d{turn}"), "ask", "0.9")).await), 200);
         serving = next;
     }
-    serving.tell("-TERM");
-    let (code, log) = serving.ended().await;
+    serving.send_signal("-TERM");
+    let (code, log) = serving.wait_for_exit().await;
     assert_eq!(code, Some(0));
     assert!(log.iter().any(|line| line.contains("hot restart: learned state imported")), "{log:?}");
     assert!(
--- a/tests/third_deployment.rs
+++ b/tests/third_deployment.rs
@@ -1,5 +1,6 @@
-//! A deployment that is neither site's: its own names for classes, kinds and halls, more classes, three kinds of servers,
-//! no tenants, no talk among dispatchers, memory told in another field. Nothing may hang on a name.
+//! A deployment that differs from those under `deploy/sites/`: other names of classes, kinds and zones, three classes,
+//! three kinds of servers, no tenants, no gossip among dispatchers, and the held memory in another report field. No
+//! behavior may depend on a name.
 
 mod stand_in;
 
@@ -12,19 +13,20 @@
 
 const ID: &str = "00000000000000a7";
 
-fn lane(name: &str, effect: &str, worth: f64) -> Value {
-    json!({"name": name, "aim_s": 0.4, "give_up_s": 1.0, "effect": effect, "group": "all", "worth": worth})
+fn class_settings(name: &str, effect: &str, priority_weight: f64) -> Value {
+    json!({"name": name, "aim_s": 0.4, "give_up_s": 1.0, "effect": effect, "group": "all", "worth": priority_weight})
 }
 
-/// Halls and kinds stand in another order than the list names them, and the first kind is a writer.
+/// Returns the deployment's configuration. Kinds and zones are in another order than in the server list, and the first
+/// kind is a writer.
 fn config(agent: &Agent, list: &Value) -> String {
     let settings = json!({"balancers": 3, "locality": 2, "failure_domains": ["vault", "loft", "shed"],
         "kinds": ["scribe", "page", "lector"],
         "domain": {"role_by_kind": ["write", "both", "read"], "kind_memory_tokens": [70000, 80000, 90000],
             "release_within_s": 0.4, "resume": false, "report_x0": "something_else",
             "report_x3": "share_of_memory_that_is_held"},
-        "lanes": [lane("once-only", "at_most_once", 4.0), lane("leisurely", "idempotent", 1.0),
-            lane("Pikku_2.b", "deduplicated", 2.0)],
+        "lanes": [class_settings("once-only", "at_most_once", 4.0), class_settings("leisurely", "idempotent", 1.0),
+            class_settings("Pikku_2.b", "deduplicated", 2.0)],
         "limits": {"cancel": true, "connect_timeout_s": 0.25, "keepalive_s": 9.0, "max_attempts": 3,
             "peers": false, "probes": false, "retry_after": false}, "resolution_s": 0.004});
     json!({"name": "t2", "listen": "127.0.0.1:0", "discovery": agent.address, "seed": "5",
@@ -39,7 +41,7 @@
 }
 
 #[tokio::test]
-async fn a_deployment_with_names_of_its_own_is_served_by_its_settings() {
+async fn a_deployment_with_other_names_is_served_by_its_settings() {
     let (reader, writer) = (Server::start(Behavior::Read).await, Server::start(Behavior::Stream(2)).await);
     let members = [member(&reader, 41, "lector"), member(&writer, 7, "scribe")];
     let list = json!({"revision": 1, "complete": true, "members": members});
@@ -51,7 +53,7 @@
     assert_eq!(roles, [Role::Writer, Role::Mixed, Role::Reader]);
     assert_eq!(config.settings.memory_field, Some(3));
     let dispatcher = Dispatcher::bind(config, &Fronts::parse("fronts", "").unwrap()).unwrap();
-    let [front] = dispatcher.addresses()[..] else { panic!("one listener") };
+    let [front] = dispatcher.addresses()[..] else { panic!("expected one listener") };
     let (end, ended) = oneshot::channel::<()>();
     let (_discovery, at) = watch::channel(agent.address);
     let running = tokio::spawn(dispatcher.run(at, async {
@@ -64,21 +66,21 @@
     assert_eq!(
         (reader.posts(), writer.posts()),
         (3, 3),
-        "read by the one, written by the other, whatever their names"
+        "each request is read by the reader and written by the writer"
     );
-    // Names of other places are none here.
+    // Class names of other deployments are unknown.
     for class in ["ask", "book", "lukema-kysely", "asetus-muutos"] {
         let answer = until_close(front, &platform(ID, class, "0.900")).await;
         assert!(answer.starts_with("HTTP/1.1 400 "), "{class}: {answer}");
     }
-    // What must not run twice is not tried again, by the settings' word for it and not by its name.
+    // An at-most-once request is not retried: the setting `effect` decides, not the class's name.
     writer.set_behavior(Behavior::Close);
     let answer = until_close(front, &platform(ID, "once-only", "0.900")).await;
     assert!(answer.starts_with("HTTP/1.1 502 "), "{answer}");
-    assert_eq!(writer.posts(), 4, "sent once");
+    assert_eq!(writer.posts(), 4, "not sent exactly once");
     let before = writer.posts();
     until_close(front, &platform(ID, "leisurely", "0.900")).await;
-    assert!(writer.posts() >= before + 2, "tried again, {before} and then {}", writer.posts());
+    assert!(writer.posts() >= before + 2, "not retried: {before} requests before, {} after", writer.posts());
     let _ = end.send(());
     running.await.unwrap().unwrap();
 }
