--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,6 +1,7 @@
-//! The soak of servers that stand still, short: drawn plays of the program as it is started, judged by what its clients,
-//! servers and agents saw. Processes get series of signals and are killed in their shutdown as early as the platform may do
-//! so, while clients go on sending on their open connections. The long run is started by hand: `dewladder-soak --stopped`.
+//! A short soak with stopped servers: drawn plans are run with the built program, and the oracle checks what clients,
+//! servers and agents observed. Processes get series of signals and are killed in their shutdown as early as the
+//! platform may kill them, while clients keep sending on their open connections. The long soak is started by hand:
+//! `dewladder-soak --stopped`.
 
 use std::path::PathBuf;
 
@@ -11,12 +12,13 @@
 
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=12;
 const PROCESSES: usize = 2;
-const SECONDS: u64 = 10;
-/// Plays at once: each has some ten tasks and two or three processes.
-const AT_ONCE: usize = 4;
+const RUN_SECONDS: u64 = 10;
+/// Plans that run at once; each has some ten tasks and two or three processes.
+const PARALLEL_RUNS: usize = 4;
 
+/// Runs the plan of a seed and returns the violations that the oracle finds.
 async fn violations(seed: u64) -> Vec<String> {
-    let plan = Plan::draw_stopped(seed, PROCESSES, SECONDS);
+    let plan = Plan::draw_stopped(seed, PROCESSES, RUN_SECONDS);
     let options = Options {
         program: PathBuf::from(env!("CARGO_BIN_EXE_dewladder")),
         shim: None,
@@ -31,15 +33,15 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn drawn_plays_of_servers_that_stand_still_break_no_rule() {
-    let (mut seeds, mut playing, mut broken) = (SEEDS, JoinSet::new(), Vec::new());
+async fn drawn_plans_with_stopped_servers_break_no_rule() {
+    let (mut seeds, mut running, mut broken) = (SEEDS, JoinSet::new(), Vec::new());
     loop {
-        while playing.len() < AT_ONCE {
+        while running.len() < PARALLEL_RUNS {
             let Some(seed) = seeds.next() else { break };
-            playing.spawn(violations(seed));
+            running.spawn(violations(seed));
         }
-        let Some(played) = playing.join_next().await else { break };
-        broken.extend(played.unwrap());
+        let Some(finished) = running.join_next().await else { break };
+        broken.extend(finished.unwrap());
     }
     assert!(broken.is_empty(), "{broken:#?}");
 }
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -1,16 +1,17 @@
-//! Start times of servers come from the clock that discovery goes by; this process's own may be off by an hour.
+//! Slow start with a wrong local clock. Start times of servers are given by the clock of discovery; the dispatcher's
+//! own wall clock may differ from it by an hour, in either direction.
 
-use dewladder::edge::core::{Core, Effect as Asks, Input};
+use dewladder::edge::core::{Core, Effect as CoreEffect, Input};
 use dewladder::interface::*;
 use dewladder_router::settings::from_key_values;
 
 const SECOND: Micros = 1_000_000;
 const HOUR: Micros = 3_600 * SECOND;
-/// The true time, in all tests.
+/// The correct time at the start of each test.
 const NOW: Micros = 100 * HOUR;
-/// Calls come so often, for so long.
-const EVERY: Micros = 20_000;
-const FOR: Micros = 10 * SECOND;
+const REQUEST_INTERVAL: Micros = 20_000;
+/// How long requests are sent, if a test doesn't say otherwise.
+const REQUESTS_DURATION: Micros = 10 * SECOND;
 
 fn settings() -> Settings {
     let pairs = [
@@ -33,26 +34,29 @@
     from_key_values(pairs.into_iter().collect()).unwrap()
 }
 
+/// Returns a list entry of a server; servers from 10 on are writers, the others are readers.
 fn entry(server: u32, started: Option<Micros>) -> ServerEntry {
     let (zone, cell) = (ZoneId(0), CellId(0));
     let kind = u32::from(server >= 10);
     ServerEntry { server: ServerId(server), zone, cell, weight: 1.0, started, health: Health::Ready, kind }
 }
 
-/// Two readers and two writers that have run for long.
+/// Two readers and two writers without a start time, which count as warm.
 fn old_servers() -> Vec<ServerEntry> {
     [1, 2, 10, 11].map(|server| entry(server, None)).into()
 }
 
-/// Plays calls from `from` on the process's own clock, each served at once; attempts at each server, and refusals.
-fn serves(core: &mut Core, from: Micros, length: Micros) -> (Vec<ServerId>, usize) {
+/// Sends requests from `from` on, in the local clock's time; each attempt succeeds after 1 ms. Returns the servers of
+/// all attempts, in order, and the number of rejected requests.
+fn send_requests(core: &mut Core, from: Micros, length: Micros) -> (Vec<ServerId>, usize) {
     let (mut sent, mut refused, mut now) = (Vec::new(), 0, from);
-    // Alike whatever the clock says: where a call goes depends on its conversation.
+    // Session keys don't depend on the clock: the choice of a server depends on the session, so runs with different
+    // clocks are comparable.
     let mut number = length;
     while now < from + length {
-        now += EVERY;
+        now += REQUEST_INTERVAL;
         number += 1;
-        let call = RequestInfo {
+        let request = RequestInfo {
             id: RequestId(number),
             class: 0,
             session: Some(Key(number)),
@@ -63,13 +67,13 @@
             hint: None,
             not_after: now + 4 * SECOND,
         };
-        let mut effects = core.step(now, Input::RequestArrived(call));
+        let mut effects = core.step(now, Input::RequestArrived(request));
         effects.extend(core.step(now, Input::Tick));
         while !effects.is_empty() {
             let mut next = Vec::new();
             for effect in effects {
                 match effect {
-                    Asks::Send { id, attempt, server, reads, .. } => {
+                    CoreEffect::Send { id, attempt, server, reads, .. } => {
                         sent.push(server);
                         let outcome = if reads { Outcome::Read } else { Outcome::Served };
                         if !reads {
@@ -80,7 +84,7 @@
                             Input::AttemptFinished { id, attempt, result: outcome.into() },
                         ));
                     }
-                    Asks::Reject { .. } => refused += 1,
+                    CoreEffect::Reject { .. } => refused += 1,
                     _ => {}
                 }
             }
@@ -90,72 +94,80 @@
     (sent, refused)
 }
 
-/// Attempts at a reader that has just started as the others drain, told by a watch that was open, with the own clock off
-/// by `off`.
-fn sent_to_a_cold_reader(off: i64) -> usize {
-    let now = NOW.checked_add_signed(off).unwrap();
+/// Returns the number of attempts at a reader that has just started while the other readers drain, as a patch of the
+/// open watch says, with the local clock wrong by `clock_offset`.
+fn sent_to_a_cold_reader(clock_offset: i64) -> usize {
+    let now = NOW.checked_add_signed(clock_offset).unwrap();
     let mut core = Core::new(settings(), 1, now, 500);
     core.step(now, Input::EndpointsUpdated { how: ListUpdateKind::Full, entries: old_servers() });
-    serves(&mut core, now, FOR);
-    let told = now + FOR + SECOND;
-    let started = NOW + FOR; // by discovery's clock, a second before
-    let drains = |server| ServerEntry { health: Health::Terminating, ..entry(server, None) };
-    let entries = vec![entry(3, Some(started)), drains(1), drains(2)];
-    core.step(told, Input::EndpointsUpdated { how: ListUpdateKind::Patch, entries });
-    let (sent, _) = serves(&mut core, told, 2 * SECOND);
+    send_requests(&mut core, now, REQUESTS_DURATION);
+    let updated_at = now + REQUESTS_DURATION + SECOND;
+    let started = NOW + REQUESTS_DURATION; // by the clock of discovery: one second before the update
+    let draining = |server| ServerEntry { health: Health::Terminating, ..entry(server, None) };
+    let entries = vec![entry(3, Some(started)), draining(1), draining(2)];
+    core.step(updated_at, Input::EndpointsUpdated { how: ListUpdateKind::Patch, entries });
+    let (sent, _) = send_requests(&mut core, updated_at, 2 * SECOND);
     sent.into_iter().filter(|server| *server == ServerId(3)).count()
 }
 
+/// A reader that started one second ago is in slow start also if the local clock is an hour ahead or behind.
 #[test]
-fn a_cold_server_is_spared_though_the_own_clock_is_ahead() {
-    let right = sent_to_a_cold_reader(0);
+fn slow_start_applies_with_a_wrong_local_clock() {
+    let correct = sent_to_a_cold_reader(0);
     let (ahead, behind) = (sent_to_a_cold_reader(HOUR as i64), sent_to_a_cold_reader(-(HOUR as i64)));
-    assert!(right * 2 < 100, "{right} of 100 go to a cold server");
-    assert!(ahead <= right, "{ahead} attempts with the clock an hour ahead, {right} with the right one");
-    assert!(behind <= right, "{behind} attempts with the clock an hour behind, {right} with the right one");
+    assert!(correct * 2 < 100, "{correct} of 100 requests go to a cold server");
+    assert!(
+        ahead <= correct,
+        "{ahead} attempts with the clock an hour ahead, {correct} with the correct one"
+    );
+    assert!(
+        behind <= correct,
+        "{behind} attempts with the clock an hour behind, {correct} with the correct one"
+    );
 }
 
-/// A process starts with its clock an hour behind: servers that started within that hour are no colder for it.
+/// A process starts with its clock an hour behind: servers that started within that hour must not count as cold.
 #[test]
-fn warm_servers_serve_though_the_own_clock_is_behind() {
-    let serves_with = |off: Micros| {
-        let now = NOW - off;
+fn warm_servers_get_requests_with_the_local_clock_behind() {
+    let send_requests_with_offset = |clock_offset: Micros| {
+        let now = NOW - clock_offset;
         let mut core = Core::new(settings(), 1, now, 500);
-        let minutes_ago = |server| entry(server, Some(NOW - 1_800 * SECOND));
-        let mut entries = [1, 2, 10, 11].map(minutes_ago).to_vec();
+        let started_half_an_hour_ago = |server| entry(server, Some(NOW - 1_800 * SECOND));
+        let mut entries = [1, 2, 10, 11].map(started_half_an_hour_ago).to_vec();
         entries.push(entry(3, Some(NOW - SECOND)));
         core.step(now, Input::EndpointsUpdated { how: ListUpdateKind::Full, entries });
-        let (sent, refused) = serves(&mut core, now, FOR);
+        let (sent, refused) = send_requests(&mut core, now, REQUESTS_DURATION);
         (sent.iter().filter(|server| server.0 == 10 || server.0 == 11).count(), refused)
     };
-    let (right, behind) = (serves_with(0), serves_with(HOUR));
+    let (correct, behind) = (send_requests_with_offset(0), send_requests_with_offset(HOUR));
     assert!(
-        behind.0 * 10 >= right.0 * 9,
-        "{behind:?} served and refused with the clock behind, {right:?} with the right one"
+        behind.0 * 10 >= correct.0 * 9,
+        "{behind:?} served and rejected with the clock behind, {correct:?} with the correct one"
     );
-    assert_eq!(right.1, 0);
+    assert_eq!(correct.1, 0);
 }
 
-/// Nor later: what is warm by then stays so, whatever the clock said at the start.
+/// A server that starts after the process becomes warm at the end of its slow start, although the local clock was
+/// behind when the process started.
 #[test]
-fn a_cold_server_becomes_warm_in_its_time_though_the_own_clock_is_behind() {
+fn slow_start_ends_in_time_with_the_local_clock_behind() {
     let now = NOW - HOUR;
     let mut core = Core::new(settings(), 1, now, 500);
     core.step(now, Input::EndpointsUpdated { how: ListUpdateKind::Full, entries: old_servers() });
-    serves(&mut core, now, FOR);
-    let told = now + FOR + SECOND;
-    let entries = [entry(3, Some(NOW + FOR)), entry(1, None)];
+    send_requests(&mut core, now, REQUESTS_DURATION);
+    let updated_at = now + REQUESTS_DURATION + SECOND;
+    let entries = [entry(3, Some(NOW + REQUESTS_DURATION)), entry(1, None)];
     let gone = ServerEntry { health: Health::Gone, ..entry(1, None) };
     core.step(
-        told,
+        updated_at,
         Input::EndpointsUpdated { how: ListUpdateKind::Patch, entries: vec![entries[0].clone(), gone] },
     );
-    let (sent, _) = serves(&mut core, told + 15 * SECOND, 5 * SECOND);
+    let (sent, _) = send_requests(&mut core, updated_at + 15 * SECOND, 5 * SECOND);
     let (third, second) = (3, 2);
     let count = |server: u32| sent.iter().filter(|one| one.0 == server).count();
     assert!(
         count(third) * 3 > count(second),
-        "{} to the warmed one, {} to the other",
+        "{} attempts at the warmed server, {} at the other",
         count(third),
         count(second)
     );
