--- a/crates/router/src/attempts.rs
+++ b/crates/router/src/attempts.rs
@@ -103,8 +103,8 @@
         // A writer also reports `NoState` when only its own connection to the reader is broken. The reader
         // may still hold the state then, so it has to be released.
         (Outcome::NoState, _) if request.held_state.take().is_some() => change = HeldStateChange::Release,
-        (_, HeldStateAfter::TimeGoesOn) => {}
-        (_, HeldStateAfter::TimeBeginsAnew) => {
+        (_, HeldStateAfter::HoldTimeContinues) => {}
+        (_, HeldStateAfter::HoldTimeRestarts) => {
             request.held_state = request.held_state.map(|held| HeldState { since: now, ..held });
         }
         (_, HeldStateAfter::Released) => request.held_state = None,
--- a/crates/router/src/interface/requests.rs
+++ b/crates/router/src/interface/requests.rs
@@ -70,9 +70,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeldStateAfter {
     /// The hold time continues to run: nothing shows that a server received the attempt.
-    TimeGoesOn,
+    HoldTimeContinues,
     /// The hold time starts again from zero, because a server answered.
-    TimeBeginsAnew,
+    HoldTimeRestarts,
     /// The state is being released.
     Released,
 }
@@ -83,8 +83,8 @@
     #[must_use]
     pub fn of_arrived(outcome: Outcome) -> Self {
         match outcome {
-            Outcome::ConnectFailed | Outcome::NotSent | Outcome::Unacknowledged => Self::TimeGoesOn,
-            _ => Self::TimeBeginsAnew,
+            Outcome::ConnectFailed | Outcome::NotSent | Outcome::Unacknowledged => Self::HoldTimeContinues,
+            _ => Self::HoldTimeRestarts,
         }
     }
 }
--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -202,7 +202,7 @@
                 server: at,
                 taken: if id % 2 == 0 { 700_000 } else { 60_000_000 },
                 outcome: Outcome::Read,
-                held_state: HeldStateAfter::TimeBeginsAnew,
+                held_state: HeldStateAfter::HoldTimeRestarts,
                 cached_tokens: 0,
                 last: true,
                 report: None,
--- a/crates/router/tests/full_scan/oracle/requests.rs
+++ b/crates/router/tests/full_scan/oracle/requests.rs
@@ -154,9 +154,9 @@
                 out.push(Action::ReleaseHeldState(id));
             }
             // The hold time continues to run while nothing shows that a server received the attempt.
-            (_, HeldStateAfter::TimeGoesOn) => {}
+            (_, HeldStateAfter::HoldTimeContinues) => {}
             (_, HeldStateAfter::Released) => request.held_state = None,
-            (_, HeldStateAfter::TimeBeginsAnew) => {
+            (_, HeldStateAfter::HoldTimeRestarts) => {
                 request.held_state = request.held_state.map(|held| HeldState { since: self.now, ..held });
             }
         }
--- a/crates/router/tests/full_scan/pair.rs
+++ b/crates/router/tests/full_scan/pair.rs
@@ -162,7 +162,8 @@
         if self.every_message_arrives {
             return HeldStateAfter::of_arrived(outcome);
         }
-        let all = [HeldStateAfter::TimeGoesOn, HeldStateAfter::TimeBeginsAnew, HeldStateAfter::Released];
+        let all =
+            [HeldStateAfter::HoldTimeContinues, HeldStateAfter::HoldTimeRestarts, HeldStateAfter::Released];
         all[(id.0 + self.now) as usize % all.len()]
     }
 
--- a/crates/router/tests/rules.rs
+++ b/crates/router/tests/rules.rs
@@ -210,7 +210,9 @@
 /// has continued instead and is up, the request must not be sent again.
 #[test]
 fn after_a_timeout_a_released_state_is_read_again_and_an_expired_one_is_not_sent() {
-    for (held_state, reads_again) in [(HeldStateAfter::Released, true), (HeldStateAfter::TimeGoesOn, false)] {
+    for (held_state, reads_again) in
+        [(HeldStateAfter::Released, true), (HeldStateAfter::HoldTimeContinues, false)]
+    {
         let mut world = World::new(settings(), fleet(false));
         let id = world.send_default_request(1);
         world.end(id, Outcome::Read);
--- a/src/edge/core/held_state.rs
+++ b/src/edge/core/held_state.rs
@@ -128,7 +128,7 @@
     /// answer from the server restarts the deadline.
     pub fn write_ended(&mut self, answered: bool, now: Micros, max_hold_time: Micros) -> HeldStateAfter {
         if !self.is_held() {
-            return HeldStateAfter::TimeGoesOn;
+            return HeldStateAfter::HoldTimeContinues;
         }
         self.needs_release = true;
         if !answered {
@@ -138,10 +138,10 @@
             return HeldStateAfter::Released;
         }
         if !answered {
-            return HeldStateAfter::TimeGoesOn;
+            return HeldStateAfter::HoldTimeContinues;
         }
         self.restart_deadline(now, max_hold_time);
-        HeldStateAfter::TimeBeginsAnew
+        HeldStateAfter::HoldTimeRestarts
     }
 
     /// Records that a writer has taken the state. With the first token, servers release all state of the
--- a/src/edge/core/request_table.rs
+++ b/src/edge/core/request_table.rs
@@ -401,7 +401,7 @@
 /// The event for an attempt that the guard refused to send.
 fn refused_attempt(id: RequestId, attempt: u32, server: ServerId, last: bool) -> AttemptFinished {
     let (outcome, cached_tokens, report) = (Outcome::NotSent, 0, None);
-    let held_state = HeldStateAfter::TimeGoesOn;
+    let held_state = HeldStateAfter::HoldTimeContinues;
     AttemptFinished { id, attempt, server, taken: 0, outcome, held_state, cached_tokens, last, report }
 }
 
--- a/src/edge/core/request_table/held.rs
+++ b/src/edge/core/request_table/held.rs
@@ -25,7 +25,7 @@
         outcome: Outcome,
         step: &mut Step,
     ) -> HeldStateAfter {
-        let Some(request) = self.requests.get_mut(&id) else { return HeldStateAfter::TimeGoesOn };
+        let Some(request) = self.requests.get_mut(&id) else { return HeldStateAfter::HoldTimeContinues };
         let (held, now, max_hold_time) = (&mut request.held, step.now, self.max_hold_time);
         if held.was_released() {
             self.held_statistics.attempt_ended_after_release(outcome);
@@ -33,7 +33,7 @@
         // If a machine accepted the bytes, reset the connection or stayed silent, that proves nothing about the
         // server process.
         let answered = match outcome {
-            Outcome::ConnectFailed | Outcome::NotSent => return HeldStateAfter::TimeGoesOn,
+            Outcome::ConnectFailed | Outcome::NotSent => return HeldStateAfter::HoldTimeContinues,
             Outcome::Read | Outcome::Served | Outcome::Full | Outcome::NoState | Outcome::Error => true,
             Outcome::Timeout
             | Outcome::Reset
@@ -45,12 +45,12 @@
             held.write_ended(answered, now, max_hold_time)
         } else if outcome == Outcome::Read {
             held.read_answered(attempt.server, now, max_hold_time);
-            HeldStateAfter::TimeBeginsAnew
+            HeldStateAfter::HoldTimeRestarts
         } else {
             if outcome.may_have_run() {
                 held.read_unanswered(attempt.server, now, max_hold_time);
             }
-            HeldStateAfter::TimeGoesOn
+            HeldStateAfter::HoldTimeContinues
         };
         held.sync_timer(id, &mut step.timers);
         after
--- a/tests/held_state.rs
+++ b/tests/held_state.rs
@@ -142,10 +142,10 @@
     let mut held = HeldState::none();
     held.read_answered(READER, 0, MAX_HOLD_TIME);
     for now in [100_000, 300_000, 499_999] {
-        assert_eq!(held.write_ended(false, now, MAX_HOLD_TIME), HeldStateAfter::TimeGoesOn);
+        assert_eq!(held.write_ended(false, now, MAX_HOLD_TIME), HeldStateAfter::HoldTimeContinues);
         assert_eq!(held.deadline(), Some(MAX_HOLD_TIME));
     }
-    assert_eq!(held.write_ended(true, 499_999, MAX_HOLD_TIME), HeldStateAfter::TimeBeginsAnew);
+    assert_eq!(held.write_ended(true, 499_999, MAX_HOLD_TIME), HeldStateAfter::HoldTimeRestarts);
     assert_eq!(held.deadline(), Some(499_999 + MAX_HOLD_TIME));
 }
 
