--- a/benches/scale/decisions.rs
+++ b/benches/scale/decisions.rs
@@ -314,7 +314,7 @@
     fn received_update(&mut self) -> f64 {
         self.mean_time_us(2_000, |workload, at| {
             let server = tag(ServerId(at * 7 % workload.size.servers));
-            let load = Load::Waits(u64::from(at % 300) * 1_000);
+            let load = Load::Queued(u64::from(at % 300) * 1_000);
             Event::GossipReceived(LoadUpdate { server, load, at: workload.now }.to_bytes().to_vec())
         })
     }
--- a/crates/router/src/attempts.rs
+++ b/crates/router/src/attempts.rs
@@ -53,7 +53,7 @@
         sent_at: state.now,
         memory_tokens: work.memory_tokens,
         work_tokens: work.work_tokens,
-        expected_queueing_us: state.gossip.believed_us(server.entry.server, state.now),
+        expected_queueing_us: state.gossip.estimated_queueing_us(server.entry.server, state.now),
         class: info.class,
         expected_prefix: cached.filter(|_| stage != Stage::Write),
         is_streaming: false,
--- a/crates/router/src/gossip.rs
+++ b/crates/router/src/gossip.rs
@@ -34,7 +34,7 @@
     /// The sender has just sent this much work to the server (us).
     Sent(Micros),
     /// This much work is queued at the server, from any dispatcher (us).
-    Waits(Micros),
+    Queued(Micros),
 }
 
 /// A report on the load of one server, sent from one dispatcher to all others.
@@ -67,13 +67,13 @@
 
 impl LoadUpdate {
     /// Encodes the update: checksum, server tag (two bytes, little-endian), time, and amount. The highest bit
-    /// of the amount is set for [`Load::Waits`].
+    /// of the amount is set for [`Load::Queued`].
     #[must_use]
     pub fn to_bytes(&self) -> [u8; UPDATE_BYTES] {
         let [low, high] = self.server.to_le_bytes();
         let amount = match self.load {
             Load::Sent(amount) => to_steps(amount),
-            Load::Waits(amount) => to_steps(amount) | !MAX_STEPS,
+            Load::Queued(amount) => to_steps(amount) | !MAX_STEPS,
         };
         let mut bytes = [0, low, high, (self.at / TIME_STEP_US) as u8, amount];
         bytes[0] = checksum(&bytes);
@@ -94,7 +94,7 @@
         let from = (now + MAX_CLOCK_SKEW_US) / TIME_STEP_US;
         let age = Micros::from((from as u8).wrapping_sub(time));
         let amount_us = from_steps(amount & MAX_STEPS);
-        let load = if amount & !MAX_STEPS == 0 { Load::Sent(amount_us) } else { Load::Waits(amount_us) };
+        let load = if amount & !MAX_STEPS == 0 { Load::Sent(amount_us) } else { Load::Queued(amount_us) };
         let at = (from.saturating_sub(age) * TIME_STEP_US).min(now);
         let is_fresh = age * TIME_STEP_US <= MAX_AGE_US + MAX_CLOCK_SKEW_US;
         is_fresh.then_some(Self { server: u16::from_le_bytes([low, high]), load, at })
@@ -224,7 +224,7 @@
 
     /// The work estimated to be queued at a server (us). The estimate shrinks by the time that has passed, as
     /// the server works.
-    pub(crate) fn believed_us(&self, server: ServerId, now: Micros) -> f64 {
+    pub(crate) fn estimated_queueing_us(&self, server: ServerId, now: Micros) -> f64 {
         self.estimated_by_tag_us(tag(server), now)
     }
 
@@ -244,7 +244,7 @@
     /// was the estimate at its send.
     pub(crate) fn record_queueing(&mut self, server: ServerId, queueing_us: f64, expected_us: f64) {
         if self.limits.is_enabled && self.limits.is_significant_queue(queueing_us, expected_us) {
-            self.pending.push(PendingReport { server, load: Load::Waits(queueing_us as Micros) });
+            self.pending.push(PendingReport { server, load: Load::Queued(queueing_us as Micros) });
         }
     }
 
@@ -255,9 +255,9 @@
             let update = LoadUpdate { server: tag(server), load, at: now };
             let is_significant = match load {
                 Load::Sent(work_us) => work_us as f64 >= self.limits.min_work_us,
-                Load::Waits(queueing_us) => {
-                    self.limits.is_significant_queue(queueing_us as f64, self.believed_us(server, now))
-                }
+                Load::Queued(queueing_us) => self
+                    .limits
+                    .is_significant_queue(queueing_us as f64, self.estimated_queueing_us(server, now)),
             };
             if is_significant && self.credit >= 1.0 {
                 self.credit -= 1.0;
@@ -294,7 +294,7 @@
                 let worked_off_us = if previous_us > 0.0 { 0.0 } else { age_us };
                 previous_us + (work_us as f64 - worked_off_us).max(0.0)
             }
-            Load::Waits(queueing_us) => previous_us.max(queueing_us as f64 - age_us),
+            Load::Queued(queueing_us) => previous_us.max(queueing_us as f64 - age_us),
         };
         self.estimates.insert(update.server, LoadEstimate { queueing_us, at: now });
     }
--- a/crates/router/src/placement.rs
+++ b/crates/router/src/placement.rs
@@ -140,14 +140,14 @@
         let reread_us = state.stage(self.stage).unloaded_us_per_token * cached_tokens as f64;
         let observed = &server.statistics.queueing_us[self.stage as usize];
         let observed_us = observed.value_at(state.now, 0.0, AVERAGE_HALF_LIFE_US);
-        let queueing_us = observed_us.max(state.gossip.believed_us(server.entry.server, state.now));
+        let queueing_us = observed_us.max(state.gossip.estimated_queueing_us(server.entry.server, state.now));
         !load::is_at_capacity(state, server, self.stage, reread_us)
             && queueing_us <= reread_us + CAPACITY_SHARE_OF_OBJECTIVE * state.shortest_objective_us
             && !remote_fetch::lacks_local_writers(state, server, self.request.info.class)
     }
 
     /// Among the candidates with the fewest attempts of this dispatcher, the one that would finish first: its
-    /// believed queue less the time that its cached prefix saves. In a pool that is at capacity, reading
+    /// estimated queueing less the time that its cached prefix saves. In a pool that is at capacity, reading
     /// cached text again elsewhere adds to the overload.
     fn least_loaded(&self) -> Option<ServerId> {
         let state = self.state;
@@ -155,7 +155,7 @@
         let fewest = candidates().map(|server| server.unanswered.len()).min()?;
         let unloaded_us_per_token = state.stage(self.stage).unloaded_us_per_token;
         let relative_finish_us = |server: &Server| {
-            let queue_us = state.gossip.believed_us(server.entry.server, state.now);
+            let queue_us = state.gossip.estimated_queueing_us(server.entry.server, state.now);
             queue_us - unloaded_us_per_token * self.cached_tokens(server) as f64
         };
         let with_fewest = candidates().filter(|server| server.unanswered.len() == fewest);
--- a/crates/router/src/timeouts.rs
+++ b/crates/router/src/timeouts.rs
@@ -25,7 +25,7 @@
     objective_us: f64,
 ) -> Micros {
     let us_per_token = state.stage(stage).median_us_per_token;
-    let reported_us = state.gossip.believed_us(server.entry.server, state.now);
+    let reported_us = state.gossip.estimated_queueing_us(server.entry.server, state.now);
     let queued_us = reported_us.max(us_per_token * server.unanswered_tokens[stage as usize]);
     let expected_us = us_per_token * work_tokens + queued_us;
     let timeout_us = (TIMEOUT_MULTIPLE * expected_us).max(objective_us.max(state.shortest_objective_us));
--- a/crates/router/tests/bounds.rs
+++ b/crates/router/tests/bounds.rs
@@ -184,7 +184,7 @@
                 _ => None,
             });
             let Some(server) = assigned else { continue };
-            let load = Load::Waits(900_000);
+            let load = Load::Queued(900_000);
             let update = LoadUpdate { server: tag(server), load, at: now };
             dispatcher.handle_event(Event::GossipReceived(update.to_bytes().to_vec()));
             let (outcome, id) = (Outcome::ConnectFailed, RequestId(id));
--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -234,10 +234,10 @@
     /// are not an update.
     #[test]
     fn an_update_is_read_as_it_was_sent_until_it_expires_and_other_bytes_are_not_read(
-        server in 0u32.., amount in 1_000u64..60_000_000, waits in proptest::bool::ANY, at in 10_000_000u64..1 << 50,
+        server in 0u32.., amount in 1_000u64..60_000_000, queued in proptest::bool::ANY, at in 10_000_000u64..1 << 50,
         age in 0u64..2_400_000, bit in 0usize..40,
     ) {
-        let load = if waits { Load::Waits(amount) } else { Load::Sent(amount) };
+        let load = if queued { Load::Queued(amount) } else { Load::Sent(amount) };
         let update = LoadUpdate { server: tag(ServerId(server)), load, at };
         let mut bytes = update.to_bytes();
         let read = LoadUpdate::read(&bytes, at + age);
@@ -245,8 +245,8 @@
             let read = read.expect("fresh");
             proptest::prop_assert_eq!(read.server, update.server);
             proptest::prop_assert!(read.at <= at && at - read.at < 17_000);
-            let delivered = match (read.load, waits) {
-                (Load::Waits(delivered), true) | (Load::Sent(delivered), false) => delivered as f64,
+            let delivered = match (read.load, queued) {
+                (Load::Queued(delivered), true) | (Load::Sent(delivered), false) => delivered as f64,
                 (other, _) => return Err(proptest::test_runner::TestCaseError::fail(format!("{other:?}"))),
             };
             proptest::prop_assert!((delivered / amount as f64 - 1.0).abs() < 0.05, "{} for {}", delivered, amount);
--- a/crates/router/tests/full_scan/oracle/placement.rs
+++ b/crates/router/tests/full_scan/oracle/placement.rs
@@ -60,7 +60,7 @@
             let reread_us = pace * cached as f64; // the wait that a cached prefix is worth
             let queued_us =
                 server.statistics.queueing_us[stage as usize].value_at(self.now, 0.0, AVERAGE_HALF_LIFE_US);
-            let queued_us = queued_us.max(self.gossip.believed_us(id, self.now));
+            let queued_us = queued_us.max(self.gossip.estimated_queueing_us(id, self.now));
             let has_capacity = !self.is_at_capacity(server, stage, reread_us)
                 && queued_us
                     <= reread_us + CAPACITY_SHARE_OF_OBJECTIVE * self.settings.shortest_latency_objective()
@@ -72,7 +72,8 @@
         }
         // Of the servers with the fewest attempts, the one that would finish first: in a pool that is at capacity,
         // reading cached text again elsewhere adds to the overload.
-        let finish_us = |cached: u64, id| self.gossip.believed_us(id, self.now) - pace * cached as f64;
+        let finish_us =
+            |cached: u64, id| self.gossip.estimated_queueing_us(id, self.now) - pace * cached as f64;
         let fewest = ranking.iter().min_by(|a, b| {
             a.3.cmp(&b.3).then(finish_us(a.0 .0, a.5).total_cmp(&finish_us(b.0 .0, b.5))).then(a.4.cmp(&b.4))
         });
--- a/crates/router/tests/full_scan/oracle/requests.rs
+++ b/crates/router/tests/full_scan/oracle/requests.rs
@@ -215,7 +215,7 @@
             .min(info.not_after - self.now)
             .max(1);
         let per_window = self.requests_per_window(server);
-        let expected_queueing = self.gossip.believed_us(to, self.now);
+        let expected_queueing = self.gossip.estimated_queueing_us(to, self.now);
         if stage != Stage::Write {
             self.gossip.record_sent(to, work_tokens * self.stages[stage as usize].unloaded_us_per_token);
         }
@@ -263,7 +263,7 @@
         latency_objective: f64,
     ) -> Micros {
         let median_pace = self.stages[stage as usize].median_us_per_token;
-        let reported_us = self.gossip.believed_us(server.entry.server, self.now);
+        let reported_us = self.gossip.estimated_queueing_us(server.entry.server, self.now);
         let queued_us = reported_us.max(median_pace * server.unanswered_tokens[stage as usize]);
         let min_timeout =
             TIMEOUT_SHARE_OF_OBJECTIVE * latency_objective.max(self.settings.shortest_latency_objective());
--- a/crates/router/tests/full_scan/pair.rs
+++ b/crates/router/tests/full_scan/pair.rs
@@ -357,7 +357,7 @@
     fn receive_gossip(&mut self, draw: u32) {
         let Some(server) = self.any_server(draw) else { return };
         let amount = u64::from(draw % 900_000);
-        let load = if draw.is_multiple_of(3) { Load::Sent(amount) } else { Load::Waits(amount) };
+        let load = if draw.is_multiple_of(3) { Load::Sent(amount) } else { Load::Queued(amount) };
         let update = LoadUpdate { server: dewladder_router::tag(server), load, at: self.now };
         self.handle(Event::GossipReceived(update.to_bytes().to_vec()));
     }
--- a/crates/router/tests/placement.rs
+++ b/crates/router/tests/placement.rs
@@ -201,7 +201,7 @@
     assert_ne!(send_request(&mut world, 3), home);
     world.pass(3 * SECOND);
     assert_eq!(send_request(&mut world, 4), home, "the reader has done the work by now");
-    world.handle_event(published(Load::Waits(5_000_000), world.now));
+    world.handle_event(published(Load::Queued(5_000_000), world.now));
     assert_ne!(send_request(&mut world, 5), home, "another dispatcher reported a queue at the reader");
 }
 
--- a/crates/router/tests/written_forms.rs
+++ b/crates/router/tests/written_forms.rs
@@ -54,7 +54,7 @@
     world.pass(10_000);
     world.end(failing, Outcome::ConnectFailed);
     let update =
-        LoadUpdate { server: dewladder_router::tag(ServerId(2)), load: Load::Waits(400_000), at: world.now };
+        LoadUpdate { server: dewladder_router::tag(ServerId(2)), load: Load::Queued(400_000), at: world.now };
     world.handle_event(Event::GossipReceived(update.to_bytes().to_vec()));
     world.pass(25_000);
     world.handle_event(Event::Ignored);
@@ -96,8 +96,8 @@
     let updates = [
         (0, Load::Sent(0), 0),
         (0x1234, Load::Sent(1_000), SECOND),
-        (0xffff, Load::Waits(250_000), 1_000 * SECOND),
-        (7, Load::Waits(60 * SECOND), 77 * SECOND),
+        (0xffff, Load::Queued(250_000), 1_000 * SECOND),
+        (7, Load::Queued(60 * SECOND), 77 * SECOND),
         (7, Load::Sent(3_600 * SECOND), 77 * SECOND),
     ];
     let sent = updates.map(|(server, load, at)| LoadUpdate { server, load, at }.to_bytes());
@@ -114,9 +114,9 @@
 
 #[test]
 fn load_updates_are_read_from_these_bytes() {
-    let bytes = LoadUpdate { server: 0xffff, load: Load::Waits(250_000), at: 1_000 * SECOND }.to_bytes();
+    let bytes = LoadUpdate { server: 0xffff, load: Load::Queued(250_000), at: 1_000 * SECOND }.to_bytes();
     let read = LoadUpdate::read(&bytes, 1_000 * SECOND + 20_000).unwrap();
-    assert_eq!(read, LoadUpdate { server: 0xffff, load: Load::Waits(256_000), at: 999_997_440 });
+    assert_eq!(read, LoadUpdate { server: 0xffff, load: Load::Queued(256_000), at: 999_997_440 });
 }
 
 #[test]
