--- a/benches/scale/decisions.rs
+++ b/benches/scale/decisions.rs
@@ -240,7 +240,7 @@
             id: in_flight.id,
             attempt: in_flight.attempt,
             server: in_flight.server,
-            taken: self.now - in_flight.sent_at,
+            elapsed: self.now - in_flight.sent_at,
             outcome,
             held_state: HeldStateAfter::of_arrived(outcome),
             cached_tokens: 3_000,
@@ -252,8 +252,8 @@
 
     fn start_stream(&mut self, in_flight: InFlight) {
         let InFlight { id, attempt, sent_at, .. } = in_flight;
-        let taken = self.now - sent_at;
-        self.handle_event(Event::FirstToken { id, attempt, taken }, Some(id));
+        let elapsed = self.now - sent_at;
+        self.handle_event(Event::FirstToken { id, attempt, elapsed }, Some(id));
         self.schedule(self.now + STREAM_US, Step::StreamEnds(in_flight));
     }
 
--- a/crates/router/src/interface/messages.rs
+++ b/crates/router/src/interface/messages.rs
@@ -27,7 +27,7 @@
         /// The number of the attempt that streams, counted from 0 for each request.
         attempt: u32,
         /// Time from sending the attempt to its first token (us).
-        taken: Micros,
+        elapsed: Micros,
     },
     /// An attempt ended, with any outcome.
     AttemptFinished(AttemptFinished),
--- a/crates/router/src/interface/requests.rs
+++ b/crates/router/src/interface/requests.rs
@@ -99,7 +99,7 @@
     /// The server that the attempt was assigned to.
     pub server: ServerId,
     /// Time from sending the attempt to its end (us).
-    pub taken: Micros,
+    pub elapsed: Micros,
     /// How the attempt ended.
     pub outcome: Outcome,
     /// What happens to the state that servers hold for the request.
--- a/crates/router/src/learning.rs
+++ b/crates/router/src/learning.rs
@@ -52,15 +52,15 @@
     }
 }
 
-/// Records that the answer of an attempt has begun to stream, `taken_us` after the attempt was sent.
+/// Records that the answer of an attempt has begun to stream, `elapsed_us` after the attempt was sent.
 pub(crate) fn record_first_token(
     state: &mut RoutingState,
     id: RequestId,
     attempt: &Attempt,
-    taken_us: Micros,
+    elapsed_us: Micros,
 ) {
     record_answered(state, id, attempt);
-    record_success(state, attempt, taken_us);
+    record_success(state, attempt, elapsed_us);
 }
 
 /// Records the end of an attempt: frees its memory and, unless its first token has done so already, updates
@@ -89,7 +89,7 @@
         attempt.work_tokens = unread_tokens as f64 + READ_OVERHEAD_TOKENS;
     }
     if has_succeeded {
-        record_success(state, &attempt, ended.taken);
+        record_success(state, &attempt, ended.elapsed);
     } else {
         record_failure(state, &attempt, ended.outcome, rng);
     }
@@ -117,10 +117,10 @@
         SAMPLE_WEIGHT * (attempt.work_tokens - stage_statistics.tokens_per_attempt);
 }
 
-fn record_success(state: &mut RoutingState, attempt: &Attempt, taken_us: Micros) {
+fn record_success(state: &mut RoutingState, attempt: &Attempt, elapsed_us: Micros) {
     let now = state.now;
     let stage = attempt.stage as usize;
-    let us_per_token = taken_us as f64 / attempt.work_tokens;
+    let us_per_token = elapsed_us as f64 / attempt.work_tokens;
     let median = state.stages[stage].median_us_per_token;
     let served =
         |server: &mut Server| server.statistics.record_served(attempt.class, now, RATE_TIME_CONSTANT_US);
@@ -133,7 +133,7 @@
     let unloaded = &mut state.stages[stage].unloaded_us_per_token;
     let weight = if us_per_token < *unloaded { UNLOADED_FALL_WEIGHT } else { UNLOADED_RISE_WEIGHT };
     *unloaded += (us_per_token - *unloaded) * weight;
-    let queueing_us = (taken_us as f64 - *unloaded * attempt.work_tokens).max(0.0);
+    let queueing_us = (elapsed_us as f64 - *unloaded * attempt.work_tokens).max(0.0);
     state.fleet.change(attempt.server, |server| {
         let pace = &mut server.statistics.us_per_token[stage];
         pace.add(us_per_token, now, median, AVERAGE_HALF_LIFE_US, SAMPLE_WEIGHT);
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -93,7 +93,7 @@
         match event {
             Event::EndpointsUpdated { how, entries } => self.on_list_update(how, entries),
             Event::RequestArrived(info) => self.on_request(info, actions),
-            Event::FirstToken { id, attempt, taken } => self.on_first_token(id, attempt, taken),
+            Event::FirstToken { id, attempt, elapsed } => self.on_first_token(id, attempt, elapsed),
             Event::AttemptFinished(ended) => self.on_attempt_finished(ended, actions),
             Event::ClientDisconnected(id) => self.on_disconnect(id, actions),
             Event::TimerFired(SWEEP) => self.sweep(actions),
@@ -169,7 +169,7 @@
 
     /// Records the first token of an answer. The writer has fetched the state by then, so no state is held
     /// any more.
-    fn on_first_token(&mut self, id: RequestId, number: u32, taken_us: Micros) {
+    fn on_first_token(&mut self, id: RequestId, number: u32, elapsed_us: Micros) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let in_flight = request.in_flight.as_mut();
         let Some(attempt) = in_flight.filter(|attempt| attempt.number == number && !attempt.is_streaming)
@@ -179,7 +179,7 @@
         attempt.is_streaming = true;
         request.held_state = None;
         let attempt = attempt.clone();
-        learning::record_first_token(&mut self.state, id, &attempt, taken_us);
+        learning::record_first_token(&mut self.state, id, &attempt, elapsed_us);
     }
 
     /// Records the end of an attempt, then closes its request or takes the next step.
--- a/crates/router/tests/bounds.rs
+++ b/crates/router/tests/bounds.rs
@@ -60,15 +60,15 @@
             self.now += 1_000;
             let reads = server.0 < 10;
             if !reads {
-                self.handle_event(Event::FirstToken { id, attempt, taken: 1_000 });
+                self.handle_event(Event::FirstToken { id, attempt, elapsed: 1_000 });
             }
             let outcome = if reads { Outcome::Read } else { Outcome::Served };
-            let (taken, cached_tokens, last, report) = (1_000, 0, !reads, None);
+            let (elapsed, cached_tokens, last, report) = (1_000, 0, !reads, None);
             actions = self.handle_event(Event::AttemptFinished(AttemptFinished {
                 id,
                 attempt,
                 server,
-                taken,
+                elapsed,
                 outcome,
                 held_state: HeldStateAfter::of_arrived(outcome),
                 cached_tokens,
@@ -188,12 +188,12 @@
             let update = LoadUpdate { server: tag(server), load, at: now };
             dispatcher.handle_event(Event::GossipReceived(update.to_bytes().to_vec()));
             let (outcome, id) = (Outcome::ConnectFailed, RequestId(id));
-            let (attempt, taken, cached_tokens, last, report) = (0, 500, 0, true, None);
+            let (attempt, elapsed, cached_tokens, last, report) = (0, 500, 0, true, None);
             dispatcher.handle_event(Event::AttemptFinished(AttemptFinished {
                 id,
                 attempt,
                 server,
-                taken,
+                elapsed,
                 outcome,
                 held_state: HeldStateAfter::of_arrived(outcome),
                 cached_tokens,
@@ -233,7 +233,7 @@
         id,
         attempt: 0,
         server,
-        taken: 9,
+        elapsed: 9,
         outcome,
         held_state: HeldStateAfter::of_arrived(outcome),
         cached_tokens: 0,
@@ -270,12 +270,12 @@
             actions.iter().find(|action| matches!(action, Action::Assign { .. }))
         {
             let (id, server, outcome) = (RequestId(id), *server, Outcome::Reset);
-            let (attempt, taken, cached_tokens, last, report) = (0, 9, 0, true, None);
+            let (attempt, elapsed, cached_tokens, last, report) = (0, 9, 0, true, None);
             dispatcher.handle_event(Event::AttemptFinished(AttemptFinished {
                 id,
                 attempt,
                 server,
-                taken,
+                elapsed,
                 outcome,
                 held_state: HeldStateAfter::of_arrived(outcome),
                 cached_tokens,
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -248,7 +248,7 @@
         let Some(in_flight) = requests.in_flight.as_mut() else { return };
         in_flight.is_streaming = true;
         requests.held_by = None;
-        let event = Event::FirstToken { id, attempt: in_flight.number, taken: self.now - in_flight.at };
+        let event = Event::FirstToken { id, attempt: in_flight.number, elapsed: self.now - in_flight.at };
         self.handle_event(event);
     }
 
@@ -291,7 +291,7 @@
             id,
             attempt: in_flight.number,
             server: in_flight.server,
-            taken: self.now - in_flight.at,
+            elapsed: self.now - in_flight.at,
             outcome,
             held_state,
             cached_tokens,
--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -200,7 +200,7 @@
                 id: RequestId(1_000 + id),
                 attempt: 0,
                 server: at,
-                taken: if id % 2 == 0 { 700_000 } else { 60_000_000 },
+                elapsed: if id % 2 == 0 { 700_000 } else { 60_000_000 },
                 outcome: Outcome::Read,
                 held_state: HeldStateAfter::HoldTimeRestarts,
                 cached_tokens: 0,
--- a/crates/router/tests/fleet_model/mod.rs
+++ b/crates/router/tests/fleet_model/mod.rs
@@ -276,8 +276,8 @@
                     return;
                 };
                 self.records.get_mut(&id).expect("known").answered = Some(self.now);
-                let taken = self.now - sent;
-                self.handle_event(dispatcher, Event::FirstToken { id, attempt, taken });
+                let elapsed = self.now - sent;
+                self.handle_event(dispatcher, Event::FirstToken { id, attempt, elapsed });
             }
             Step::AttemptEnds(id, attempt, outcome) => {
                 let in_flight = self.dispatchers[dispatcher]
@@ -291,12 +291,12 @@
                 self.dispatchers[dispatcher].in_flight.remove(&id);
                 let record = &self.records[&id];
                 let last = outcome == Outcome::Served || record.rejected || record.failed;
-                let taken = self.now - sent;
+                let elapsed = self.now - sent;
                 let ended = AttemptFinished {
                     id,
                     attempt,
                     server,
-                    taken,
+                    elapsed,
                     outcome,
                     held_state: HeldStateAfter::of_arrived(outcome),
                     cached_tokens: 0,
--- a/crates/router/tests/full_scan/oracle/learning.rs
+++ b/crates/router/tests/full_scan/oracle/learning.rs
@@ -38,7 +38,7 @@
             attempt.work_tokens = unread_tokens as f64 + READ_OVERHEAD_TOKENS;
         }
         if has_served {
-            self.record_success(&attempt, finished.taken);
+            self.record_success(&attempt, finished.elapsed);
         } else {
             self.record_failure(&attempt, finished.outcome);
         }
@@ -58,12 +58,12 @@
         }
     }
 
-    /// Records a finished read or a first token that came `taken` us after the attempt was sent: updates the rate,
+    /// Records a finished read or a first token that came `elapsed` us after the attempt was sent: updates the rate,
     /// the pace and the queueing of the server, and the queueing of its cell and its stage. Of a fetch from another
     /// cell, the pace counts for remote fetches instead, and the queueing is not recorded.
-    pub(super) fn record_success(&mut self, attempt: &Attempt, taken: Micros) {
+    pub(super) fn record_success(&mut self, attempt: &Attempt, elapsed: Micros) {
         let stage_index = attempt.stage as usize;
-        let pace = taken as f64 / attempt.work_tokens;
+        let pace = elapsed as f64 / attempt.work_tokens;
         let Some(server) = self.servers.get_mut(&attempt.server) else { return };
         server.statistics.outlier_states.remove(&attempt.class);
         server.statistics.served_per_second.add(1.0, self.now, RATE_TIME_CONSTANT_US);
@@ -80,7 +80,7 @@
         let unloaded_pace = &mut self.stages[stage_index].unloaded_us_per_token;
         *unloaded_pace += (pace - *unloaded_pace)
             * if pace < *unloaded_pace { UNLOADED_FALL_WEIGHT } else { UNLOADED_RISE_WEIGHT };
-        let queued_us = (taken as f64 - *unloaded_pace * attempt.work_tokens).max(0.0);
+        let queued_us = (elapsed as f64 - *unloaded_pace * attempt.work_tokens).max(0.0);
         server.statistics.us_per_token[stage_index].add(
             pace,
             self.now,
--- a/crates/router/tests/full_scan/oracle/mod.rs
+++ b/crates/router/tests/full_scan/oracle/mod.rs
@@ -88,7 +88,7 @@
         match event {
             Event::EndpointsUpdated { how, entries } => self.apply_list(how, entries),
             Event::RequestArrived(info) => self.on_request(info, out),
-            Event::FirstToken { id, attempt, taken } => self.on_first_token(id, attempt, taken),
+            Event::FirstToken { id, attempt, elapsed } => self.on_first_token(id, attempt, elapsed),
             Event::AttemptFinished(finished) => self.on_attempt_finished(finished, out),
             Event::ClientDisconnected(id) => self.on_disconnect(id, out),
             Event::TimerFired(SWEEP) => self.sweep(out),
--- a/crates/router/tests/full_scan/oracle/requests.rs
+++ b/crates/router/tests/full_scan/oracle/requests.rs
@@ -118,9 +118,9 @@
         }
     }
 
-    /// The first token of an answer has come, `taken` us after the attempt was sent. From then on the answer streams
-    /// and the reader no longer holds the state.
-    pub(super) fn on_first_token(&mut self, id: RequestId, number: u32, taken: Micros) {
+    /// The first token of an answer has come, `elapsed` us after the attempt was sent. From then on the answer
+    /// streams and the reader no longer holds the state.
+    pub(super) fn on_first_token(&mut self, id: RequestId, number: u32, elapsed: Micros) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(attempt) =
             request.in_flight.as_mut().filter(|out| out.number == number && !out.is_streaming)
@@ -131,7 +131,7 @@
         request.held_state = None;
         let attempt = attempt.clone();
         self.record_answered(id, &attempt);
-        self.record_success(&attempt, taken);
+        self.record_success(&attempt, elapsed);
     }
 
     /// An attempt has ended: updates the held state and the statistics, then takes the request's next step or removes
--- a/crates/router/tests/full_scan/pair.rs
+++ b/crates/router/tests/full_scan/pair.rs
@@ -175,7 +175,7 @@
             id,
             attempt: attempt.number,
             server: attempt.server,
-            taken: self.now - attempt.sent_at,
+            elapsed: self.now - attempt.sent_at,
             outcome,
             held_state: self.held_state_after(id, outcome),
             cached_tokens,
@@ -245,8 +245,8 @@
         let is_reader = self.is_reader(attempt.server);
         if !is_reader && !attempt.is_streaming && !draw.is_multiple_of(5) {
             self.in_flight.get_mut(&id).expect("an attempt in flight").is_streaming = true;
-            let taken = self.now - attempt.sent_at;
-            return self.handle(Event::FirstToken { id, attempt: attempt.number, taken });
+            let elapsed = self.now - attempt.sent_at;
+            return self.handle(Event::FirstToken { id, attempt: attempt.number, elapsed });
         }
         self.in_flight.remove(&id);
         let outcome = if is_reader { Outcome::Read } else { Outcome::Served };
--- a/src/edge/core/request_table.rs
+++ b/src/edge/core/request_table.rs
@@ -191,7 +191,7 @@
         step.timers.stop(attempt_deadline, Timer::Attempt(id, attempt_no));
         Transitions::log_stream_started(label, step.now - sent_at);
         step.effects.push(Effect::Relay { id, attempt: attempt_no });
-        step.events.push_back(Event::FirstToken { id, attempt: attempt_no, taken: step.now - sent_at });
+        step.events.push_back(Event::FirstToken { id, attempt: attempt_no, elapsed: step.now - sent_at });
     }
 
     /// Records that the last byte of an attempt has been handed to the operating system.
@@ -220,8 +220,8 @@
         let Some(attempt) = request.in_flight.remove(&attempt_no) else { return };
         step.timers.stop(attempt.attempt_deadline, Timer::Attempt(id, attempt_no));
         let AttemptResult { outcome, cached_tokens, report } = result;
-        let taken = step.now - attempt.sent_at;
-        self.transitions.finished(attempt.label(id, attempt_no), outcome, taken);
+        let elapsed = step.now - attempt.sent_at;
+        self.transitions.finished(attempt.label(id, attempt_no), outcome, elapsed);
         request.history.add(step.now, Transition::Finished { attempt: attempt_no, outcome });
         let is_unanswered = matches!(outcome, Outcome::Timeout | Outcome::Reset | Outcome::Unacknowledged);
         if is_unanswered && attempt.written && request.client != ClientState::Streaming(attempt_no) {
@@ -240,7 +240,7 @@
             id,
             attempt: attempt_no,
             server: attempt.server,
-            taken,
+            elapsed,
             outcome,
             held_state,
             cached_tokens,
@@ -402,7 +402,7 @@
 fn refused_attempt(id: RequestId, attempt: u32, server: ServerId, last: bool) -> AttemptFinished {
     let (outcome, cached_tokens, report) = (Outcome::NotSent, 0, None);
     let held_state = HeldStateAfter::HoldTimeContinues;
-    AttemptFinished { id, attempt, server, taken: 0, outcome, held_state, cached_tokens, last, report }
+    AttemptFinished { id, attempt, server, elapsed: 0, outcome, held_state, cached_tokens, last, report }
 }
 
 /// Time until which the request may be executed again (us); `None` if it has certainly not been executed yet.
--- a/src/simulator_adapter/messages.rs
+++ b/src/simulator_adapter/messages.rs
@@ -44,7 +44,7 @@
             let id = fields.request_id("rid")?;
             let attempt = fields.number("hop")?;
             fields.word("engine")?;
-            Event::FirstToken { id, attempt, taken: fields.time("time_taken_s")? }
+            Event::FirstToken { id, attempt, elapsed: fields.time("time_taken_s")? }
         }
         "hangup" => Event::ClientDisconnected(fields.request_id("rid")?),
         "due" => Event::TimerFired(timer_token(fields.word("key_back")?)),
@@ -105,7 +105,7 @@
 /// Parses the end of an attempt. `detail` holds the cached tokens of a success, and 1 for a server without the state.
 fn attempt_finished(fields: &mut Fields) -> Result<Event, WireError> {
     let id = fields.request_id("rid")?;
-    let taken = fields.time("time_taken_s")?;
+    let elapsed = fields.time("time_taken_s")?;
     let attempt = fields.number("hop")?;
     let detail: u64 = fields.optional("detail")?.unwrap_or(0);
     let outcome = outcome(fields.number("verdict")?, detail == 1);
@@ -116,7 +116,7 @@
         id,
         attempt,
         server,
-        taken,
+        elapsed,
         outcome,
         held_state: HeldStateAfter::of_arrived(outcome),
         cached_tokens,
