--- a/benches/scale/decisions.rs
+++ b/benches/scale/decisions.rs
@@ -244,7 +244,7 @@
             outcome,
             held_state: HeldStateAfter::of_arrived(outcome),
             cached_tokens: 3_000,
-            last: outcome == Outcome::Served,
+            completes_request: outcome == Outcome::Served,
             report: None,
         };
         self.handle_event(Event::AttemptFinished(finished), Some(in_flight.id));
--- a/crates/router/src/interface/requests.rs
+++ b/crates/router/src/interface/requests.rs
@@ -107,7 +107,7 @@
     /// Prompt tokens that the server found in its cache; meaningful with `Read` and `Served`.
     pub cached_tokens: u64,
     /// The request is completed, so no further attempt may follow.
-    pub last: bool,
+    pub completes_request: bool,
     /// The load report that the server sent with its answer, if any.
     pub report: Option<Report>,
 }
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -190,7 +190,7 @@
         let Some(attempt) = request.in_flight.take_if(|attempt| attempt.number == ended.attempt) else {
             return;
         };
-        request.is_completed |= ended.last;
+        request.is_completed |= ended.completes_request;
         let change = attempts::record_outcome(request, &attempt, &ended, now);
         if change == HeldStateChange::Release {
             actions.push(Action::ReleaseHeldState(id));
--- a/crates/router/tests/bounds.rs
+++ b/crates/router/tests/bounds.rs
@@ -63,7 +63,7 @@
                 self.handle_event(Event::FirstToken { id, attempt, elapsed: 1_000 });
             }
             let outcome = if reads { Outcome::Read } else { Outcome::Served };
-            let (elapsed, cached_tokens, last, report) = (1_000, 0, !reads, None);
+            let (elapsed, cached_tokens, completes_request, report) = (1_000, 0, !reads, None);
             actions = self.handle_event(Event::AttemptFinished(AttemptFinished {
                 id,
                 attempt,
@@ -72,7 +72,7 @@
                 outcome,
                 held_state: HeldStateAfter::of_arrived(outcome),
                 cached_tokens,
-                last,
+                completes_request,
                 report,
             }));
         }
@@ -188,7 +188,7 @@
             let update = LoadUpdate { server: tag(server), load, at: now };
             dispatcher.handle_event(Event::GossipReceived(update.to_bytes().to_vec()));
             let (outcome, id) = (Outcome::ConnectFailed, RequestId(id));
-            let (attempt, elapsed, cached_tokens, last, report) = (0, 500, 0, true, None);
+            let (attempt, elapsed, cached_tokens, completes_request, report) = (0, 500, 0, true, None);
             dispatcher.handle_event(Event::AttemptFinished(AttemptFinished {
                 id,
                 attempt,
@@ -197,7 +197,7 @@
                 outcome,
                 held_state: HeldStateAfter::of_arrived(outcome),
                 cached_tokens,
-                last,
+                completes_request,
                 report,
             }));
         }
@@ -228,7 +228,7 @@
         |dispatcher: &Dispatcher| dispatcher.export_state()["servers"].as_array().map_or(0, Vec::len);
     dispatcher.handle_event(full_list());
     assert_eq!(server_count(&dispatcher), 8, "an attempt is still in flight at the delisted server");
-    let (id, server, outcome, last) = (RequestId(1), *server, Outcome::Reset, true);
+    let (id, server, outcome, completes_request) = (RequestId(1), *server, Outcome::Reset, true);
     dispatcher.handle_event(Event::AttemptFinished(AttemptFinished {
         id,
         attempt: 0,
@@ -237,7 +237,7 @@
         outcome,
         held_state: HeldStateAfter::of_arrived(outcome),
         cached_tokens: 0,
-        last,
+        completes_request,
         report: None,
     }));
     dispatcher.handle_event(full_list());
@@ -270,7 +270,7 @@
             actions.iter().find(|action| matches!(action, Action::Assign { .. }))
         {
             let (id, server, outcome) = (RequestId(id), *server, Outcome::Reset);
-            let (attempt, elapsed, cached_tokens, last, report) = (0, 9, 0, true, None);
+            let (attempt, elapsed, cached_tokens, completes_request, report) = (0, 9, 0, true, None);
             dispatcher.handle_event(Event::AttemptFinished(AttemptFinished {
                 id,
                 attempt,
@@ -279,7 +279,7 @@
                 outcome,
                 held_state: HeldStateAfter::of_arrived(outcome),
                 cached_tokens,
-                last,
+                completes_request,
                 report,
             }));
         }
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -272,7 +272,7 @@
     ) {
         let Some(requests) = self.requests.get_mut(&id) else { return };
         let Some(in_flight) = requests.in_flight.take() else { return };
-        let last = requests.ended || outcome == Outcome::Served || in_flight.is_streaming;
+        let completes_request = requests.ended || outcome == Outcome::Served || in_flight.is_streaming;
         match outcome {
             Outcome::Read => requests.held_by = Some((in_flight.server, self.now)),
             // A reader that the writer cannot reach still holds the state.
@@ -286,7 +286,7 @@
         if !never_ran && !in_flight.reads && requests.may_have_run.is_none() {
             requests.may_have_run = Some((in_flight.server, in_flight.at));
         }
-        requests.ended = last;
+        requests.ended = completes_request;
         let event = Event::AttemptFinished(AttemptFinished {
             id,
             attempt: in_flight.number,
@@ -295,7 +295,7 @@
             outcome,
             held_state,
             cached_tokens,
-            last,
+            completes_request,
             report: None,
         });
         self.handle_event(event);
--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -204,7 +204,7 @@
                 outcome: Outcome::Read,
                 held_state: HeldStateAfter::HoldTimeRestarts,
                 cached_tokens: 0,
-                last: true,
+                completes_request: true,
                 report: None,
             };
             let out = group.handle_event(0, Event::AttemptFinished(ended));
--- a/crates/router/tests/fleet_model/mod.rs
+++ b/crates/router/tests/fleet_model/mod.rs
@@ -290,7 +290,7 @@
                 }
                 self.dispatchers[dispatcher].in_flight.remove(&id);
                 let record = &self.records[&id];
-                let last = outcome == Outcome::Served || record.rejected || record.failed;
+                let completes_request = outcome == Outcome::Served || record.rejected || record.failed;
                 let elapsed = self.now - sent;
                 let ended = AttemptFinished {
                     id,
@@ -300,7 +300,7 @@
                     outcome,
                     held_state: HeldStateAfter::of_arrived(outcome),
                     cached_tokens: 0,
-                    last,
+                    completes_request,
                     report: None,
                 };
                 self.handle_event(dispatcher, Event::AttemptFinished(ended));
--- a/crates/router/tests/full_scan/oracle/requests.rs
+++ b/crates/router/tests/full_scan/oracle/requests.rs
@@ -144,7 +144,7 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(attempt) = request.in_flight.take_if(|out| out.number == finished.attempt) else { return };
         let prompt_tokens = request.info.prompt_tokens;
-        request.is_completed |= finished.last;
+        request.is_completed |= finished.completes_request;
         match (outcome, finished.held_state) {
             (Outcome::Read, _) => {
                 request.held_state = Some(HeldState { reader: attempt.server, since: self.now });
--- a/crates/router/tests/full_scan/pair.rs
+++ b/crates/router/tests/full_scan/pair.rs
@@ -179,7 +179,7 @@
             outcome,
             held_state: self.held_state_after(id, outcome),
             cached_tokens,
-            last: attempt.is_streaming || outcome == Outcome::Served,
+            completes_request: attempt.is_streaming || outcome == Outcome::Served,
             report: full.then_some(report),
         }));
     }
--- a/src/edge/core/request_table.rs
+++ b/src/edge/core/request_table.rs
@@ -244,7 +244,7 @@
             outcome,
             held_state,
             cached_tokens,
-            last: request.client == ClientState::Done,
+            completes_request: request.client == ClientState::Done,
             report,
         }));
     }
@@ -393,16 +393,36 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.history.add(step.now, Transition::SendRefused { server, rule });
         self.reports.write(step.now, id, request, ReportReason::SendRefused(rule));
-        let last = request.client != ClientState::Waiting;
-        step.events.push_back(Event::AttemptFinished(refused_attempt(id, attempt, server, last)));
+        let completes_request = request.client != ClientState::Waiting;
+        step.events.push_back(Event::AttemptFinished(refused_attempt(
+            id,
+            attempt,
+            server,
+            completes_request,
+        )));
     }
 }
 
 /// The event for an attempt that the guard refused to send.
-fn refused_attempt(id: RequestId, attempt: u32, server: ServerId, last: bool) -> AttemptFinished {
+fn refused_attempt(
+    id: RequestId,
+    attempt: u32,
+    server: ServerId,
+    completes_request: bool,
+) -> AttemptFinished {
     let (outcome, cached_tokens, report) = (Outcome::NotSent, 0, None);
     let held_state = HeldStateAfter::HoldTimeContinues;
-    AttemptFinished { id, attempt, server, elapsed: 0, outcome, held_state, cached_tokens, last, report }
+    AttemptFinished {
+        id,
+        attempt,
+        server,
+        elapsed: 0,
+        outcome,
+        held_state,
+        cached_tokens,
+        completes_request,
+        report,
+    }
 }
 
 /// Time until which the request may be executed again (us); `None` if it has certainly not been executed yet.
--- a/src/simulator_adapter/messages.rs
+++ b/src/simulator_adapter/messages.rs
@@ -109,7 +109,7 @@
     let attempt = fields.number("hop")?;
     let detail: u64 = fields.optional("detail")?.unwrap_or(0);
     let outcome = outcome(fields.number("verdict")?, detail == 1);
-    let last = fields.optional::<u8>("last")?.unwrap_or(0) != 0;
+    let completes_request = fields.optional::<u8>("last")?.unwrap_or(0) != 0;
     let server = ServerId(fields.number("engine")?);
     let cached_tokens = if matches!(outcome, Outcome::Served | Outcome::Read) { detail } else { 0 };
     Ok(Event::AttemptFinished(AttemptFinished {
@@ -120,7 +120,7 @@
         outcome,
         held_state: HeldStateAfter::of_arrived(outcome),
         cached_tokens,
-        last,
+        completes_request,
         report: report(fields)?,
     }))
 }
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -59,7 +59,7 @@
     assert_eq!((ended.outcome, ended.attempt, ended.report), (Outcome::NoState, 2, Some(report)));
     let line = "report_back\t3\t2a0235775d3a91c4\t0.0185\t0\t-\t99\t1\t51\t-";
     let Ok(Message::Event(Event::AttemptFinished(ended))) = read_one(line) else { panic!("an end") };
-    assert_eq!((ended.outcome, ended.last, ended.report), (Outcome::Unknown, true, None));
+    assert_eq!((ended.outcome, ended.completes_request, ended.report), (Outcome::Unknown, true, None));
     assert_eq!(
         read_one("inbox\t3\t1\taGkgNw=="),
         Ok(Message::Event(Event::GossipReceived(b"hi 7".to_vec())))
