--- a/benches/scale/decisions.rs
+++ b/benches/scale/decisions.rs
@@ -158,7 +158,7 @@
     }
 
     fn send_list(&mut self) -> Duration {
-        let event = Event::EndpointsUpdated { how: ListUpdateKind::Full, entries: self.entries() };
+        let event = Event::EndpointsUpdated { kind: ListUpdateKind::Full, entries: self.entries() };
         self.handle_event(event, None)
     }
 
@@ -307,7 +307,7 @@
             let server = at / 2 % workload.size.servers;
             let mut entry = shape::entry(server, workload.is_in_slow_start(server).then_some(999 * SECOND));
             entry.health = if at.is_multiple_of(2) { Health::Terminating } else { Health::Ready };
-            Event::EndpointsUpdated { how: ListUpdateKind::Patch, entries: vec![entry] }
+            Event::EndpointsUpdated { kind: ListUpdateKind::Patch, entries: vec![entry] }
         })
     }
 
--- a/benches/scale/list.rs
+++ b/benches/scale/list.rs
@@ -64,9 +64,9 @@
         let start = Instant::now();
         let answer: Answer = serde_json::from_str(text).expect("an answer");
         let listing = answer.listing().expect("a list");
-        let how = if listing.complete { ListUpdateKind::Full } else { ListUpdateKind::Patch };
+        let kind = if listing.complete { ListUpdateKind::Full } else { ListUpdateKind::Patch };
         let entries = entries(&listing, &self.names).into_iter().map(|(entry, _)| entry).collect();
-        self.core.step(self.now, Input::EndpointsUpdated { how, entries });
+        self.core.step(self.now, Input::EndpointsUpdated { kind, entries });
         start.elapsed().as_secs_f64() * 1e6
     }
 
--- a/crates/router/src/interface/messages.rs
+++ b/crates/router/src/interface/messages.rs
@@ -14,7 +14,7 @@
     /// The list of servers was updated, or a call for it failed.
     EndpointsUpdated {
         /// Whether the entries are a patch or a whole list, or the call failed.
-        how: ListUpdateKind,
+        kind: ListUpdateKind,
         /// The listed servers; empty after a failed call.
         entries: Vec<ServerEntry>,
     },
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -91,7 +91,7 @@
             self.sweep(actions);
         }
         match event {
-            Event::EndpointsUpdated { how, entries } => self.on_list_update(how, entries),
+            Event::EndpointsUpdated { kind, entries } => self.on_list_update(kind, entries),
             Event::RequestArrived(info) => self.on_request(info, actions),
             Event::FirstToken { id, attempt, elapsed } => self.on_first_token(id, attempt, elapsed),
             Event::AttemptFinished(ended) => self.on_attempt_finished(ended, actions),
--- a/crates/router/tests/bounds.rs
+++ b/crates/router/tests/bounds.rs
@@ -36,7 +36,7 @@
         let mut settings = common::settings();
         settings.peers = true;
         let mut dispatcher = Self { router: Router::new(settings, 7, 1_000 * S), now: 1_000 * S };
-        dispatcher.handle_event(Event::EndpointsUpdated { how: ListUpdateKind::Full, entries });
+        dispatcher.handle_event(Event::EndpointsUpdated { kind: ListUpdateKind::Full, entries });
         dispatcher
     }
 
@@ -168,8 +168,8 @@
             ..common::entry(1_000 + 2 * (round - 1) + kind, kind)
         });
         let patch =
-            Event::EndpointsUpdated { how: ListUpdateKind::Patch, entries: removed.chain(added).collect() };
-        let full_list = Event::EndpointsUpdated { how: ListUpdateKind::Full, entries };
+            Event::EndpointsUpdated { kind: ListUpdateKind::Patch, entries: removed.chain(added).collect() };
+        let full_list = Event::EndpointsUpdated { kind: ListUpdateKind::Full, entries };
         dispatcher.handle_event(if round.is_multiple_of(2) { full_list } else { patch });
         for index in 0..6 {
             id += 1;
@@ -223,7 +223,7 @@
     };
     let entries: Vec<ServerEntry> =
         common::fleet(false).into_iter().filter(|entry| entry.server != *server).collect();
-    let full_list = || Event::EndpointsUpdated { how: ListUpdateKind::Full, entries: entries.clone() };
+    let full_list = || Event::EndpointsUpdated { kind: ListUpdateKind::Full, entries: entries.clone() };
     let server_count =
         |dispatcher: &Dispatcher| dispatcher.export_state()["servers"].as_array().map_or(0, Vec::len);
     dispatcher.handle_event(full_list());
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -181,16 +181,16 @@
     }
 
     /// Updates the list of servers, or reports that a call for it failed.
-    pub fn update_list(&mut self, how: ListUpdateKind, entries: Vec<ServerEntry>) {
-        if how != ListUpdateKind::Failed {
-            if how != ListUpdateKind::Patch {
+    pub fn update_list(&mut self, kind: ListUpdateKind, entries: Vec<ServerEntry>) {
+        if kind != ListUpdateKind::Failed {
+            if kind != ListUpdateKind::Patch {
                 self.list.clear();
             }
             for entry in &entries {
                 self.list.insert(entry.server, entry.clone());
             }
         }
-        self.handle_event(Event::EndpointsUpdated { how, entries });
+        self.handle_event(Event::EndpointsUpdated { kind, entries });
     }
 
     /// Changes one entry of the list and reports the change to the router.
--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -131,7 +131,7 @@
         for dispatcher in 0..dispatchers {
             let mut router = Router::new(settings.clone(), 500 + u64::from(dispatcher), group.now);
             let full_list =
-                Event::EndpointsUpdated { how: ListUpdateKind::Full, entries: common::fleet(false) };
+                Event::EndpointsUpdated { kind: ListUpdateKind::Full, entries: common::fleet(false) };
             router.handle(group.now, full_list, &mut Vec::new());
             group.dispatchers.push(router);
         }
--- a/crates/router/tests/fleet_model/mod.rs
+++ b/crates/router/tests/fleet_model/mod.rs
@@ -188,7 +188,7 @@
 
     fn send_list_to(&mut self, dispatcher: usize) {
         let entries = self.servers.values().map(|server| server.entry.clone()).collect();
-        self.handle_event(dispatcher, Event::EndpointsUpdated { how: ListUpdateKind::Full, entries });
+        self.handle_event(dispatcher, Event::EndpointsUpdated { kind: ListUpdateKind::Full, entries });
     }
 
     /// Restarts a server, which begins its slow start. All dispatchers receive the change at once.
@@ -200,7 +200,7 @@
         for dispatcher in 0..self.dispatchers.len() {
             self.handle_event(
                 dispatcher,
-                Event::EndpointsUpdated { how: ListUpdateKind::Patch, entries: entries.clone() },
+                Event::EndpointsUpdated { kind: ListUpdateKind::Patch, entries: entries.clone() },
             );
         }
     }
--- a/crates/router/tests/full_scan/oracle/mod.rs
+++ b/crates/router/tests/full_scan/oracle/mod.rs
@@ -86,7 +86,7 @@
             self.sweep(out);
         }
         match event {
-            Event::EndpointsUpdated { how, entries } => self.apply_list(how, entries),
+            Event::EndpointsUpdated { kind, entries } => self.apply_list(kind, entries),
             Event::RequestArrived(info) => self.on_request(info, out),
             Event::FirstToken { id, attempt, elapsed } => self.on_first_token(id, attempt, elapsed),
             Event::AttemptFinished(finished) => self.on_attempt_finished(finished, out),
--- a/crates/router/tests/full_scan/pair.rs
+++ b/crates/router/tests/full_scan/pair.rs
@@ -117,7 +117,7 @@
             every_message_arrives: true,
             decisions: DecisionHash::default(),
         };
-        pair.handle(Event::EndpointsUpdated { how: ListUpdateKind::Full, entries });
+        pair.handle(Event::EndpointsUpdated { kind: ListUpdateKind::Full, entries });
         pair
     }
 
@@ -230,7 +230,7 @@
         let Some(entry) = self.list.get_mut(&server) else { return };
         change(entry, self.now);
         let entries = vec![entry.clone()];
-        self.handle(Event::EndpointsUpdated { how: ListUpdateKind::Patch, entries });
+        self.handle(Event::EndpointsUpdated { kind: ListUpdateKind::Patch, entries });
     }
 
     fn is_reader(&self, server: ServerId) -> bool {
@@ -337,7 +337,7 @@
 
     fn send_full_list(&mut self) {
         let entries = self.list.values().cloned().collect();
-        self.handle(Event::EndpointsUpdated { how: ListUpdateKind::Full, entries });
+        self.handle(Event::EndpointsUpdated { kind: ListUpdateKind::Full, entries });
     }
 
     /// Reloads the settings with other objectives, another slow start window and another number of dispatchers, and
--- a/crates/router/tests/list_orders.rs
+++ b/crates/router/tests/list_orders.rs
@@ -81,7 +81,7 @@
         let mut id = 0;
         for step in 1..60u64 {
             let now = SECOND + step * 50_000;
-            let how = match rng.next_u32() % 4 {
+            let kind = match rng.next_u32() % 4 {
                 0 => ListUpdateKind::Full,
                 1 => ListUpdateKind::StaleCopy,
                 2 => ListUpdateKind::Failed,
@@ -95,13 +95,13 @@
                 entry.started = [None, Some(now.saturating_sub(20 * SECOND)), Some(now + SECOND)]
                     [rng.next_u32() as usize % 3];
             }
-            if how != ListUpdateKind::Failed {
-                if how != ListUpdateKind::Patch {
+            if kind != ListUpdateKind::Failed {
+                if kind != ListUpdateKind::Patch {
                     last_health.clear();
                 }
                 last_health.extend(entries.iter().map(|entry| (entry.server, entry.health)));
             }
-            router.handle(now, Event::EndpointsUpdated { how, entries }, &mut Vec::new());
+            router.handle(now, Event::EndpointsUpdated { kind, entries }, &mut Vec::new());
             for _ in 0..3 {
                 id += 1;
                 if let Some(server) = server_chosen(&mut router, now, id) {
@@ -124,7 +124,7 @@
     let mut first = entry(0, 0);
     first.started = Some(Micros::MAX);
     let entries = vec![first, entry(1, 0), entry(10, 1)];
-    router.handle(SECOND, Event::EndpointsUpdated { how: ListUpdateKind::Full, entries }, &mut Vec::new());
+    router.handle(SECOND, Event::EndpointsUpdated { kind: ListUpdateKind::Full, entries }, &mut Vec::new());
     // No request is answered, so that later ones are rejected as overload. The first must be sent, and none may cause
     // a panic.
     let assigned: Vec<bool> =
--- a/src/edge/core.rs
+++ b/src/edge/core.rs
@@ -173,7 +173,7 @@
     fn apply_input(&mut self, input: Input) {
         let step = &mut self.step;
         match input {
-            Input::EndpointsUpdated { how, entries } => self.update_endpoints(how, entries),
+            Input::EndpointsUpdated { kind, entries } => self.update_endpoints(kind, entries),
             Input::RequestArrived(info) => self.admit(info),
             Input::StreamStarted { id, attempt } => {
                 self.requests.stream_started(id, attempt, self.classes.known(), step);
@@ -203,11 +203,11 @@
         }
     }
 
-    fn update_endpoints(&mut self, how: ListUpdateKind, mut entries: Vec<ServerEntry>) {
-        self.start_times.localize(self.step.now, how, &mut entries);
-        self.endpoints.apply(how, &entries);
+    fn update_endpoints(&mut self, kind: ListUpdateKind, mut entries: Vec<ServerEntry>) {
+        self.start_times.localize(self.step.now, kind, &mut entries);
+        self.endpoints.apply(kind, &entries);
         self.requests.cancel_unwritten_to_unready(&self.endpoints, &mut self.step);
-        self.step.events.push_back(Event::EndpointsUpdated { how, entries });
+        self.step.events.push_back(Event::EndpointsUpdated { kind, entries });
     }
 
     fn reload_settings(&mut self, mut settings: Settings) {
--- a/src/edge/core/messages.rs
+++ b/src/edge/core/messages.rs
@@ -13,7 +13,7 @@
     /// The list of servers was updated.
     EndpointsUpdated {
         /// Whether the entries are a patch, the whole list or an old copy of it, or whether the update failed.
-        how: ListUpdateKind,
+        kind: ListUpdateKind,
         /// The entries of the update.
         entries: Vec<ServerEntry>,
     },
--- a/src/edge/discovery.rs
+++ b/src/edge/discovery.rs
@@ -166,10 +166,10 @@
         if !listing.complete && listing.members.is_empty() {
             return None;
         }
-        let how = if listing.complete { ListUpdateKind::Full } else { ListUpdateKind::Patch };
+        let kind = if listing.complete { ListUpdateKind::Full } else { ListUpdateKind::Patch };
         let entries = entries(listing, &config.names);
-        info!(revision = listing.revision, kind:? = how, entries = entries.len(); "discovery: list updated");
-        Some(Message::EndpointsUpdated { how, entries })
+        info!(revision = listing.revision, kind:? = kind, entries = entries.len(); "discovery: list updated");
+        Some(Message::EndpointsUpdated { kind, entries })
     }
 
     /// Records a failed call, and returns how long to wait before the next one. Two answers in a row with an older
--- a/src/edge/dispatcher/running.rs
+++ b/src/edge/dispatcher/running.rs
@@ -66,8 +66,8 @@
         if let Some(admin) = &self.admin {
             info!("second address: {}", admin.address());
         }
-        let how = ListUpdateKind::StaleCopy;
-        to_driver.send(Message::EndpointsUpdated { how, entries: known });
+        let kind = ListUpdateKind::StaleCopy;
+        to_driver.send(Message::EndpointsUpdated { kind, entries: known });
         let gossip = self.gossip.map(|gossip| receive_gossip(gossip, to_driver.clone()));
         let mut driver = tokio::spawn(driver.run());
         let mut list_task = tokio::spawn(discovery::watch(config.clone(), discovery, to_driver.clone()));
--- a/src/edge/driver.rs
+++ b/src/edge/driver.rs
@@ -130,7 +130,7 @@
             Message::RequestArrived { info, payload, reply, completed } => {
                 self.open_request(info, payload, reply, completed)
             }
-            Message::EndpointsUpdated { how, entries } => Some(self.update_endpoints(how, entries)),
+            Message::EndpointsUpdated { kind, entries } => Some(self.update_endpoints(kind, entries)),
             Message::StreamOpened { id, attempt, opened } => self.attempts.stream_opened(id, attempt, opened),
             // A client rejected for a duplicate id sends this message with the id of another client's open
             // request. The check protects that request: it ends only if its own client has closed the reply
@@ -186,13 +186,13 @@
     }
 
     /// Applies an update of the list of servers to the addresses and the figures; returns it for the reducer.
-    fn update_endpoints(&mut self, how: ListUpdateKind, entries: Vec<(ServerEntry, String)>) -> Input {
-        let entries = self.addresses.apply(how, entries);
+    fn update_endpoints(&mut self, kind: ListUpdateKind, entries: Vec<(ServerEntry, String)>) -> Input {
+        let entries = self.addresses.apply(kind, entries);
         let mut record = self.figures.record();
         record.members = self.addresses.count();
         record.members_ready = self.addresses.count_ready();
         drop(record);
-        Input::EndpointsUpdated { how, entries }
+        Input::EndpointsUpdated { kind, entries }
     }
 
     /// Passes new settings to the reducer and publishes them, in one call: the published settings and those of
--- a/src/edge/driver/messages.rs
+++ b/src/edge/driver/messages.rs
@@ -26,7 +26,7 @@
     /// An update of the list of servers.
     EndpointsUpdated {
         /// How the entries change the list.
-        how: ListUpdateKind,
+        kind: ListUpdateKind,
         /// The entries, each with the address of its server.
         entries: Vec<(ServerEntry, String)>,
     },
--- a/src/simulator_adapter/reader.rs
+++ b/src/simulator_adapter/reader.rs
@@ -87,7 +87,7 @@
         fields.word("message")?;
         fields.word("front")?;
         fields.number::<u64>("revision")?;
-        let how = match fields.word("how")? {
+        let kind = match fields.word("how")? {
             "patch" => ListUpdateKind::Patch,
             "whole" => ListUpdateKind::Full,
             "stale_copy" => ListUpdateKind::StaleCopy,
@@ -108,6 +108,6 @@
             }
             entries.push(list_entry(&mut fields)?);
         }
-        Ok(Event::EndpointsUpdated { how, entries })
+        Ok(Event::EndpointsUpdated { kind, entries })
     }
 }
--- a/tests/connection_model.rs
+++ b/tests/connection_model.rs
@@ -291,7 +291,7 @@
                 let server = ServerId(first % 6);
                 self.unavailable.insert(server, health != Health::Ready);
                 self.feed(Input::EndpointsUpdated {
-                    how: ListUpdateKind::Patch,
+                    kind: ListUpdateKind::Patch,
                     entries: vec![entry(server.0, health)],
                 });
             }
@@ -351,7 +351,7 @@
         let mut world = World { core, now: SECOND, connections: BTreeMap::new(), unavailable: BTreeMap::new() };
         world.unavailable.extend((0..6).map(|id| (ServerId(id), false)));
         let entries = (0..6).map(|id| entry(id, Health::Ready)).collect();
-        world.feed(Input::EndpointsUpdated { how: ListUpdateKind::StaleCopy, entries });
+        world.feed(Input::EndpointsUpdated { kind: ListUpdateKind::StaleCopy, entries });
         for step in steps {
             world.step(step);
         }
@@ -374,7 +374,7 @@
 fn nothing_is_sent_while_an_attempt_is_being_stopped() {
     let mut core = Core::new(settings(), 7, SECOND, 24);
     let entries = (0..6).map(|id| entry(id, Health::Ready)).collect();
-    core.step(SECOND, Input::EndpointsUpdated { how: ListUpdateKind::StaleCopy, entries });
+    core.step(SECOND, Input::EndpointsUpdated { kind: ListUpdateKind::StaleCopy, entries });
     let id = RequestId(1);
     let call = RequestInfo {
         id,
--- a/tests/crossings_handover.rs
+++ b/tests/crossings_handover.rs
@@ -295,7 +295,7 @@
     let mut core = Core::new(settings([Effect::Idempotent; 3]), 3, SECOND, 24);
     let entries = (0..SERVERS).map(|server| entry(server, Health::Ready)).collect();
     let mut now = SECOND;
-    core.step(now, Input::EndpointsUpdated { how: ListUpdateKind::Full, entries });
+    core.step(now, Input::EndpointsUpdated { kind: ListUpdateKind::Full, entries });
     let call = RequestInfo {
         id: ID,
         class: 0,
@@ -858,7 +858,7 @@
                 let health = [Health::Ready, Health::Terminating, Health::Gone][what as usize - 9];
                 self.ready.insert(ServerId(server), health == Health::Ready);
                 self.tell(Input::EndpointsUpdated {
-                    how: ListUpdateKind::Patch,
+                    kind: ListUpdateKind::Patch,
                     entries: vec![entry(server, health)],
                 });
             }
@@ -919,7 +919,7 @@
             forgotten: false,
         };
         let entries = (0..SERVERS).map(|server| entry(server, Health::Ready)).collect();
-        orders.tell(Input::EndpointsUpdated { how: ListUpdateKind::Full, entries });
+        orders.tell(Input::EndpointsUpdated { kind: ListUpdateKind::Full, entries });
         orders.tell(Input::RequestArrived(RequestInfo {
             id: ID,
             class,
--- a/tests/held_in_bounds.rs
+++ b/tests/held_in_bounds.rs
@@ -28,7 +28,7 @@
         if id % 10 == 1 {
             let day = (id / 10) as u32 * 2;
             let entries = (0..8).map(|at| entry(day + at, at % 2, Health::Ready)).collect();
-            effects.extend(core.step(now, Input::EndpointsUpdated { how: ListUpdateKind::Full, entries }));
+            effects.extend(core.step(now, Input::EndpointsUpdated { kind: ListUpdateKind::Full, entries }));
         }
         let call = RequestInfo {
             id: RequestId(id),
--- a/tests/reducer.rs
+++ b/tests/reducer.rs
@@ -73,10 +73,10 @@
     };
     for day in 0..100 {
         let entries = vec![entry(day + 1, Health::Ready), entry(day, Health::Gone)];
-        core.step(2_000, Input::EndpointsUpdated { how: ListUpdateKind::Patch, entries });
+        core.step(2_000, Input::EndpointsUpdated { kind: ListUpdateKind::Patch, entries });
     }
     assert_eq!(core.known_servers(), 1);
     let entries = vec![entry(7, Health::Ready), entry(8, Health::Terminating)];
-    core.step(3_000, Input::EndpointsUpdated { how: ListUpdateKind::Full, entries });
+    core.step(3_000, Input::EndpointsUpdated { kind: ListUpdateKind::Full, entries });
     assert_eq!(core.known_servers(), 2);
 }
--- a/tests/request_histories.rs
+++ b/tests/request_histories.rs
@@ -33,7 +33,7 @@
         kind: server,
     };
     let entries = vec![entry(0), entry(1)];
-    core.step(SECOND, Input::EndpointsUpdated { how: ListUpdateKind::Full, entries });
+    core.step(SECOND, Input::EndpointsUpdated { kind: ListUpdateKind::Full, entries });
     core
 }
 
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -46,8 +46,8 @@
     let text = "round\t1\t1\nroster_change\t3\t41\tstale_copy\t2\nm\t51530247\t0\t0\t1\t-\tReady\t0\n\
                 m\t747639282\t1\t0\t1.5\t6.1\tTerminating\t1\nyour_turn\n";
     let messages = read(text).unwrap();
-    let Message::Event(Event::EndpointsUpdated { how, entries }) = &messages[0].1 else { panic!("a list") };
-    assert_eq!((*how, entries.len(), entries[0].started), (ListUpdateKind::StaleCopy, 2, None));
+    let Message::Event(Event::EndpointsUpdated { kind, entries }) = &messages[0].1 else { panic!("a list") };
+    assert_eq!((*kind, entries.len(), entries[0].started), (ListUpdateKind::StaleCopy, 2, None));
     assert_eq!((entries[1].started, entries[1].health), (Some(6_100_000), Health::Terminating));
 }
 
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -497,7 +497,7 @@
     let (driver, sender) = Driver::new(&config, clock);
     tokio::spawn(driver.run());
     let entries = entries(&config.known, &config.names);
-    sender.send(Message::EndpointsUpdated { how: ListUpdateKind::Full, entries });
+    sender.send(Message::EndpointsUpdated { kind: ListUpdateKind::Full, entries });
     let call = RequestInfo {
         id: RequestId(1),
         class: 0,
--- a/tests/transitions.rs
+++ b/tests/transitions.rs
@@ -40,7 +40,7 @@
         health: Health::Ready,
         kind: 0,
     };
-    Input::EndpointsUpdated { how: ListUpdateKind::Full, entries: vec![entry] }
+    Input::EndpointsUpdated { kind: ListUpdateKind::Full, entries: vec![entry] }
 }
 
 /// The figures' lines that are not 0, of those that count by reason.
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -95,13 +95,13 @@
 fn sent_to_a_cold_reader(off: i64) -> usize {
     let now = NOW.checked_add_signed(off).unwrap();
     let mut core = Core::new(settings(), 1, now, 500);
-    core.step(now, Input::EndpointsUpdated { how: ListUpdateKind::Full, entries: old_servers() });
+    core.step(now, Input::EndpointsUpdated { kind: ListUpdateKind::Full, entries: old_servers() });
     serves(&mut core, now, FOR);
     let told = now + FOR + SECOND;
     let started = NOW + FOR; // by discovery's clock, a second before
     let drains = |server| ServerEntry { health: Health::Terminating, ..entry(server, None) };
     let entries = vec![entry(3, Some(started)), drains(1), drains(2)];
-    core.step(told, Input::EndpointsUpdated { how: ListUpdateKind::Patch, entries });
+    core.step(told, Input::EndpointsUpdated { kind: ListUpdateKind::Patch, entries });
     let (sent, _) = serves(&mut core, told, 2 * SECOND);
     sent.into_iter().filter(|server| *server == ServerId(3)).count()
 }
@@ -124,7 +124,7 @@
         let minutes_ago = |server| entry(server, Some(NOW - 1_800 * SECOND));
         let mut entries = [1, 2, 10, 11].map(minutes_ago).to_vec();
         entries.push(entry(3, Some(NOW - SECOND)));
-        core.step(now, Input::EndpointsUpdated { how: ListUpdateKind::Full, entries });
+        core.step(now, Input::EndpointsUpdated { kind: ListUpdateKind::Full, entries });
         let (sent, refused) = serves(&mut core, now, FOR);
         (sent.iter().filter(|server| server.0 == 10 || server.0 == 11).count(), refused)
     };
@@ -141,14 +141,14 @@
 fn a_cold_server_becomes_warm_in_its_time_though_the_own_clock_is_behind() {
     let now = NOW - HOUR;
     let mut core = Core::new(settings(), 1, now, 500);
-    core.step(now, Input::EndpointsUpdated { how: ListUpdateKind::Full, entries: old_servers() });
+    core.step(now, Input::EndpointsUpdated { kind: ListUpdateKind::Full, entries: old_servers() });
     serves(&mut core, now, FOR);
     let told = now + FOR + SECOND;
     let entries = [entry(3, Some(NOW + FOR)), entry(1, None)];
     let gone = ServerEntry { health: Health::Gone, ..entry(1, None) };
     core.step(
         told,
-        Input::EndpointsUpdated { how: ListUpdateKind::Patch, entries: vec![entries[0].clone(), gone] },
+        Input::EndpointsUpdated { kind: ListUpdateKind::Patch, entries: vec![entries[0].clone(), gone] },
     );
     let (sent, _) = serves(&mut core, told + 15 * SECOND, 5 * SECOND);
     let (third, second) = (3, 2);
