--- a/crates/router/src/admission.rs
+++ b/crates/router/src/admission.rs
@@ -82,7 +82,7 @@
 
 /// Whether the next sweep, with its safety margin, comes before `until`.
 fn can_wait_for_sweep(state: &RoutingState, until: Micros) -> bool {
-    let batches_us = SWEEP_MARGIN_BATCHES * state.settings.resolution;
+    let batches_us = SWEEP_MARGIN_BATCHES * state.settings.min_batch_interval;
     state.now + SWEEP_INTERVAL_US + batches_us + ANSWER_MARGIN_US < until
 }
 
--- a/crates/router/src/eligibility.rs
+++ b/crates/router/src/eligibility.rs
@@ -43,7 +43,7 @@
     }
     // The zone and cell of a server that has left the list are not known.
     let Some(server) = state.fleet.get(first.server) else { return RepeatScope::Nowhere };
-    if state.now + 2 * state.settings.resolution >= first.sent_at + class.dedup_window {
+    if state.now + 2 * state.settings.min_batch_interval >= first.sent_at + class.dedup_window {
         return RepeatScope::Nowhere;
     }
     match class.dedup_group {
--- a/crates/router/src/interface/settings.rs
+++ b/crates/router/src/interface/settings.rs
@@ -105,7 +105,7 @@
     /// Maximum time for which a reader may hold a state before it is fetched or released (us).
     pub max_hold_time: Micros,
     /// Minimum time between two batches of events (us).
-    pub resolution: Micros,
+    pub min_batch_interval: Micros,
     /// Minimum share of its full capacity that a server has when it starts. The share rises linearly to 1
     /// over `slow_start_window`.
     pub slow_start_min_share: f64,
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -197,7 +197,7 @@
         writers_can_read: values.flag("domain.local_read")?,
         max_retry_after: values.time_us("limits.max_retry_after_s", 0)?,
         max_hold_time: values.time_us("domain.release_within_s", 0)?,
-        resolution: values.time_us("resolution_s", 0)?,
+        min_batch_interval: values.time_us("resolution_s", 0)?,
         slow_start_min_share: values.number_up_to("rules.cold_from", 0.0, 1.0)?,
         slow_start_window: values.time_us("rules.cold_s", 0)?,
         overload_multiple: values.number_up_to("rules.fall_multiple", 1.0, MAX_NUMBER)?,
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -61,7 +61,7 @@
         writers_can_read: true,
         max_retry_after: SECOND,
         max_hold_time: 300_000,
-        resolution: 4_000,
+        min_batch_interval: 4_000,
         slow_start_min_share: 0.3,
         slow_start_window: 12 * SECOND,
         memory_field: Some(0),
@@ -313,7 +313,7 @@
     pub fn pass(&mut self, time: Micros) {
         let end = self.now + time;
         while self.now < end {
-            self.now = (self.now + self.settings.resolution).min(end);
+            self.now = (self.now + self.settings.min_batch_interval).min(end);
             while let Some(&(at, token)) = self.timers.first() {
                 if at > self.now {
                     break;
@@ -339,12 +339,12 @@
         }
     }
 
-    /// Rules 1 and 5: no request is open past its deadline, with a tolerance of four times the resolution, and no
-    /// state is held for too long without an attempt in flight.
+    /// Rules 1 and 5: no request is open past its deadline, with a tolerance of four times the minimum interval
+    /// between batches, and no state is held for too long without an attempt in flight.
     fn check_deadlines(&self) {
         for (id, requests) in &self.requests {
             let is_streaming = requests.in_flight.as_ref().is_some_and(|in_flight| in_flight.is_streaming);
-            let slack = 4 * self.settings.resolution;
+            let slack = 4 * self.settings.min_batch_interval;
             assert!(
                 requests.ended || is_streaming || self.now <= requests.info.not_after + slack,
                 "rule 1: {id:?} was not answered by its deadline"
--- a/crates/router/tests/full_scan/oracle/eligibility.rs
+++ b/crates/router/tests/full_scan/oracle/eligibility.rs
@@ -45,7 +45,7 @@
             Effect::Idempotent => true,
             Effect::AtMostOnce => false,
             Effect::Deduplicated => {
-                self.now + 2 * self.settings.resolution < sent + class.dedup_window && same_group()
+                self.now + 2 * self.settings.min_batch_interval < sent + class.dedup_window && same_group()
             }
         }
     }
--- a/crates/router/tests/full_scan/oracle/requests.rs
+++ b/crates/router/tests/full_scan/oracle/requests.rs
@@ -274,7 +274,7 @@
     /// Whether a state that has been held since `since` can wait for a writer until the next sweep, with a margin
     /// before its deadline and the end of its hold time.
     pub(super) fn can_wait_for_sweep(&self, since: Micros, not_after: Micros) -> bool {
-        let next_sweep = self.now + SWEEP_INTERVAL_US + 4 * self.settings.resolution + 10_000;
+        let next_sweep = self.now + SWEEP_INTERVAL_US + 4 * self.settings.min_batch_interval + 10_000;
         next_sweep < not_after.min(since + self.settings.max_hold_time)
     }
 
--- a/crates/router/tests/full_scan/pair.rs
+++ b/crates/router/tests/full_scan/pair.rs
@@ -49,7 +49,7 @@
         writers_can_read: true,
         max_retry_after: SECOND,
         max_hold_time: SECOND / 2,
-        resolution: 4_000,
+        min_batch_interval: 4_000,
         slow_start_min_share: 0.3,
         slow_start_window: 6 * SECOND,
         memory_field: Some(0),
--- a/crates/scale/src/shape.rs
+++ b/crates/scale/src/shape.rs
@@ -72,7 +72,7 @@
         writers_can_read: false,
         max_retry_after: 1_000_000,
         max_hold_time: 500_000,
-        resolution: 2_000,
+        min_batch_interval: 2_000,
         slow_start_min_share: 0.26,
         slow_start_window,
         memory_field: Some(0),
--- a/src/edge/core/request_table.rs
+++ b/src/edge/core/request_table.rs
@@ -43,7 +43,7 @@
     /// How long servers may hold state for a request before a writer takes it or it is released (us).
     max_hold_time: Micros,
     /// Shortest time between two batches of events at a server (us).
-    resolution: Micros,
+    min_batch_interval: Micros,
     guard: Guard,
     transitions: Transitions,
     held_statistics: HeldStatistics,
@@ -59,7 +59,7 @@
         Self {
             requests: BTreeMap::new(),
             max_hold_time: settings.max_hold_time,
-            resolution: settings.resolution,
+            min_batch_interval: settings.min_batch_interval,
             guard: Guard::default(),
             transitions: Transitions::default(),
             held_statistics: HeldStatistics::default(),
@@ -71,7 +71,7 @@
     /// Takes the limits of new settings; deadlines that are already running stay.
     pub fn apply_settings(&mut self, settings: &Settings) {
         self.max_hold_time = settings.max_hold_time;
-        self.resolution = settings.resolution;
+        self.min_batch_interval = settings.min_batch_interval;
     }
 
     /// Number of open requests: the client is waiting or its stream is being relayed, or an attempt is in flight.
@@ -349,8 +349,11 @@
         let attempt_deadline = request.not_after.min(now + attempt_timeout);
         // Held state is for a writer; a read has no use for it and releases it first.
         let hold_deadline = if reads { None } else { request.held.deadline() };
-        let rerun_deadline =
-            if reads { None } else { rerun_deadline(request, rules, attempt_deadline, self.resolution) };
+        let rerun_deadline = if reads {
+            None
+        } else {
+            rerun_deadline(request, rules, attempt_deadline, self.min_batch_interval)
+        };
         let check = SendCheck {
             now,
             client_waiting: request.client == ClientState::Waiting,
@@ -430,13 +433,13 @@
     request: &Request,
     rules: SendRules,
     attempt_deadline: Micros,
-    resolution: Micros,
+    min_batch_interval: Micros,
 ) -> Option<Micros> {
     let first = request.first_execution?;
     let class = rules.classes.get(&request.class)?;
     Some(match class.effect {
         ClassEffect::Idempotent => attempt_deadline,
-        ClassEffect::Deduplicated => (first + class.dedup_window).saturating_sub(resolution),
+        ClassEffect::Deduplicated => (first + class.dedup_window).saturating_sub(min_batch_interval),
         ClassEffect::AtMostOnce => 0,
     })
 }
--- a/tests/crossings_handover.rs
+++ b/tests/crossings_handover.rs
@@ -600,7 +600,7 @@
         writers_can_read: false,
         max_retry_after: SECOND,
         max_hold_time: RELEASE,
-        resolution: 2_000,
+        min_batch_interval: 2_000,
         slow_start_min_share: 0.3,
         slow_start_window: 10 * SECOND,
         memory_field: Some(0),
--- a/tests/own_sites.rs
+++ b/tests/own_sites.rs
@@ -287,7 +287,7 @@
             );
             assert_eq!(settings.max_hold_time, micros(&file["fam"]["release_ms"]), "{at}");
             assert_eq!(settings.max_retry_after, micros(&file["clients"]["max_retry_after_ms"]), "{at}");
-            assert_eq!(settings.resolution, micros(&file["day"]["tick_ms"]), "{at}");
+            assert_eq!(settings.min_batch_interval, micros(&file["day"]["tick_ms"]), "{at}");
             assert_eq!(settings.overload_multiple, rules["fall_multiple"].as_f64().unwrap(), "{at}");
             assert_eq!(settings.overload_window, micros(&rules["fall_ms"]), "{at}");
             for kind in list(&tier["kind"]) {
