--- a/crates/router/src/gossip.rs
+++ b/crates/router/src/gossip.rs
@@ -182,7 +182,7 @@
         let receivers = f64::from(settings.dispatcher_count.saturating_sub(1));
         let price = settings.gossip_price * receivers * UPDATE_BYTES as f64 / PRICED_BYTES;
         Self {
-            is_enabled: settings.peers && settings.dispatcher_count > 1,
+            is_enabled: settings.gossip_allowed && settings.dispatcher_count > 1,
             min_queue_step_us: MIN_QUEUE_SHARE_OF_OBJECTIVE * settings.shortest_latency_objective(),
             min_work_us: MIN_WORK_SHARE_OF_OBJECTIVE * settings.shortest_latency_objective(),
             credit_per_request: (MAX_COST_SHARE / price.max(f64::MIN_POSITIVE)).min(1.0),
--- a/crates/router/src/interface/settings.rs
+++ b/crates/router/src/interface/settings.rs
@@ -95,7 +95,7 @@
     /// Attempts in flight may be cancelled.
     pub may_cancel: bool,
     /// Gossip to other dispatchers is allowed.
-    pub peers: bool,
+    pub gossip_allowed: bool,
     /// Price of 256 bytes of gossip delivered per first attempt, as a share of the total result.
     pub gossip_price: f64,
     /// Writers can read a prompt themselves if there is no state to fetch.
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -192,7 +192,7 @@
         must_subscribe: must_subscribe(&values)?,
         max_list_age: values.time_us("rules.must_ask_in_s", 0)?,
         may_cancel: values.flag("limits.cancel")?,
-        peers: values.flag("limits.peers")?,
+        gossip_allowed: values.flag("limits.peers")?,
         gossip_price: values.price("prices.peer")?,
         writers_can_read: values.flag("domain.local_read")?,
         max_retry_after: values.time_us("limits.max_retry_after_s", 0)?,
--- a/crates/router/tests/bounds.rs
+++ b/crates/router/tests/bounds.rs
@@ -34,7 +34,7 @@
 impl Dispatcher {
     fn new(entries: Vec<ServerEntry>) -> Self {
         let mut settings = common::settings();
-        settings.peers = true;
+        settings.gossip_allowed = true;
         let mut dispatcher = Self { router: Router::new(settings, 7, 1_000 * S), now: 1_000 * S };
         dispatcher.handle_event(Event::EndpointsUpdated { kind: ListUpdateKind::Full, entries });
         dispatcher
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -56,7 +56,7 @@
         must_subscribe: false,
         max_list_age: 10 * SECOND,
         may_cancel: true,
-        peers: false,
+        gossip_allowed: false,
         gossip_price: 0.0,
         writers_can_read: true,
         max_retry_after: SECOND,
--- a/crates/router/tests/decisions.rs
+++ b/crates/router/tests/decisions.rs
@@ -26,7 +26,7 @@
     /// Requests per second, over all dispatchers.
     rate: f64,
     /// Whether the dispatchers exchange load gossip.
-    peers: bool,
+    gossip_allowed: bool,
     /// Memory of each server, in tokens.
     memory_tokens: u64,
     /// See [`Model::first_attempt_behavior`].
@@ -40,7 +40,7 @@
     writers: 6,
     mixed: 0,
     rate: 12.0,
-    peers: false,
+    gossip_allowed: false,
     memory_tokens: 2_000_000,
     first_attempt_behavior: None,
 };
@@ -48,7 +48,7 @@
 fn settings(scenario: Scenario) -> Settings {
     let mut settings = common::settings();
     settings.dispatcher_count = scenario.dispatchers;
-    settings.peers = scenario.peers;
+    settings.gossip_allowed = scenario.gossip_allowed;
     settings.must_subscribe = scenario.seed.is_multiple_of(2);
     settings.kinds.iter_mut().for_each(|kind| kind.memory_tokens = scenario.memory_tokens);
     for (at, class) in &mut settings.classes {
@@ -127,9 +127,9 @@
 
 #[test]
 fn decisions_match_the_recorded_ones_with_mixed_servers_and_load_gossip() {
-    let few_dispatchers = Scenario { seed: 7, mixed: 3, peers: true, rate: 18.0, ..LIGHT_LOAD };
+    let few_dispatchers = Scenario { seed: 7, mixed: 3, gossip_allowed: true, rate: 18.0, ..LIGHT_LOAD };
     let many_dispatchers =
-        Scenario { seed: 12, mixed: 5, peers: true, rate: 40.0, dispatchers: 9, ..LIGHT_LOAD };
+        Scenario { seed: 12, mixed: 5, gossip_allowed: true, rate: 40.0, dispatchers: 9, ..LIGHT_LOAD };
     assert_eq!(
         [few_dispatchers, many_dispatchers].map(decision_hash),
         [14935165344270321566, 17295061041118924749]
@@ -138,7 +138,7 @@
 
 #[test]
 fn decisions_match_the_recorded_ones_under_overload() {
-    let with_gossip = Scenario { seed: 8, rate: 60.0, peers: true, ..LIGHT_LOAD };
+    let with_gossip = Scenario { seed: 8, rate: 60.0, gossip_allowed: true, ..LIGHT_LOAD };
     let short_of_memory = Scenario { seed: 9, mixed: 2, rate: 45.0, memory_tokens: 60_000, ..LIGHT_LOAD };
     assert_eq!(
         [with_gossip, short_of_memory].map(decision_hash),
--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -117,16 +117,17 @@
 
 // ---- Load gossip between dispatchers ----
 
-/// Dispatchers that share one fleet and, with `peers`, exchange load gossip.
+/// Dispatchers that share one fleet and, if `gossip_allowed`, exchange load gossip.
 struct DispatcherGroup {
     dispatchers: Vec<Router>,
     now: Micros,
 }
 
 impl DispatcherGroup {
-    fn new(dispatchers: u32, peers: bool) -> Self {
+    fn new(dispatchers: u32, gossip_allowed: bool) -> Self {
         let mut settings = common::settings();
-        (settings.dispatcher_count, settings.peers, settings.gossip_price) = (dispatchers, peers, 0.0025);
+        (settings.dispatcher_count, settings.gossip_allowed, settings.gossip_price) =
+            (dispatchers, gossip_allowed, 0.0025);
         let mut group = Self { dispatchers: Vec::new(), now: 100 * S };
         for dispatcher in 0..dispatchers {
             let mut router = Router::new(settings.clone(), 500 + u64::from(dispatcher), group.now);
@@ -168,8 +169,8 @@
 /// gossip, none does once the first dispatcher has reported the reader's queue, until the reports have expired.
 #[test]
 fn an_unresponsive_reader_is_avoided_by_all_once_one_dispatcher_reports_it_until_the_report_expires() {
-    let requests_to_unresponsive = |peers: bool| {
-        let mut group = DispatcherGroup::new(40, peers);
+    let requests_to_unresponsive = |gossip_allowed: bool| {
+        let mut group = DispatcherGroup::new(40, gossip_allowed);
         let unresponsive = group.send_request(0, 1).expect("sent");
         group.now += 1_500_000;
         group.handle_event(0, Event::TimerFired(TimerToken(1))); // the sweep detects the unanswered request
@@ -190,8 +191,10 @@
 
 #[test]
 fn gossip_is_limited_by_its_price_and_absent_where_the_settings_disable_it() {
-    for (dispatchers, peers, max_count) in [(4, true, 100), (120, true, 60), (120, false, 0), (1, true, 0)] {
-        let mut group = DispatcherGroup::new(dispatchers, peers);
+    for (dispatchers, gossip_allowed, max_count) in
+        [(4, true, 100), (120, true, 60), (120, false, 0), (1, true, 0)]
+    {
+        let mut group = DispatcherGroup::new(dispatchers, gossip_allowed);
         let mut delivered = 0;
         for id in 0..100 {
             let Some(at) = group.send_request(0, 1_000 + id) else { continue };
@@ -213,7 +216,7 @@
         assert_eq!(delivered as u64, group.dispatchers[0].gossip_counts().sent);
         assert!(
             delivered <= max_count && (delivered > 0) == (max_count > 0),
-            "{dispatchers} {peers}: {delivered}"
+            "{dispatchers} {gossip_allowed}: {delivered}"
         );
     }
 }
@@ -272,6 +275,6 @@
         assert_eq!(error.path, "prices.peer");
     }
     let absent = read("x", "y").expect("defaults");
-    assert_eq!((absent.dispatcher_count, absent.peers, absent.gossip_price), (1, false, 0.0));
+    assert_eq!((absent.dispatcher_count, absent.gossip_allowed, absent.gossip_price), (1, false, 0.0));
     assert_eq!(read("balancers", "100000").map(|settings| settings.dispatcher_count), Ok(100_000));
 }
--- a/crates/router/tests/full_scan/pair.rs
+++ b/crates/router/tests/full_scan/pair.rs
@@ -44,7 +44,7 @@
         must_subscribe: false,
         max_list_age: 10 * SECOND,
         may_cancel: true,
-        peers: true,
+        gossip_allowed: true,
         gossip_price: 0.001,
         writers_can_read: true,
         max_retry_after: SECOND,
--- a/crates/router/tests/placement.rs
+++ b/crates/router/tests/placement.rs
@@ -18,10 +18,11 @@
     (0..24).map(|id| place(id, 0)).chain((100..108).map(|id| place(id, 1))).collect()
 }
 
-/// One of 300 dispatchers in front of the large fleet; `peers` permits load gossip.
-fn one_of_many_dispatchers(peers: bool) -> World {
+/// One of 300 dispatchers in front of the large fleet, with load gossip if `gossip_allowed`.
+fn one_of_many_dispatchers(gossip_allowed: bool) -> World {
     let mut settings = settings();
-    (settings.dispatcher_count, settings.peers, settings.gossip_price) = (DISPATCHERS, peers, 0.0025);
+    (settings.dispatcher_count, settings.gossip_allowed, settings.gossip_price) =
+        (DISPATCHERS, gossip_allowed, 0.0025);
     World::new(settings, large_fleet())
 }
 
--- a/crates/router/tests/written_forms.rs
+++ b/crates/router/tests/written_forms.rs
@@ -19,7 +19,7 @@
 
 /// Settings of one of three dispatchers that exchange load gossip.
 fn with_gossip() -> Settings {
-    Settings { peers: true, dispatcher_count: 3, ..settings() }
+    Settings { gossip_allowed: true, dispatcher_count: 3, ..settings() }
 }
 
 /// Reads and answers one request of a session, mostly with a shared prefix.
--- a/crates/scale/src/shape.rs
+++ b/crates/scale/src/shape.rs
@@ -67,7 +67,7 @@
         must_subscribe: false,
         max_list_age: 10_000_000,
         may_cancel: true,
-        peers: true,
+        gossip_allowed: true,
         gossip_price: 0.0025,
         writers_can_read: false,
         max_retry_after: 1_000_000,
--- a/src/edge/settings/config.rs
+++ b/src/edge/settings/config.rs
@@ -162,7 +162,7 @@
             name: file.name.or_else(|| environment(NAME_VARIABLE)).unwrap_or_default(),
             listen: addresses.listen,
             discovery: addresses.discovery,
-            peers: file.peer_listen.zip(file.peers_all).filter(|_| settings.peers),
+            peers: file.peer_listen.zip(file.peers_all).filter(|_| settings.gossip_allowed),
             admin: addresses.admin,
             seed: u64::from_str_radix(&file.seed, 16).unwrap_or_else(|_| Key::from_text(&file.seed).0),
             limits: file.limits,
--- a/src/edge/settings/reload.rs
+++ b/src/edge/settings/reload.rs
@@ -46,7 +46,7 @@
             kinds: self.settings.kinds.clone(),
             must_subscribe: self.settings.must_subscribe,
             max_list_age: self.settings.max_list_age,
-            peers: self.settings.peers,
+            gossip_allowed: self.settings.gossip_allowed,
             ..new.settings
         };
         Ok(ReloadedConfig { discovery: new.discovery, settings, needs_restart, file: new.file })
--- a/tests/connection_model.rs
+++ b/tests/connection_model.rs
@@ -38,7 +38,7 @@
         must_subscribe: false,
         max_list_age: 0,
         may_cancel: true,
-        peers: false,
+        gossip_allowed: false,
         gossip_price: 0.0,
         writers_can_read: false,
         max_retry_after: SECOND,
--- a/tests/own_sites.rs
+++ b/tests/own_sites.rs
@@ -275,7 +275,7 @@
                 "{at}"
             );
             assert_eq!(
-                json!([settings.may_cancel, settings.peers]),
+                json!([settings.may_cancel, settings.gossip_allowed]),
                 json!([allow["cancel"], allow["peers"]]),
                 "{at}"
             );
