--- a/crates/router/src/popularity.rs
+++ b/crates/router/src/popularity.rs
@@ -11,15 +11,15 @@
 const HOMES_PER_SHARE: f64 = 1.4;
 /// Limits the minimum number of homes of a prefix to one for this many readers. The minimum does not depend
 /// on the observed popularity, so dispatchers that see few requests agree on it: its homes together read
-/// about [`FIRST_GUESS_TOKENS`] to cache the prefix. A long prefix gets fewer homes because each of them
-/// costs reader time and memory.
+/// about [`INITIAL_TOKENS_PER_OBJECTIVE`] to cache the prefix. A long prefix gets fewer homes because each of
+/// them costs reader time and memory.
 const READERS_PER_HOME: usize = 8;
 /// Prior request count in the estimate of popularity, so that a dispatcher that sees few requests does not
 /// take chance for a trend.
 const PRIOR_REQUESTS: f64 = 30.0;
 /// Assumed number of tokens that a server reads within the shortest latency objective, before any
 /// measurement.
-pub(crate) const FIRST_GUESS_TOKENS: f64 = 8_000.0;
+pub(crate) const INITIAL_TOKENS_PER_OBJECTIVE: f64 = 8_000.0;
 /// Popularity is averaged over about this many requests, within the time limits below. The window is short
 /// enough for a prefix that becomes popular to get more homes before it overloads one, and long enough for a
 /// dispatcher that sees few requests not to take chance for a trend.
@@ -41,7 +41,7 @@
     let requests = state.recent_request_rate.count_at(state.now, window_us);
     // A single occurrence is no evidence of popularity.
     let share = (prefix_requests - 1.0).max(0.0) / (requests + PRIOR_REQUESTS);
-    let parallel_reads = FIRST_GUESS_TOKENS / info.shared_tokens.max(1) as f64;
+    let parallel_reads = INITIAL_TOKENS_PER_OBJECTIVE / info.shared_tokens.max(1) as f64;
     let min_homes = parallel_reads.ceil().min(ready.div_ceil(READERS_PER_HOME) as f64);
     (HOMES_PER_SHARE * share * ready as f64).ceil().max(min_homes) as usize
 }
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -37,7 +37,7 @@
 use crate::learning;
 use crate::list_backoff::ListBackoff;
 use crate::metrics;
-use crate::popularity::FIRST_GUESS_TOKENS;
+use crate::popularity::INITIAL_TOKENS_PER_OBJECTIVE;
 use crate::records::{RequestState, Stage, StageStatistics};
 use crate::routing_state::RoutingState;
 use crate::server_list;
@@ -322,7 +322,7 @@
 
 /// The state at the start, with initial guesses in place of learnt figures.
 fn initial_state(settings: Settings, now: Micros) -> RoutingState {
-    let us_per_token = settings.shortest_latency_objective() / FIRST_GUESS_TOKENS;
+    let us_per_token = settings.shortest_latency_objective() / INITIAL_TOKENS_PER_OBJECTIVE;
     let times = FleetTimes {
         slow_start_window_us: settings.slow_start_window,
         queueing_half_life_us: AVERAGE_HALF_LIFE_US,
--- a/crates/router/tests/full_scan/oracle/constants.rs
+++ b/crates/router/tests/full_scan/oracle/constants.rs
@@ -24,7 +24,7 @@
 pub(super) const HOMES_PER_SHARE: f64 = 1.4;
 pub(super) const READERS_PER_HOME: usize = 8;
 pub(super) const PRIOR_POPULARITY_REQUESTS: f64 = 30.0; // `PRIOR_REQUESTS` of `popularity.rs`
-pub(super) const FIRST_GUESS_TOKENS: f64 = 8_000.0;
+pub(super) const INITIAL_TOKENS_PER_OBJECTIVE: f64 = 8_000.0;
 pub(super) const WINDOW_REQUESTS: f64 = 100.0;
 /// `MIN_WINDOW_US` and `MAX_WINDOW_US` of `popularity.rs`.
 pub(super) const WINDOW_LIMITS_US: [f64; 2] = [15_000_000.0, 60_000_000.0];
--- a/crates/router/tests/full_scan/oracle/mod.rs
+++ b/crates/router/tests/full_scan/oracle/mod.rs
@@ -27,7 +27,7 @@
 use crate::list_backoff::ListBackoff;
 use crate::records::{CellBalance, RequestState, Server, Stage, StageStatistics};
 use crate::statistics::{lower_median, DecayingAverage, DecayingRate};
-use constants::{FIRST_GUESS_TOKENS, SWEEP, SWEEP_INTERVAL_US, WRITE_OVERHEAD_TOKENS};
+use constants::{INITIAL_TOKENS_PER_OBJECTIVE, SWEEP, SWEEP_INTERVAL_US, WRITE_OVERHEAD_TOKENS};
 
 /// Makes a dispatcher's routing decisions by a full scan. See the [module](self).
 #[derive(Debug)]
@@ -56,7 +56,7 @@
     /// random numbers.
     #[must_use]
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
-        let initial_pace = settings.shortest_latency_objective() / FIRST_GUESS_TOKENS;
+        let initial_pace = settings.shortest_latency_objective() / INITIAL_TOKENS_PER_OBJECTIVE;
         Self {
             rng: Pcg64Mcg::seed_from_u64(seed),
             now,
--- a/crates/router/tests/full_scan/oracle/placement.rs
+++ b/crates/router/tests/full_scan/oracle/placement.rs
@@ -6,7 +6,7 @@
 use rand_core::RngCore;
 
 use super::constants::{
-    AVERAGE_HALF_LIFE_US, CAPACITY_SHARE_OF_OBJECTIVE, FIRST_GUESS_TOKENS, HOMES_PER_SHARE,
+    AVERAGE_HALF_LIFE_US, CAPACITY_SHARE_OF_OBJECTIVE, HOMES_PER_SHARE, INITIAL_TOKENS_PER_OBJECTIVE,
     PRIOR_POPULARITY_REQUESTS, RATE_TIME_CONSTANT_US, READERS_PER_HOME, READER_WEIGHTS, WINDOW_LIMITS_US,
     WINDOW_REQUESTS, ZONE_SHARE,
 };
@@ -112,7 +112,7 @@
         let all_requests = self.recent_request_rate.count_at(self.now, window_us);
         // A single occurrence is no evidence of popularity.
         let share = (prefix_requests - 1.0).max(0.0) / (all_requests + PRIOR_POPULARITY_REQUESTS);
-        let parallel_reads = FIRST_GUESS_TOKENS / info.shared_tokens.max(1) as f64;
+        let parallel_reads = INITIAL_TOKENS_PER_OBJECTIVE / info.shared_tokens.max(1) as f64;
         let min_homes = parallel_reads.ceil().min(ranks.len().div_ceil(READERS_PER_HOME) as f64);
         let home_count = (HOMES_PER_SHARE * share * ranks.len() as f64).ceil().max(min_homes) as usize;
         let home_count = home_count.min(ranks.len());
