--- a/crates/router/tests/decisions.rs
+++ b/crates/router/tests/decisions.rs
@@ -109,7 +109,7 @@
             prompt_tokens,
             ..common::request_info(id, model.now)
         };
-        model.ask(dispatcher, info);
+        model.send_request(dispatcher, info);
     }
     model.run_until(end + 8 * S);
     let mut decisions: DecisionHash = model.decisions.clone();
--- a/crates/router/tests/fairness.rs
+++ b/crates/router/tests/fairness.rs
@@ -82,7 +82,7 @@
         let (prompt_tokens, now) = (draw_prompt_tokens(&mut model), model.now);
         let info =
             RequestInfo { class, prompt_tokens, not_after: now + 6 * S, ..common::request_info(id, now) };
-        model.ask(dispatcher, info);
+        model.send_request(dispatcher, info);
     }
     model.run_until(end + 10 * S);
     model
@@ -162,7 +162,7 @@
             ..common::request_info(id as u64 + 1, at)
         };
         let dispatcher = (model.unit_draw() * 4.0) as usize;
-        model.ask(dispatcher, info);
+        model.send_request(dispatcher, info);
     }
     model.run_until(model.now + 10 * S);
     (0..classes)
@@ -267,7 +267,7 @@
                     not_after: at + 6 * S,
                     ..common::request_info(id + 1, at)
                 };
-                model.ask(0, info);
+                model.send_request(0, info);
             }
             model.run_until(model.now + 10 * S);
             let faulty_count = model
--- a/crates/router/tests/fleet_model/mod.rs
+++ b/crates/router/tests/fleet_model/mod.rs
@@ -221,7 +221,7 @@
     }
 
     /// A request arrives at a dispatcher.
-    pub fn ask(&mut self, dispatcher: usize, info: RequestInfo) {
+    pub fn send_request(&mut self, dispatcher: usize, info: RequestInfo) {
         let (id, at, not_after) = (info.id, self.now, info.not_after);
         let record = Record {
             info: info.clone(),
--- a/crates/router/tests/slow_start.rs
+++ b/crates/router/tests/slow_start.rs
@@ -146,7 +146,7 @@
         let dispatcher = random_dispatcher(model, sample);
         id += 1;
         let info = request(model, id);
-        model.ask(dispatcher, info);
+        model.send_request(dispatcher, info);
     }
 }
 
