--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -212,7 +212,7 @@
     /// A request arrives.
     pub fn send_request(&mut self, info: RequestInfo) {
         let id = info.id;
-        let requests = RequestRecord {
+        let request = RequestRecord {
             info: info.clone(),
             attempts: 0,
             in_flight: None,
@@ -220,7 +220,7 @@
             may_have_run: None,
             held_by: None,
         };
-        self.requests.insert(id, requests);
+        self.requests.insert(id, request);
         self.handle_event(Event::RequestArrived(info));
     }
 
@@ -233,7 +233,7 @@
 
     /// The request's attempt in flight.
     pub fn in_flight(&self, id: RequestId) -> Option<SentAttempt> {
-        self.requests.get(&id).and_then(|requests| requests.in_flight.clone())
+        self.requests.get(&id).and_then(|request| request.in_flight.clone())
     }
 
     pub fn is_reader(&self, server: ServerId) -> bool {
@@ -244,10 +244,10 @@
 
     /// The request's attempt in flight streams its first token.
     pub fn stream_first_token(&mut self, id: RequestId) {
-        let Some(requests) = self.requests.get_mut(&id) else { return };
-        let Some(in_flight) = requests.in_flight.as_mut() else { return };
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(in_flight) = request.in_flight.as_mut() else { return };
         in_flight.is_streaming = true;
-        requests.held_by = None;
+        request.held_by = None;
         let event = Event::FirstToken { id, attempt: in_flight.number, elapsed: self.now - in_flight.at };
         self.handle_event(event);
     }
@@ -270,23 +270,23 @@
         held_state: HeldStateAfter,
         cached_tokens: u64,
     ) {
-        let Some(requests) = self.requests.get_mut(&id) else { return };
-        let Some(in_flight) = requests.in_flight.take() else { return };
-        let completes_request = requests.ended || outcome == Outcome::Served || in_flight.is_streaming;
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(in_flight) = request.in_flight.take() else { return };
+        let completes_request = request.ended || outcome == Outcome::Served || in_flight.is_streaming;
         match outcome {
-            Outcome::Read => requests.held_by = Some((in_flight.server, self.now)),
+            Outcome::Read => request.held_by = Some((in_flight.server, self.now)),
             // A reader that the writer cannot reach still holds the state.
-            _ if held_state == HeldStateAfter::Released => requests.held_by = None,
-            _ => requests.held_by = requests.held_by.map(|(server, _)| (server, self.now)),
+            _ if held_state == HeldStateAfter::Released => request.held_by = None,
+            _ => request.held_by = request.held_by.map(|(server, _)| (server, self.now)),
         }
         let never_ran = matches!(
             outcome,
             Outcome::Full | Outcome::NoState | Outcome::ConnectFailed | Outcome::NotSent | Outcome::Read
         );
-        if !never_ran && !in_flight.reads && requests.may_have_run.is_none() {
-            requests.may_have_run = Some((in_flight.server, in_flight.at));
+        if !never_ran && !in_flight.reads && request.may_have_run.is_none() {
+            request.may_have_run = Some((in_flight.server, in_flight.at));
         }
-        requests.ended = completes_request;
+        request.ended = completes_request;
         let event = Event::AttemptFinished(AttemptFinished {
             id,
             attempt: in_flight.number,
@@ -303,8 +303,8 @@
 
     /// The client of a request disconnects.
     pub fn disconnect(&mut self, id: RequestId) {
-        if let Some(requests) = self.requests.get_mut(&id) {
-            requests.ended = true;
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.ended = true;
         }
         self.handle_event(Event::ClientDisconnected(id));
     }
@@ -324,8 +324,8 @@
             let timed_out: Vec<RequestId> = self
                 .requests
                 .iter()
-                .filter(|(_, requests)| {
-                    requests
+                .filter(|(_, request)| {
+                    request
                         .in_flight
                         .as_ref()
                         .is_some_and(|in_flight| !in_flight.is_streaming && in_flight.until <= self.now)
@@ -342,14 +342,14 @@
     /// Rules 1 and 5: no request is open past its deadline, with a tolerance of four times the minimum interval
     /// between batches, and no state is held for too long without an attempt in flight.
     fn check_deadlines(&self) {
-        for (id, requests) in &self.requests {
-            let is_streaming = requests.in_flight.as_ref().is_some_and(|in_flight| in_flight.is_streaming);
+        for (id, request) in &self.requests {
+            let is_streaming = request.in_flight.as_ref().is_some_and(|in_flight| in_flight.is_streaming);
             let slack = 4 * self.settings.min_batch_interval;
             assert!(
-                requests.ended || is_streaming || self.now <= requests.info.not_after + slack,
+                request.ended || is_streaming || self.now <= request.info.not_after + slack,
                 "rule 1: {id:?} was not answered by its deadline"
             );
-            if let (None, Some((_, since))) = (&requests.in_flight, requests.held_by) {
+            if let (None, Some((_, since))) = (&request.in_flight, request.held_by) {
                 assert!(
                     self.now <= since + self.settings.max_hold_time,
                     "rule 5: the state of {id:?} was held for too long"
@@ -371,29 +371,29 @@
         match &action {
             Action::Assign { id, server, attempt_timeout } => self.add_send(*id, *server, *attempt_timeout),
             Action::Reject { id, .. } => {
-                let requests = self.requests.get_mut(id).expect("a known request");
-                assert!(!requests.ended, "rule 1: {id:?} answered twice");
-                assert!(requests.in_flight.is_none(), "rejected while an attempt is in flight");
-                let class = &self.settings.classes[&requests.info.class];
-                let is_retry_safe = requests.may_have_run.is_none()
+                let request = self.requests.get_mut(id).expect("a known request");
+                assert!(!request.ended, "rule 1: {id:?} answered twice");
+                assert!(request.in_flight.is_none(), "rejected while an attempt is in flight");
+                let class = &self.settings.classes[&request.info.class];
+                let is_retry_safe = request.may_have_run.is_none()
                     || class.effect == Effect::Idempotent
                     || (class.effect == Effect::Deduplicated && class.dedup_group == DedupGroup::All);
                 assert!(is_retry_safe, "rule 2: {id:?} was rejected although it may have run");
-                requests.ended = true;
+                request.ended = true;
             }
             Action::Fail(id) => {
-                let requests = self.requests.get_mut(id).expect("a known request");
-                assert!(!requests.ended, "rule 1: {id:?} answered twice");
-                requests.ended = true;
+                let request = self.requests.get_mut(id).expect("a known request");
+                assert!(!request.ended, "rule 1: {id:?} answered twice");
+                request.ended = true;
             }
             Action::ReleaseHeldState(id) => {
-                if let Some(requests) = self.requests.get_mut(id) {
-                    requests.held_by = None;
+                if let Some(request) = self.requests.get_mut(id) {
+                    request.held_by = None;
                 }
             }
             Action::CancelAttempt { id, attempt } => {
-                let requests = self.requests.get(id).expect("a known request");
-                assert!(*attempt < requests.attempts, "a cancelled attempt must have been sent");
+                let request = self.requests.get(id).expect("a known request");
+                assert!(*attempt < request.attempts, "a cancelled attempt must have been sent");
             }
             Action::StartTimer { delay, token } => {
                 self.timers.insert((self.now + delay, token.0));
@@ -408,19 +408,19 @@
     fn add_send(&mut self, id: RequestId, server: ServerId, attempt_timeout: Micros) {
         let entry = self.list.get(&server).expect("a listed server").clone();
         let reads = self.is_reader(server);
-        let requests = self.requests.get_mut(&id).expect("a known request");
+        let request = self.requests.get_mut(&id).expect("a known request");
         assert!(
-            !requests.ended && self.now <= requests.info.not_after,
+            !request.ended && self.now <= request.info.not_after,
             "rule 1: {id:?} was sent after its end or deadline"
         );
-        assert!(requests.in_flight.is_none(), "rule 2: {id:?} has two attempts in flight");
+        assert!(request.in_flight.is_none(), "rule 2: {id:?} has two attempts in flight");
         assert_eq!(
             entry.health,
             Health::Ready,
             "rule 3: {id:?} was sent to a server that is draining or gone"
         );
-        if let Some((first, sent)) = requests.may_have_run {
-            let class = &self.settings.classes[&requests.info.class];
+        if let Some((first, sent)) = request.may_have_run {
+            let class = &self.settings.classes[&request.info.class];
             assert_ne!(
                 class.effect,
                 Effect::AtMostOnce,
@@ -438,13 +438,13 @@
                 );
             }
         }
-        let until = (self.now + attempt_timeout.max(1)).min(requests.info.not_after);
-        let number = requests.attempts;
-        requests.in_flight =
+        let until = (self.now + attempt_timeout.max(1)).min(request.info.not_after);
+        let number = request.attempts;
+        request.in_flight =
             Some(SentAttempt { number, server, at: self.now, until, is_streaming: false, reads });
-        requests.attempts += 1;
+        request.attempts += 1;
         assert!(
-            requests.attempts <= self.settings.classes[&requests.info.class].max_attempts,
+            request.attempts <= self.settings.classes[&request.info.class].max_attempts,
             "{id:?} was sent more often than its class allows"
         );
         let in_slow_start = entry.started.is_some_and(|at| self.now < at + self.settings.slow_start_window);
--- a/crates/router/tests/properties.rs
+++ b/crates/router/tests/properties.rs
@@ -37,7 +37,7 @@
 }
 
 fn take_step(world: &mut World, last_id: u64, (choice, first, second): Step) {
-    let in_flight = world.requests.iter().filter(|(_, requests)| requests.in_flight.is_some());
+    let in_flight = world.requests.iter().filter(|(_, request)| request.in_flight.is_some());
     let in_flight: Vec<RequestId> = in_flight.map(|(&id, _)| id).collect();
     let any = in_flight.get(first as usize % in_flight.len().max(1)).copied();
     match (choice, any) {
