--- a/benches/scale/decisions.rs
+++ b/benches/scale/decisions.rs
@@ -158,7 +158,7 @@
     }
 
     fn send_list(&mut self) -> Duration {
-        let event = Event::EndpointsUpdated { how: ListUpdateKind::Full, entries: self.entries() };
+        let event = Event::EndpointsUpdated { kind: ListUpdateKind::Full, entries: self.entries() };
         self.handle_event(event, None)
     }
 
@@ -240,11 +240,11 @@
             id: in_flight.id,
             attempt: in_flight.attempt,
             server: in_flight.server,
-            taken: self.now - in_flight.sent_at,
+            elapsed: self.now - in_flight.sent_at,
             outcome,
             held_state: HeldStateAfter::of_arrived(outcome),
             cached_tokens: 3_000,
-            last: outcome == Outcome::Served,
+            completes_request: outcome == Outcome::Served,
             report: None,
         };
         self.handle_event(Event::AttemptFinished(finished), Some(in_flight.id));
@@ -252,8 +252,8 @@
 
     fn start_stream(&mut self, in_flight: InFlight) {
         let InFlight { id, attempt, sent_at, .. } = in_flight;
-        let taken = self.now - sent_at;
-        self.handle_event(Event::FirstToken { id, attempt, taken }, Some(id));
+        let elapsed = self.now - sent_at;
+        self.handle_event(Event::FirstToken { id, attempt, elapsed }, Some(id));
         self.schedule(self.now + STREAM_US, Step::StreamEnds(in_flight));
     }
 
@@ -307,14 +307,14 @@
             let server = at / 2 % workload.size.servers;
             let mut entry = shape::entry(server, workload.is_in_slow_start(server).then_some(999 * SECOND));
             entry.health = if at.is_multiple_of(2) { Health::Terminating } else { Health::Ready };
-            Event::EndpointsUpdated { how: ListUpdateKind::Patch, entries: vec![entry] }
+            Event::EndpointsUpdated { kind: ListUpdateKind::Patch, entries: vec![entry] }
         })
     }
 
     fn received_update(&mut self) -> f64 {
         self.mean_time_us(2_000, |workload, at| {
             let server = tag(ServerId(at * 7 % workload.size.servers));
-            let load = Load::Waits(u64::from(at % 300) * 1_000);
+            let load = Load::Queued(u64::from(at % 300) * 1_000);
             Event::GossipReceived(LoadUpdate { server, load, at: workload.now }.to_bytes().to_vec())
         })
     }
--- a/crates/router/src/attempts.rs
+++ b/crates/router/src/attempts.rs
@@ -53,7 +53,7 @@
         sent_at: state.now,
         memory_tokens: work.memory_tokens,
         work_tokens: work.work_tokens,
-        expected_queueing_us: state.gossip.believed_us(server.entry.server, state.now),
+        expected_queueing_us: state.gossip.estimated_queueing_us(server.entry.server, state.now),
         class: info.class,
         expected_prefix: cached.filter(|_| stage != Stage::Write),
         is_streaming: false,
@@ -103,8 +103,8 @@
         // A writer also reports `NoState` when only its own connection to the reader is broken. The reader
         // may still hold the state then, so it has to be released.
         (Outcome::NoState, _) if request.held_state.take().is_some() => change = HeldStateChange::Release,
-        (_, HeldStateAfter::TimeGoesOn) => {}
-        (_, HeldStateAfter::TimeBeginsAnew) => {
+        (_, HeldStateAfter::HoldTimeContinues) => {}
+        (_, HeldStateAfter::HoldTimeRestarts) => {
             request.held_state = request.held_state.map(|held| HeldState { since: now, ..held });
         }
         (_, HeldStateAfter::Released) => request.held_state = None,
--- a/crates/router/src/interface/messages.rs
+++ b/crates/router/src/interface/messages.rs
@@ -14,7 +14,7 @@
     /// The list of servers was updated, or a call for it failed.
     EndpointsUpdated {
         /// Whether the entries are a patch or a whole list, or the call failed.
-        how: ListUpdateKind,
+        kind: ListUpdateKind,
         /// The listed servers; empty after a failed call.
         entries: Vec<ServerEntry>,
     },
@@ -27,7 +27,7 @@
         /// The number of the attempt that streams, counted from 0 for each request.
         attempt: u32,
         /// Time from sending the attempt to its first token (us).
-        taken: Micros,
+        elapsed: Micros,
     },
     /// An attempt ended, with any outcome.
     AttemptFinished(AttemptFinished),
--- a/crates/router/src/interface/requests.rs
+++ b/crates/router/src/interface/requests.rs
@@ -70,9 +70,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeldStateAfter {
     /// The hold time continues to run: nothing shows that a server received the attempt.
-    TimeGoesOn,
+    HoldTimeContinues,
     /// The hold time starts again from zero, because a server answered.
-    TimeBeginsAnew,
+    HoldTimeRestarts,
     /// The state is being released.
     Released,
 }
@@ -83,8 +83,8 @@
     #[must_use]
     pub fn of_arrived(outcome: Outcome) -> Self {
         match outcome {
-            Outcome::ConnectFailed | Outcome::NotSent | Outcome::Unacknowledged => Self::TimeGoesOn,
-            _ => Self::TimeBeginsAnew,
+            Outcome::ConnectFailed | Outcome::NotSent | Outcome::Unacknowledged => Self::HoldTimeContinues,
+            _ => Self::HoldTimeRestarts,
         }
     }
 }
@@ -99,7 +99,7 @@
     /// The server that the attempt was assigned to.
     pub server: ServerId,
     /// Time from sending the attempt to its end (us).
-    pub taken: Micros,
+    pub elapsed: Micros,
     /// How the attempt ended.
     pub outcome: Outcome,
     /// What happens to the state that servers hold for the request.
@@ -107,7 +107,7 @@
     /// Prompt tokens that the server found in its cache; meaningful with `Read` and `Served`.
     pub cached_tokens: u64,
     /// The request is completed, so no further attempt may follow.
-    pub last: bool,
+    pub completes_request: bool,
     /// The load report that the server sent with its answer, if any.
     pub report: Option<Report>,
 }
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -37,7 +37,7 @@
 use crate::learning;
 use crate::list_backoff::ListBackoff;
 use crate::metrics;
-use crate::popularity::FIRST_GUESS_TOKENS;
+use crate::popularity::INITIAL_TOKENS_PER_OBJECTIVE;
 use crate::records::{RequestState, Stage, StageStatistics};
 use crate::routing_state::RoutingState;
 use crate::server_list;
@@ -91,9 +91,9 @@
             self.sweep(actions);
         }
         match event {
-            Event::EndpointsUpdated { how, entries } => self.on_list_update(how, entries),
+            Event::EndpointsUpdated { kind, entries } => self.on_list_update(kind, entries),
             Event::RequestArrived(info) => self.on_request(info, actions),
-            Event::FirstToken { id, attempt, taken } => self.on_first_token(id, attempt, taken),
+            Event::FirstToken { id, attempt, elapsed } => self.on_first_token(id, attempt, elapsed),
             Event::AttemptFinished(ended) => self.on_attempt_finished(ended, actions),
             Event::ClientDisconnected(id) => self.on_disconnect(id, actions),
             Event::TimerFired(SWEEP) => self.sweep(actions),
@@ -169,7 +169,7 @@
 
     /// Records the first token of an answer. The writer has fetched the state by then, so no state is held
     /// any more.
-    fn on_first_token(&mut self, id: RequestId, number: u32, taken_us: Micros) {
+    fn on_first_token(&mut self, id: RequestId, number: u32, elapsed_us: Micros) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let in_flight = request.in_flight.as_mut();
         let Some(attempt) = in_flight.filter(|attempt| attempt.number == number && !attempt.is_streaming)
@@ -179,7 +179,7 @@
         attempt.is_streaming = true;
         request.held_state = None;
         let attempt = attempt.clone();
-        learning::record_first_token(&mut self.state, id, &attempt, taken_us);
+        learning::record_first_token(&mut self.state, id, &attempt, elapsed_us);
     }
 
     /// Records the end of an attempt, then closes its request or takes the next step.
@@ -190,7 +190,7 @@
         let Some(attempt) = request.in_flight.take_if(|attempt| attempt.number == ended.attempt) else {
             return;
         };
-        request.is_completed |= ended.last;
+        request.is_completed |= ended.completes_request;
         let change = attempts::record_outcome(request, &attempt, &ended, now);
         if change == HeldStateChange::Release {
             actions.push(Action::ReleaseHeldState(id));
@@ -322,7 +322,7 @@
 
 /// The state at the start, with initial guesses in place of learnt figures.
 fn initial_state(settings: Settings, now: Micros) -> RoutingState {
-    let us_per_token = settings.shortest_latency_objective() / FIRST_GUESS_TOKENS;
+    let us_per_token = settings.shortest_latency_objective() / INITIAL_TOKENS_PER_OBJECTIVE;
     let times = FleetTimes {
         slow_start_window_us: settings.slow_start_window,
         queueing_half_life_us: AVERAGE_HALF_LIFE_US,
--- a/crates/router/tests/bounds.rs
+++ b/crates/router/tests/bounds.rs
@@ -34,9 +34,9 @@
 impl Dispatcher {
     fn new(entries: Vec<ServerEntry>) -> Self {
         let mut settings = common::settings();
-        settings.peers = true;
+        settings.gossip_allowed = true;
         let mut dispatcher = Self { router: Router::new(settings, 7, 1_000 * S), now: 1_000 * S };
-        dispatcher.handle_event(Event::EndpointsUpdated { how: ListUpdateKind::Full, entries });
+        dispatcher.handle_event(Event::EndpointsUpdated { kind: ListUpdateKind::Full, entries });
         dispatcher
     }
 
@@ -60,19 +60,19 @@
             self.now += 1_000;
             let reads = server.0 < 10;
             if !reads {
-                self.handle_event(Event::FirstToken { id, attempt, taken: 1_000 });
+                self.handle_event(Event::FirstToken { id, attempt, elapsed: 1_000 });
             }
             let outcome = if reads { Outcome::Read } else { Outcome::Served };
-            let (taken, cached_tokens, last, report) = (1_000, 0, !reads, None);
+            let (elapsed, cached_tokens, completes_request, report) = (1_000, 0, !reads, None);
             actions = self.handle_event(Event::AttemptFinished(AttemptFinished {
                 id,
                 attempt,
                 server,
-                taken,
+                elapsed,
                 outcome,
                 held_state: HeldStateAfter::of_arrived(outcome),
                 cached_tokens,
-                last,
+                completes_request,
                 report,
             }));
         }
@@ -168,8 +168,8 @@
             ..common::entry(1_000 + 2 * (round - 1) + kind, kind)
         });
         let patch =
-            Event::EndpointsUpdated { how: ListUpdateKind::Patch, entries: removed.chain(added).collect() };
-        let full_list = Event::EndpointsUpdated { how: ListUpdateKind::Full, entries };
+            Event::EndpointsUpdated { kind: ListUpdateKind::Patch, entries: removed.chain(added).collect() };
+        let full_list = Event::EndpointsUpdated { kind: ListUpdateKind::Full, entries };
         dispatcher.handle_event(if round.is_multiple_of(2) { full_list } else { patch });
         for index in 0..6 {
             id += 1;
@@ -184,20 +184,20 @@
                 _ => None,
             });
             let Some(server) = assigned else { continue };
-            let load = Load::Waits(900_000);
+            let load = Load::Queued(900_000);
             let update = LoadUpdate { server: tag(server), load, at: now };
             dispatcher.handle_event(Event::GossipReceived(update.to_bytes().to_vec()));
             let (outcome, id) = (Outcome::ConnectFailed, RequestId(id));
-            let (attempt, taken, cached_tokens, last, report) = (0, 500, 0, true, None);
+            let (attempt, elapsed, cached_tokens, completes_request, report) = (0, 500, 0, true, None);
             dispatcher.handle_event(Event::AttemptFinished(AttemptFinished {
                 id,
                 attempt,
                 server,
-                taken,
+                elapsed,
                 outcome,
                 held_state: HeldStateAfter::of_arrived(outcome),
                 cached_tokens,
-                last,
+                completes_request,
                 report,
             }));
         }
@@ -223,21 +223,21 @@
     };
     let entries: Vec<ServerEntry> =
         common::fleet(false).into_iter().filter(|entry| entry.server != *server).collect();
-    let full_list = || Event::EndpointsUpdated { how: ListUpdateKind::Full, entries: entries.clone() };
+    let full_list = || Event::EndpointsUpdated { kind: ListUpdateKind::Full, entries: entries.clone() };
     let server_count =
         |dispatcher: &Dispatcher| dispatcher.export_state()["servers"].as_array().map_or(0, Vec::len);
     dispatcher.handle_event(full_list());
     assert_eq!(server_count(&dispatcher), 8, "an attempt is still in flight at the delisted server");
-    let (id, server, outcome, last) = (RequestId(1), *server, Outcome::Reset, true);
+    let (id, server, outcome, completes_request) = (RequestId(1), *server, Outcome::Reset, true);
     dispatcher.handle_event(Event::AttemptFinished(AttemptFinished {
         id,
         attempt: 0,
         server,
-        taken: 9,
+        elapsed: 9,
         outcome,
         held_state: HeldStateAfter::of_arrived(outcome),
         cached_tokens: 0,
-        last,
+        completes_request,
         report: None,
     }));
     dispatcher.handle_event(full_list());
@@ -270,16 +270,16 @@
             actions.iter().find(|action| matches!(action, Action::Assign { .. }))
         {
             let (id, server, outcome) = (RequestId(id), *server, Outcome::Reset);
-            let (attempt, taken, cached_tokens, last, report) = (0, 9, 0, true, None);
+            let (attempt, elapsed, cached_tokens, completes_request, report) = (0, 9, 0, true, None);
             dispatcher.handle_event(Event::AttemptFinished(AttemptFinished {
                 id,
                 attempt,
                 server,
-                taken,
+                elapsed,
                 outcome,
                 held_state: HeldStateAfter::of_arrived(outcome),
                 cached_tokens,
-                last,
+                completes_request,
                 report,
             }));
         }
--- a/crates/router/tests/fleet_model/mod.rs
+++ b/crates/router/tests/fleet_model/mod.rs
@@ -188,7 +188,7 @@
 
     fn send_list_to(&mut self, dispatcher: usize) {
         let entries = self.servers.values().map(|server| server.entry.clone()).collect();
-        self.handle_event(dispatcher, Event::EndpointsUpdated { how: ListUpdateKind::Full, entries });
+        self.handle_event(dispatcher, Event::EndpointsUpdated { kind: ListUpdateKind::Full, entries });
     }
 
     /// Restarts a server, which begins its slow start. All dispatchers receive the change at once.
@@ -200,7 +200,7 @@
         for dispatcher in 0..self.dispatchers.len() {
             self.handle_event(
                 dispatcher,
-                Event::EndpointsUpdated { how: ListUpdateKind::Patch, entries: entries.clone() },
+                Event::EndpointsUpdated { kind: ListUpdateKind::Patch, entries: entries.clone() },
             );
         }
     }
@@ -221,7 +221,7 @@
     }
 
     /// A request arrives at a dispatcher.
-    pub fn ask(&mut self, dispatcher: usize, info: RequestInfo) {
+    pub fn send_request(&mut self, dispatcher: usize, info: RequestInfo) {
         let (id, at, not_after) = (info.id, self.now, info.not_after);
         let record = Record {
             info: info.clone(),
@@ -276,8 +276,8 @@
                     return;
                 };
                 self.records.get_mut(&id).expect("known").answered = Some(self.now);
-                let taken = self.now - sent;
-                self.handle_event(dispatcher, Event::FirstToken { id, attempt, taken });
+                let elapsed = self.now - sent;
+                self.handle_event(dispatcher, Event::FirstToken { id, attempt, elapsed });
             }
             Step::AttemptEnds(id, attempt, outcome) => {
                 let in_flight = self.dispatchers[dispatcher]
@@ -290,17 +290,17 @@
                 }
                 self.dispatchers[dispatcher].in_flight.remove(&id);
                 let record = &self.records[&id];
-                let last = outcome == Outcome::Served || record.rejected || record.failed;
-                let taken = self.now - sent;
+                let completes_request = outcome == Outcome::Served || record.rejected || record.failed;
+                let elapsed = self.now - sent;
                 let ended = AttemptFinished {
                     id,
                     attempt,
                     server,
-                    taken,
+                    elapsed,
                     outcome,
                     held_state: HeldStateAfter::of_arrived(outcome),
                     cached_tokens: 0,
-                    last,
+                    completes_request,
                     report: None,
                 };
                 self.handle_event(dispatcher, Event::AttemptFinished(ended));
--- a/crates/router/tests/full_scan/oracle/placement.rs
+++ b/crates/router/tests/full_scan/oracle/placement.rs
@@ -6,7 +6,7 @@
 use rand_core::RngCore;
 
 use super::constants::{
-    AVERAGE_HALF_LIFE_US, CAPACITY_SHARE_OF_OBJECTIVE, FIRST_GUESS_TOKENS, HOMES_PER_SHARE,
+    AVERAGE_HALF_LIFE_US, CAPACITY_SHARE_OF_OBJECTIVE, HOMES_PER_SHARE, INITIAL_TOKENS_PER_OBJECTIVE,
     PRIOR_POPULARITY_REQUESTS, RATE_TIME_CONSTANT_US, READERS_PER_HOME, READER_WEIGHTS, WINDOW_LIMITS_US,
     WINDOW_REQUESTS, ZONE_SHARE,
 };
@@ -60,7 +60,7 @@
             let reread_us = pace * cached as f64; // the wait that a cached prefix is worth
             let queued_us =
                 server.statistics.queueing_us[stage as usize].value_at(self.now, 0.0, AVERAGE_HALF_LIFE_US);
-            let queued_us = queued_us.max(self.gossip.believed_us(id, self.now));
+            let queued_us = queued_us.max(self.gossip.estimated_queueing_us(id, self.now));
             let has_capacity = !self.is_at_capacity(server, stage, reread_us)
                 && queued_us
                     <= reread_us + CAPACITY_SHARE_OF_OBJECTIVE * self.settings.shortest_latency_objective()
@@ -72,7 +72,8 @@
         }
         // Of the servers with the fewest attempts, the one that would finish first: in a pool that is at capacity,
         // reading cached text again elsewhere adds to the overload.
-        let finish_us = |cached: u64, id| self.gossip.believed_us(id, self.now) - pace * cached as f64;
+        let finish_us =
+            |cached: u64, id| self.gossip.estimated_queueing_us(id, self.now) - pace * cached as f64;
         let fewest = ranking.iter().min_by(|a, b| {
             a.3.cmp(&b.3).then(finish_us(a.0 .0, a.5).total_cmp(&finish_us(b.0 .0, b.5))).then(a.4.cmp(&b.4))
         });
@@ -111,7 +112,7 @@
         let all_requests = self.recent_request_rate.count_at(self.now, window_us);
         // A single occurrence is no evidence of popularity.
         let share = (prefix_requests - 1.0).max(0.0) / (all_requests + PRIOR_POPULARITY_REQUESTS);
-        let parallel_reads = FIRST_GUESS_TOKENS / info.shared_tokens.max(1) as f64;
+        let parallel_reads = INITIAL_TOKENS_PER_OBJECTIVE / info.shared_tokens.max(1) as f64;
         let min_homes = parallel_reads.ceil().min(ranks.len().div_ceil(READERS_PER_HOME) as f64);
         let home_count = (HOMES_PER_SHARE * share * ranks.len() as f64).ceil().max(min_homes) as usize;
         let home_count = home_count.min(ranks.len());
--- a/crates/router/tests/full_scan/oracle/requests.rs
+++ b/crates/router/tests/full_scan/oracle/requests.rs
@@ -118,9 +118,9 @@
         }
     }
 
-    /// The first token of an answer has come, `taken` us after the attempt was sent. From then on the answer streams
-    /// and the reader no longer holds the state.
-    pub(super) fn on_first_token(&mut self, id: RequestId, number: u32, taken: Micros) {
+    /// The first token of an answer has come, `elapsed` us after the attempt was sent. From then on the answer
+    /// streams and the reader no longer holds the state.
+    pub(super) fn on_first_token(&mut self, id: RequestId, number: u32, elapsed: Micros) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(attempt) =
             request.in_flight.as_mut().filter(|out| out.number == number && !out.is_streaming)
@@ -131,7 +131,7 @@
         request.held_state = None;
         let attempt = attempt.clone();
         self.record_answered(id, &attempt);
-        self.record_success(&attempt, taken);
+        self.record_success(&attempt, elapsed);
     }
 
     /// An attempt has ended: updates the held state and the statistics, then takes the request's next step or removes
@@ -144,7 +144,7 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(attempt) = request.in_flight.take_if(|out| out.number == finished.attempt) else { return };
         let prompt_tokens = request.info.prompt_tokens;
-        request.is_completed |= finished.last;
+        request.is_completed |= finished.completes_request;
         match (outcome, finished.held_state) {
             (Outcome::Read, _) => {
                 request.held_state = Some(HeldState { reader: attempt.server, since: self.now });
@@ -154,9 +154,9 @@
                 out.push(Action::ReleaseHeldState(id));
             }
             // The hold time continues to run while nothing shows that a server received the attempt.
-            (_, HeldStateAfter::TimeGoesOn) => {}
+            (_, HeldStateAfter::HoldTimeContinues) => {}
             (_, HeldStateAfter::Released) => request.held_state = None,
-            (_, HeldStateAfter::TimeBeginsAnew) => {
+            (_, HeldStateAfter::HoldTimeRestarts) => {
                 request.held_state = request.held_state.map(|held| HeldState { since: self.now, ..held });
             }
         }
@@ -215,7 +215,7 @@
             .min(info.not_after - self.now)
             .max(1);
         let per_window = self.requests_per_window(server);
-        let expected_queueing = self.gossip.believed_us(to, self.now);
+        let expected_queueing = self.gossip.estimated_queueing_us(to, self.now);
         if stage != Stage::Write {
             self.gossip.record_sent(to, work_tokens * self.stages[stage as usize].unloaded_us_per_token);
         }
@@ -263,7 +263,7 @@
         latency_objective: f64,
     ) -> Micros {
         let median_pace = self.stages[stage as usize].median_us_per_token;
-        let reported_us = self.gossip.believed_us(server.entry.server, self.now);
+        let reported_us = self.gossip.estimated_queueing_us(server.entry.server, self.now);
         let queued_us = reported_us.max(median_pace * server.unanswered_tokens[stage as usize]);
         let min_timeout =
             TIMEOUT_SHARE_OF_OBJECTIVE * latency_objective.max(self.settings.shortest_latency_objective());
@@ -274,7 +274,7 @@
     /// Whether a state that has been held since `since` can wait for a writer until the next sweep, with a margin
     /// before its deadline and the end of its hold time.
     pub(super) fn can_wait_for_sweep(&self, since: Micros, not_after: Micros) -> bool {
-        let next_sweep = self.now + SWEEP_INTERVAL_US + 4 * self.settings.resolution + 10_000;
+        let next_sweep = self.now + SWEEP_INTERVAL_US + 4 * self.settings.min_batch_interval + 10_000;
         next_sweep < not_after.min(since + self.settings.max_hold_time)
     }
 
--- a/crates/router/tests/full_scan/pair.rs
+++ b/crates/router/tests/full_scan/pair.rs
@@ -44,12 +44,12 @@
         must_subscribe: false,
         max_list_age: 10 * SECOND,
         may_cancel: true,
-        peers: true,
+        gossip_allowed: true,
         gossip_price: 0.001,
         writers_can_read: true,
         max_retry_after: SECOND,
         max_hold_time: SECOND / 2,
-        resolution: 4_000,
+        min_batch_interval: 4_000,
         slow_start_min_share: 0.3,
         slow_start_window: 6 * SECOND,
         memory_field: Some(0),
@@ -117,7 +117,7 @@
             every_message_arrives: true,
             decisions: DecisionHash::default(),
         };
-        pair.handle(Event::EndpointsUpdated { how: ListUpdateKind::Full, entries });
+        pair.handle(Event::EndpointsUpdated { kind: ListUpdateKind::Full, entries });
         pair
     }
 
@@ -162,7 +162,8 @@
         if self.every_message_arrives {
             return HeldStateAfter::of_arrived(outcome);
         }
-        let all = [HeldStateAfter::TimeGoesOn, HeldStateAfter::TimeBeginsAnew, HeldStateAfter::Released];
+        let all =
+            [HeldStateAfter::HoldTimeContinues, HeldStateAfter::HoldTimeRestarts, HeldStateAfter::Released];
         all[(id.0 + self.now) as usize % all.len()]
     }
 
@@ -174,11 +175,11 @@
             id,
             attempt: attempt.number,
             server: attempt.server,
-            taken: self.now - attempt.sent_at,
+            elapsed: self.now - attempt.sent_at,
             outcome,
             held_state: self.held_state_after(id, outcome),
             cached_tokens,
-            last: attempt.is_streaming || outcome == Outcome::Served,
+            completes_request: attempt.is_streaming || outcome == Outcome::Served,
             report: full.then_some(report),
         }));
     }
@@ -229,7 +230,7 @@
         let Some(entry) = self.list.get_mut(&server) else { return };
         change(entry, self.now);
         let entries = vec![entry.clone()];
-        self.handle(Event::EndpointsUpdated { how: ListUpdateKind::Patch, entries });
+        self.handle(Event::EndpointsUpdated { kind: ListUpdateKind::Patch, entries });
     }
 
     fn is_reader(&self, server: ServerId) -> bool {
@@ -244,8 +245,8 @@
         let is_reader = self.is_reader(attempt.server);
         if !is_reader && !attempt.is_streaming && !draw.is_multiple_of(5) {
             self.in_flight.get_mut(&id).expect("an attempt in flight").is_streaming = true;
-            let taken = self.now - attempt.sent_at;
-            return self.handle(Event::FirstToken { id, attempt: attempt.number, taken });
+            let elapsed = self.now - attempt.sent_at;
+            return self.handle(Event::FirstToken { id, attempt: attempt.number, elapsed });
         }
         self.in_flight.remove(&id);
         let outcome = if is_reader { Outcome::Read } else { Outcome::Served };
@@ -336,7 +337,7 @@
 
     fn send_full_list(&mut self) {
         let entries = self.list.values().cloned().collect();
-        self.handle(Event::EndpointsUpdated { how: ListUpdateKind::Full, entries });
+        self.handle(Event::EndpointsUpdated { kind: ListUpdateKind::Full, entries });
     }
 
     /// Reloads the settings with other objectives, another slow start window and another number of dispatchers, and
@@ -356,7 +357,7 @@
     fn receive_gossip(&mut self, draw: u32) {
         let Some(server) = self.any_server(draw) else { return };
         let amount = u64::from(draw % 900_000);
-        let load = if draw.is_multiple_of(3) { Load::Sent(amount) } else { Load::Waits(amount) };
+        let load = if draw.is_multiple_of(3) { Load::Sent(amount) } else { Load::Queued(amount) };
         let update = LoadUpdate { server: dewladder_router::tag(server), load, at: self.now };
         self.handle(Event::GossipReceived(update.to_bytes().to_vec()));
     }
--- a/crates/router/tests/placement.rs
+++ b/crates/router/tests/placement.rs
@@ -18,10 +18,11 @@
     (0..24).map(|id| place(id, 0)).chain((100..108).map(|id| place(id, 1))).collect()
 }
 
-/// One of 300 dispatchers in front of the large fleet; `peers` permits load gossip.
-fn one_of_many_dispatchers(peers: bool) -> World {
+/// One of 300 dispatchers in front of the large fleet, with load gossip if `gossip_allowed`.
+fn one_of_many_dispatchers(gossip_allowed: bool) -> World {
     let mut settings = settings();
-    (settings.dispatcher_count, settings.peers, settings.gossip_price) = (DISPATCHERS, peers, 0.0025);
+    (settings.dispatcher_count, settings.gossip_allowed, settings.gossip_price) =
+        (DISPATCHERS, gossip_allowed, 0.0025);
     World::new(settings, large_fleet())
 }
 
@@ -201,7 +202,7 @@
     assert_ne!(send_request(&mut world, 3), home);
     world.pass(3 * SECOND);
     assert_eq!(send_request(&mut world, 4), home, "the reader has done the work by now");
-    world.handle_event(published(Load::Waits(5_000_000), world.now));
+    world.handle_event(published(Load::Queued(5_000_000), world.now));
     assert_ne!(send_request(&mut world, 5), home, "another dispatcher reported a queue at the reader");
 }
 
--- a/src/edge/core/request_table.rs
+++ b/src/edge/core/request_table.rs
@@ -43,7 +43,7 @@
     /// How long servers may hold state for a request before a writer takes it or it is released (us).
     max_hold_time: Micros,
     /// Shortest time between two batches of events at a server (us).
-    resolution: Micros,
+    min_batch_interval: Micros,
     guard: Guard,
     transitions: Transitions,
     held_statistics: HeldStatistics,
@@ -59,7 +59,7 @@
         Self {
             requests: BTreeMap::new(),
             max_hold_time: settings.max_hold_time,
-            resolution: settings.resolution,
+            min_batch_interval: settings.min_batch_interval,
             guard: Guard::default(),
             transitions: Transitions::default(),
             held_statistics: HeldStatistics::default(),
@@ -71,7 +71,7 @@
     /// Takes the limits of new settings; deadlines that are already running stay.
     pub fn apply_settings(&mut self, settings: &Settings) {
         self.max_hold_time = settings.max_hold_time;
-        self.resolution = settings.resolution;
+        self.min_batch_interval = settings.min_batch_interval;
     }
 
     /// Number of open requests: the client is waiting or its stream is being relayed, or an attempt is in flight.
@@ -191,7 +191,7 @@
         step.timers.stop(attempt_deadline, Timer::Attempt(id, attempt_no));
         Transitions::log_stream_started(label, step.now - sent_at);
         step.effects.push(Effect::Relay { id, attempt: attempt_no });
-        step.events.push_back(Event::FirstToken { id, attempt: attempt_no, taken: step.now - sent_at });
+        step.events.push_back(Event::FirstToken { id, attempt: attempt_no, elapsed: step.now - sent_at });
     }
 
     /// Records that the last byte of an attempt has been handed to the operating system.
@@ -220,8 +220,8 @@
         let Some(attempt) = request.in_flight.remove(&attempt_no) else { return };
         step.timers.stop(attempt.attempt_deadline, Timer::Attempt(id, attempt_no));
         let AttemptResult { outcome, cached_tokens, report } = result;
-        let taken = step.now - attempt.sent_at;
-        self.transitions.finished(attempt.label(id, attempt_no), outcome, taken);
+        let elapsed = step.now - attempt.sent_at;
+        self.transitions.finished(attempt.label(id, attempt_no), outcome, elapsed);
         request.history.add(step.now, Transition::Finished { attempt: attempt_no, outcome });
         let is_unanswered = matches!(outcome, Outcome::Timeout | Outcome::Reset | Outcome::Unacknowledged);
         if is_unanswered && attempt.written && request.client != ClientState::Streaming(attempt_no) {
@@ -240,11 +240,11 @@
             id,
             attempt: attempt_no,
             server: attempt.server,
-            taken,
+            elapsed,
             outcome,
             held_state,
             cached_tokens,
-            last: request.client == ClientState::Done,
+            completes_request: request.client == ClientState::Done,
             report,
         }));
     }
@@ -349,8 +349,11 @@
         let attempt_deadline = request.not_after.min(now + attempt_timeout);
         // Held state is for a writer; a read has no use for it and releases it first.
         let hold_deadline = if reads { None } else { request.held.deadline() };
-        let rerun_deadline =
-            if reads { None } else { rerun_deadline(request, rules, attempt_deadline, self.resolution) };
+        let rerun_deadline = if reads {
+            None
+        } else {
+            rerun_deadline(request, rules, attempt_deadline, self.min_batch_interval)
+        };
         let check = SendCheck {
             now,
             client_waiting: request.client == ClientState::Waiting,
@@ -393,16 +396,36 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.history.add(step.now, Transition::SendRefused { server, rule });
         self.reports.write(step.now, id, request, ReportReason::SendRefused(rule));
-        let last = request.client != ClientState::Waiting;
-        step.events.push_back(Event::AttemptFinished(refused_attempt(id, attempt, server, last)));
+        let completes_request = request.client != ClientState::Waiting;
+        step.events.push_back(Event::AttemptFinished(refused_attempt(
+            id,
+            attempt,
+            server,
+            completes_request,
+        )));
     }
 }
 
 /// The event for an attempt that the guard refused to send.
-fn refused_attempt(id: RequestId, attempt: u32, server: ServerId, last: bool) -> AttemptFinished {
+fn refused_attempt(
+    id: RequestId,
+    attempt: u32,
+    server: ServerId,
+    completes_request: bool,
+) -> AttemptFinished {
     let (outcome, cached_tokens, report) = (Outcome::NotSent, 0, None);
-    let held_state = HeldStateAfter::TimeGoesOn;
-    AttemptFinished { id, attempt, server, taken: 0, outcome, held_state, cached_tokens, last, report }
+    let held_state = HeldStateAfter::HoldTimeContinues;
+    AttemptFinished {
+        id,
+        attempt,
+        server,
+        elapsed: 0,
+        outcome,
+        held_state,
+        cached_tokens,
+        completes_request,
+        report,
+    }
 }
 
 /// Time until which the request may be executed again (us); `None` if it has certainly not been executed yet.
@@ -410,13 +433,13 @@
     request: &Request,
     rules: SendRules,
     attempt_deadline: Micros,
-    resolution: Micros,
+    min_batch_interval: Micros,
 ) -> Option<Micros> {
     let first = request.first_execution?;
     let class = rules.classes.get(&request.class)?;
     Some(match class.effect {
         ClassEffect::Idempotent => attempt_deadline,
-        ClassEffect::Deduplicated => (first + class.dedup_window).saturating_sub(resolution),
+        ClassEffect::Deduplicated => (first + class.dedup_window).saturating_sub(min_batch_interval),
         ClassEffect::AtMostOnce => 0,
     })
 }
--- a/src/simulator_adapter/messages.rs
+++ b/src/simulator_adapter/messages.rs
@@ -44,7 +44,7 @@
             let id = fields.request_id("rid")?;
             let attempt = fields.number("hop")?;
             fields.word("engine")?;
-            Event::FirstToken { id, attempt, taken: fields.time("time_taken_s")? }
+            Event::FirstToken { id, attempt, elapsed: fields.time("time_taken_s")? }
         }
         "hangup" => Event::ClientDisconnected(fields.request_id("rid")?),
         "due" => Event::TimerFired(timer_token(fields.word("key_back")?)),
@@ -106,22 +106,22 @@
 /// that the server does not hold the state, rather than that it is at capacity.
 fn attempt_finished(fields: &mut Fields) -> Result<Event, WireError> {
     let id = fields.request_id("rid")?;
-    let taken = fields.time("time_taken_s")?;
+    let elapsed = fields.time("time_taken_s")?;
     let attempt = fields.number("hop")?;
     let detail: u64 = fields.optional("detail")?.unwrap_or(0);
     let outcome = outcome(fields.number("verdict")?, detail == 1);
-    let last = fields.optional::<u8>("last")?.unwrap_or(0) != 0;
+    let completes_request = fields.optional::<u8>("last")?.unwrap_or(0) != 0;
     let server = ServerId(fields.number("engine")?);
     let cached_tokens = if matches!(outcome, Outcome::Served | Outcome::Read) { detail } else { 0 };
     Ok(Event::AttemptFinished(AttemptFinished {
         id,
         attempt,
         server,
-        taken,
+        elapsed,
         outcome,
         held_state: HeldStateAfter::of_arrived(outcome),
         cached_tokens,
-        last,
+        completes_request,
         report: report(fields)?,
     }))
 }
--- a/tests/own_sites.rs
+++ b/tests/own_sites.rs
@@ -292,7 +292,7 @@
                 "{at}"
             );
             assert_eq!(
-                json!([settings.may_cancel, settings.peers]),
+                json!([settings.may_cancel, settings.gossip_allowed]),
                 json!([allow["cancel"], allow["peers"]]),
                 "{at}"
             );
@@ -304,7 +304,7 @@
             );
             assert_eq!(settings.max_hold_time, micros(&file["fam"]["release_ms"]), "{at}");
             assert_eq!(settings.max_retry_after, micros(&file["clients"]["max_retry_after_ms"]), "{at}");
-            assert_eq!(settings.resolution, micros(&file["day"]["tick_ms"]), "{at}");
+            assert_eq!(settings.min_batch_interval, micros(&file["day"]["tick_ms"]), "{at}");
             assert_eq!(settings.overload_multiple, rules["fall_multiple"].as_f64().unwrap(), "{at}");
             assert_eq!(settings.overload_window, micros(&rules["fall_ms"]), "{at}");
             for kind in list(&tier["kind"]) {
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -99,13 +99,13 @@
 fn sent_to_a_cold_reader(clock_offset: i64) -> usize {
     let now = NOW.checked_add_signed(clock_offset).unwrap();
     let mut core = Core::new(settings(), 1, now, 500);
-    core.step(now, Input::EndpointsUpdated { how: ListUpdateKind::Full, entries: old_servers() });
+    core.step(now, Input::EndpointsUpdated { kind: ListUpdateKind::Full, entries: old_servers() });
     send_requests(&mut core, now, REQUESTS_DURATION);
     let updated_at = now + REQUESTS_DURATION + SECOND;
     let started = NOW + REQUESTS_DURATION; // by the clock of discovery: one second before the update
     let draining = |server| ServerEntry { health: Health::Terminating, ..entry(server, None) };
     let entries = vec![entry(3, Some(started)), draining(1), draining(2)];
-    core.step(updated_at, Input::EndpointsUpdated { how: ListUpdateKind::Patch, entries });
+    core.step(updated_at, Input::EndpointsUpdated { kind: ListUpdateKind::Patch, entries });
     let (sent, _) = send_requests(&mut core, updated_at, 2 * SECOND);
     sent.into_iter().filter(|server| *server == ServerId(3)).count()
 }
@@ -135,7 +135,7 @@
         let started_half_an_hour_ago = |server| entry(server, Some(NOW - 1_800 * SECOND));
         let mut entries = [1, 2, 10, 11].map(started_half_an_hour_ago).to_vec();
         entries.push(entry(3, Some(NOW - SECOND)));
-        core.step(now, Input::EndpointsUpdated { how: ListUpdateKind::Full, entries });
+        core.step(now, Input::EndpointsUpdated { kind: ListUpdateKind::Full, entries });
         let (sent, refused) = send_requests(&mut core, now, REQUESTS_DURATION);
         (sent.iter().filter(|server| server.0 == 10 || server.0 == 11).count(), refused)
     };
@@ -153,14 +153,14 @@
 fn slow_start_ends_in_time_with_the_local_clock_behind() {
     let now = NOW - HOUR;
     let mut core = Core::new(settings(), 1, now, 500);
-    core.step(now, Input::EndpointsUpdated { how: ListUpdateKind::Full, entries: old_servers() });
+    core.step(now, Input::EndpointsUpdated { kind: ListUpdateKind::Full, entries: old_servers() });
     send_requests(&mut core, now, REQUESTS_DURATION);
     let updated_at = now + REQUESTS_DURATION + SECOND;
     let entries = [entry(3, Some(NOW + REQUESTS_DURATION)), entry(1, None)];
     let gone = ServerEntry { health: Health::Gone, ..entry(1, None) };
     core.step(
         updated_at,
-        Input::EndpointsUpdated { how: ListUpdateKind::Patch, entries: vec![entries[0].clone(), gone] },
+        Input::EndpointsUpdated { kind: ListUpdateKind::Patch, entries: vec![entries[0].clone(), gone] },
     );
     let (sent, _) = send_requests(&mut core, updated_at + 15 * SECOND, 5 * SECOND);
     let (third, second) = (3, 2);
