--- a/tests/connection_model.rs
+++ b/tests/connection_model.rs
@@ -1,6 +1,6 @@
-//! A model of each connection's states, held against the reducer through random steps: whatever servers,
-//! clients and the list do, a request gets one final answer in time, nothing is sent after that, no effect
-//! happens twice, and what may be held is released.
+//! Compares the reducer with a model of each client connection, over random sequences of events. Whatever servers,
+//! clients and the server list do, a request gets one final answer in time, nothing is sent after it, no effect
+//! happens twice, and state that may be held is released.
 
 use std::collections::BTreeMap;
 
@@ -64,16 +64,16 @@
     }
 }
 
-/// Where a connection stands, as its client sees it.
+/// State of a client connection, as the client sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
     Waiting,
     Streaming,
     Answered,
-    Left,
+    Disconnected,
 }
 
-/// An attempt as the model follows it.
+/// An attempt in flight.
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     server: ServerId,
@@ -87,18 +87,18 @@
     not_after: Micros,
     /// Attempts in flight, by their numbers.
     in_flight: BTreeMap<u32, Attempt>,
-    /// A writer's attempt may have run.
+    /// Whether an attempt at a writer may have run.
     may_have_executed: bool,
-    /// Readers that may hold a state.
+    /// Readers that may hold state of the request.
     holders: Vec<ServerId>,
     evicted: bool,
 }
 
-struct World {
+struct Model {
     core: Core,
     now: Micros,
     connections: BTreeMap<RequestId, Connection>,
-    /// Servers that the list has not as ready.
+    /// For each server, whether the list shows it as not ready.
     unavailable: BTreeMap<ServerId, bool>,
 }
 
@@ -106,8 +106,8 @@
     server.0.is_multiple_of(2)
 }
 
-impl World {
-    /// Feeds an input to the reducer, and what follows at once from its effects.
+impl Model {
+    /// Feeds an input to the reducer, then the inputs that follow at once from its effects.
     fn feed(&mut self, input: Input) {
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
@@ -120,43 +120,47 @@
         }
     }
 
-    /// Holds an effect against the model; a stop is carried out at once.
+    /// Checks an effect against the model. Returns the input that answers it, if one follows at once: a cancelled
+    /// attempt stops at once.
     fn check(&mut self, effect: Effect) -> Option<Input> {
         match effect {
             Effect::Send { id, attempt, server, reads: reading, attempt_deadline, begin_by, .. } => {
                 let connection = self.connections.get_mut(&id).expect("a known request");
-                assert_eq!(connection.state, State::Waiting, "sent after the answer");
-                assert!(connection.in_flight.is_empty(), "a second copy");
-                assert!(!(connection.at_most_once && connection.may_have_executed), "a second effect");
+                assert_eq!(connection.state, State::Waiting, "sent after the final answer");
+                assert!(connection.in_flight.is_empty(), "sent while another attempt is in flight");
+                assert!(
+                    !(connection.at_most_once && connection.may_have_executed),
+                    "an at-most-once request was sent after an attempt that may have run"
+                );
                 assert!(
                     attempt_deadline <= connection.not_after
                         && self.now < begin_by
                         && begin_by <= attempt_deadline
                 );
                 assert_eq!(reading, is_reader(server));
-                assert!(!self.unavailable[&server], "sent to a server that the list has not as ready");
+                assert!(!self.unavailable[&server], "sent to a server that is not ready in the list");
                 connection.in_flight.insert(attempt, Attempt { server, is_streaming: false });
             }
             Effect::CancelAttempt { id, attempt } => {
                 let written = !self.now.is_multiple_of(3);
                 let connection = self.connections.get_mut(&id).expect("a known request");
-                // One that has just been withdrawn.
+                // The attempt is missing if it has just been withdrawn as unwritten.
                 let &Attempt { is_streaming, .. } = connection.in_flight.get(&attempt)?;
                 assert!(
                     !is_streaming || connection.state != State::Streaming,
-                    "a client's stream was stopped"
+                    "a stream that is relayed to a client was cancelled"
                 );
                 return Some(Input::AttemptStopped { id, attempt, written });
             }
-            // By chance nothing has been written yet.
+            // The time decides whether nothing has been written yet.
             Effect::CancelUnwritten { id, attempt } => {
                 let connection = &self.connections[&id];
                 let Some(&Attempt { server, is_streaming: false }) = connection.in_flight.get(&attempt)
                 else {
                     return None;
                 };
-                let wanted = connection.state == State::Left || self.unavailable[&server];
-                assert!(wanted, "withdrawn though its client waits and its server takes work");
+                let is_justified = connection.state == State::Disconnected || self.unavailable[&server];
+                assert!(is_justified, "withdrawn though its client waits and its server is ready");
                 if self.now.is_multiple_of(2) {
                     return None;
                 }
@@ -172,28 +176,31 @@
                 let connection = &self.connections[&id];
                 assert!(
                     !(connection.at_most_once && connection.may_have_executed),
-                    "refused though it may have run"
+                    "rejected though it may have run"
                 );
                 self.answer(id, State::Answered);
             }
             Effect::Fail { id, .. } => self.answer(id, State::Answered),
             Effect::ReleaseHeldState { id, number, holders, .. } => {
                 let connection = self.connections.get_mut(&id).expect("known");
-                assert_eq!(holders, connection.holders, "every holder is asked, and no other");
+                assert_eq!(holders, connection.holders, "the release names exactly the holders");
                 let reads = connection.in_flight.values().any(|attempt| is_reader(attempt.server));
-                assert!(!reads, "a release would let go of what the read leaves that is in flight");
-                // Until the request has ended, an attempt may have kept it.
+                assert!(!reads, "a release would release the state of the read in flight");
+                // Until the request is completed, an attempt may have kept the state.
                 if connection.state != State::Waiting && connection.in_flight.is_empty() {
                     connection.holders.clear();
                 }
-                // By chance it is answered at once, or that is not known yet.
+                // The time decides whether the release is answered at once or its answer is still outstanding.
                 let answered = [Some(true), None][self.now as usize / 1_000 % 2];
                 return answered.map(|answered| Input::ReleaseFinished { id, number, answered });
             }
-            Effect::PublishGossip(_) => panic!("the settings bar it"),
+            Effect::PublishGossip(_) => panic!("the settings disable load gossip"),
             Effect::Evict { id, may_have_run } => {
                 let connection = self.connections.get_mut(&id).expect("known");
-                assert_eq!(may_have_run, connection.may_have_executed, "what is told of it to who asked");
+                assert_eq!(
+                    may_have_run, connection.may_have_executed,
+                    "the eviction reports whether an attempt may have run"
+                );
                 assert!(
                     !connection.evicted && connection.in_flight.is_empty() && connection.holders.is_empty()
                 );
@@ -211,7 +218,7 @@
         connection.state = state;
     }
 
-    /// An attempt that is in flight has stopped.
+    /// Records the stop of an attempt, if it is still in flight.
     fn record_stop(&mut self, id: RequestId, attempt: u32, written: bool) {
         let connection = self.connections.get(&id);
         let Some(&Attempt { server, .. }) = connection.and_then(|one| one.in_flight.get(&attempt)) else {
@@ -245,21 +252,21 @@
         self.now = end;
     }
 
-    fn step(&mut self, (what, first, second): (u8, u32, u32)) {
+    fn step(&mut self, (action, random, other_random): (u8, u32, u32)) {
         let mut in_flight = Vec::new();
         for (&id, connection) in &self.connections {
             in_flight.extend(connection.in_flight.iter().map(|(&at, &attempt)| (id, at, attempt)));
         }
-        let any = in_flight.get(first as usize % in_flight.len().max(1)).copied();
-        match (what, any) {
-            (0..=3, _) => self.submit(first, second),
+        let any = in_flight.get(random as usize % in_flight.len().max(1)).copied();
+        match (action, any) {
+            (0..=3, _) => self.submit(random, other_random),
             (4..=7, Some((id, attempt, Attempt { server, is_streaming }))) => {
-                let ending = [Outcome::Error, Outcome::Full, Outcome::Reset, Outcome::ConnectFailed];
-                let outcome = match (is_reader(server), second % 8) {
+                let failures = [Outcome::Error, Outcome::Full, Outcome::Reset, Outcome::ConnectFailed];
+                let outcome = match (is_reader(server), other_random % 8) {
                     (true, 0..=4) => Outcome::Read,
                     (false, 0..=1) if is_streaming => Outcome::Served,
                     (false, 5) if !is_streaming => Outcome::NoState,
-                    _ => ending[second as usize % if is_streaming { 1 } else { 4 }],
+                    _ => failures[other_random as usize % if is_streaming { 1 } else { 4 }],
                 };
                 self.record_end(id, attempt, server, outcome);
                 self.feed(Input::AttemptFinished {
@@ -274,7 +281,7 @@
                 self.feed(Input::StreamStarted { id, attempt });
             }
             (11, _) => {
-                let Some(&id) = self.connections.keys().nth(first as usize % self.connections.len().max(1))
+                let Some(&id) = self.connections.keys().nth(random as usize % self.connections.len().max(1))
                 else {
                     return;
                 };
@@ -282,35 +289,35 @@
                 if connection.state == State::Streaming {
                     connection.in_flight.clear(); // dropped with the client's connection
                 }
-                connection.state = State::Left;
+                connection.state = State::Disconnected;
                 self.feed(Input::ClientDisconnected(id));
             }
             (12, _) => {
-                let health =
-                    [Health::Ready, Health::Ready, Health::Terminating, Health::Gone][second as usize % 4];
-                let server = ServerId(first % 6);
+                let health = [Health::Ready, Health::Ready, Health::Terminating, Health::Gone]
+                    [other_random as usize % 4];
+                let server = ServerId(random % 6);
                 self.unavailable.insert(server, health != Health::Ready);
                 self.feed(Input::EndpointsUpdated {
                     how: ListUpdateKind::Patch,
                     entries: vec![entry(server.0, health)],
                 });
             }
-            // What comes twice, or for what is no more, changes nothing.
+            // Repeated inputs, and inputs for attempts that no longer exist, change nothing.
             (13, _) => {
-                let id = RequestId(u64::from(first % 40));
-                let attempt = 7 + second % 3;
+                let id = RequestId(u64::from(random % 40));
+                let attempt = 7 + other_random % 3;
                 self.feed(Input::StreamStarted { id, attempt });
                 self.feed(Input::AttemptFinished { id, attempt, result: Outcome::Served.into() });
                 self.feed(Input::AttemptStopped { id, attempt, written: true });
             }
-            _ => self.advance(u64::from(first % 300) * 1_000),
+            _ => self.advance(u64::from(random % 300) * 1_000),
         }
     }
 
-    fn submit(&mut self, first: u32, second: u32) {
+    fn submit(&mut self, random: u32, other_random: u32) {
         let id = RequestId(self.connections.len() as u64 + 1);
         let (at_most_once, not_after) =
-            (second % 2 == 1, self.now + 1_000 + u64::from(first % 3_000) * 1_000);
+            (other_random % 2 == 1, self.now + 1_000 + u64::from(random % 3_000) * 1_000);
         let connection = Connection {
             state: State::Waiting,
             at_most_once,
@@ -323,11 +330,11 @@
         self.connections.insert(id, connection);
         self.feed(Input::RequestArrived(RequestInfo {
             id,
-            class: second % 2,
-            session: Some(Key(u64::from(first % 5))),
+            class: other_random % 2,
+            session: Some(Key(u64::from(random % 5))),
             shared: None,
             shared_tokens: 0,
-            prompt_tokens: u64::from(first % 4_000),
+            prompt_tokens: u64::from(random % 4_000),
             max_tokens: 100,
             hint: None,
             not_after,
@@ -344,39 +351,40 @@
     })]
 
     #[test]
-    fn whatever_happens_every_connection_moves_as_its_model(
+    fn every_connection_follows_its_model_in_any_order_of_events(
         steps in prop::collection::vec((0u8..18, any::<u32>(), any::<u32>()), 1..150),
     ) {
         let core = Core::new(settings(), 7, SECOND, 24);
-        let mut world = World { core, now: SECOND, connections: BTreeMap::new(), unavailable: BTreeMap::new() };
-        world.unavailable.extend((0..6).map(|id| (ServerId(id), false)));
+        let mut model = Model { core, now: SECOND, connections: BTreeMap::new(), unavailable: BTreeMap::new() };
+        model.unavailable.extend((0..6).map(|id| (ServerId(id), false)));
         let entries = (0..6).map(|id| entry(id, Health::Ready)).collect();
-        world.feed(Input::EndpointsUpdated { how: ListUpdateKind::StaleCopy, entries });
+        model.feed(Input::EndpointsUpdated { how: ListUpdateKind::StaleCopy, entries });
         for step in steps {
-            world.step(step);
+            model.step(step);
         }
-        // Streams that have begun have no deadline: their clients leave.
-        for id in world.connections.keys().copied().collect::<Vec<_>>() {
-            let connection = world.connections.get_mut(&id).expect("known");
+        // Streams that have started have no deadline, so their clients disconnect.
+        for id in model.connections.keys().copied().collect::<Vec<_>>() {
+            let connection = model.connections.get_mut(&id).expect("known");
             if connection.state == State::Streaming {
-                (connection.state, connection.in_flight) = (State::Left, BTreeMap::new());
-                world.feed(Input::ClientDisconnected(id));
+                (connection.state, connection.in_flight) = (State::Disconnected, BTreeMap::new());
+                model.feed(Input::ClientDisconnected(id));
             }
         }
-        world.advance(10 * SECOND);
-        prop_assert!(world.connections.values().all(|c| c.evicted), "something was never finished");
-        prop_assert_eq!(world.core.open(), 0);
+        model.advance(10 * SECOND);
+        prop_assert!(model.connections.values().all(|c| c.evicted), "a request was never evicted");
+        prop_assert_eq!(model.core.open(), 0);
     }
 }
 
-/// The reducer's side of the same failure: until an attempt is known to have stopped, nothing else happens.
+/// An attempt times out and is cancelled. Until the driver reports that it has stopped, the reducer sends nothing,
+/// because a second attempt could run beside the first.
 #[test]
-fn nothing_is_sent_while_an_attempt_is_being_stopped() {
+fn nothing_is_sent_until_a_cancelled_attempt_has_stopped() {
     let mut core = Core::new(settings(), 7, SECOND, 24);
     let entries = (0..6).map(|id| entry(id, Health::Ready)).collect();
     core.step(SECOND, Input::EndpointsUpdated { how: ListUpdateKind::StaleCopy, entries });
     let id = RequestId(1);
-    let call = RequestInfo {
+    let request_info = RequestInfo {
         id,
         class: 1,
         session: None,
@@ -387,13 +395,13 @@
         hint: None,
         not_after: 4 * SECOND,
     };
-    let sent = core.step(SECOND, Input::RequestArrived(call));
+    let sent = core.step(SECOND, Input::RequestArrived(request_info));
     assert!(matches!(sent[..], [Effect::Send { attempt: 0, .. }]));
     let stopped = core.step(3 * SECOND, Input::Tick);
     assert_eq!(stopped, [Effect::CancelAttempt { id, attempt: 0 }]);
     assert_eq!(core.step(3 * SECOND + 1, Input::Tick), []);
     let next = core.step(3 * SECOND + 2, Input::AttemptStopped { id, attempt: 0, written: true });
-    // What the read that was given up may have left is let go of before the next one.
+    // State that the abandoned read may have left is released before the next read.
     assert!(
         matches!(next[..], [Effect::ReleaseHeldState { .. }, Effect::Send { attempt: 1, .. }]),
         "{next:?}"
