--- a/tests/crossings_handover.rs
+++ b/tests/crossings_handover.rs
@@ -1,70 +1,79 @@
-//! From a reader to a writer: what a read has left is taken or let go within the settings' time, whatever crosses, and
-//! nothing lets go of what another read has left since.
+//! Handover of held state from a reader to a writer. Whichever events cross (happen at nearly the same time, in
+//! either order), the state that a read left is taken by a writer or released within the maximum hold time of the
+//! settings, and a release never affects the state of a later read.
 
-mod servers_bed;
+mod scripted_servers;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use dewladder::edge::core::{AttemptResult, Core, Effect as Asks, Input};
+use dewladder::edge::core::{AttemptResult, Core, Effect as CoreEffect, Input};
 use dewladder::interface::*;
 use dewladder_test_peers::{body, chunk, event, plain, platform};
 use proptest::prelude::*;
+use scripted_servers::*;
 use serde_json::{json, Value};
-use servers_bed::*;
 use tokio::io::AsyncWriteExt as _;
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout, Instant};
 
-/// `domain.release_within_s`, the 300 ms that sockets have more, and the 50 ms that each time limit has.
-const HELD_AT_MOST: Duration = Duration::from_millis(850);
-const SOON: Duration = Duration::from_millis(150);
+/// Sum of `domain.release_within_s` (500 ms), the 300 ms that tests over sockets are allowed in addition, and the
+/// tolerance of 50 ms on each time limit.
+const MAX_OBSERVED_HOLD_TIME: Duration = Duration::from_millis(850);
+/// Time to wait for a message that must not be sent, or for a change to take effect.
+const SETTLE_TIME: Duration = Duration::from_millis(150);
 
-fn unchanged(_: &mut Value) {}
+/// Leaves the settings of [`TestBed::start`] as they are.
+fn default_settings(_: &mut Value) {}
 
-/// Attempts are given up late, so that a busy machine gives none up where that is not at stake.
-fn patient(told: &mut Value) {
-    for lane in told["settings"]["lanes"].as_array_mut().unwrap() {
-        lane["aim_s"] = json!(2.0);
+/// Sets a latency objective of 2 s for all classes, so that on a busy machine no attempt times out in tests about
+/// other things.
+fn long_attempt_timeouts(config_json: &mut Value) {
+    for class in config_json["settings"]["lanes"].as_array_mut().unwrap() {
+        class["aim_s"] = json!(2.0);
     }
 }
 
-fn slow_to_connect(told: &mut Value) {
-    patient(told);
-    told["settings"]["limits"]["connect_timeout_s"] = json!(2.0);
+/// Allows a connect to take 2 s, which is longer than state may be held.
+fn slow_connect(config_json: &mut Value) {
+    long_attempt_timeouts(config_json);
+    config_json["settings"]["limits"]["connect_timeout_s"] = json!(2.0);
 }
 
-async fn answer(asked: JoinHandle<String>) -> String {
-    timeout(Duration::from_secs(8), asked).await.expect("an answer").unwrap()
+/// Waits for the answer to a request; panics after 8 s.
+async fn answer(requested: JoinHandle<String>) -> String {
+    timeout(Duration::from_secs(8), requested).await.expect("an answer").unwrap()
 }
 
-/// A client that can leave.
-async fn client(bed: &Bed, id: &str, lane: &str) -> TcpStream {
+/// Sends a request on a connection that the test can drop, as a client that disconnects.
+async fn client(bed: &TestBed, id: &str, class: &str) -> TcpStream {
     let mut client = TcpStream::connect(bed.platform).await.unwrap();
-    client.write_all(platform(id, lane, "2.9").as_bytes()).await.unwrap();
+    client.write_all(platform(id, class, "2.9").as_bytes()).await.unwrap();
     client
 }
 
-/// Waits for a release that comes within the time that a state may be held, and says at which server. Requests that
-/// come before it are turned away.
-async fn released(bed: &mut Bed, id: &str, since: Instant) -> Asked {
+/// Waits for a release of this request and returns it; requests received before it are rejected. Panics if no
+/// release is received within the time that state may be held, counted from `since`.
+async fn wait_for_release(bed: &mut TestBed, id: &str, since: Instant) -> ReceivedMessage {
     loop {
-        let left = (since + HELD_AT_MOST).saturating_duration_since(Instant::now());
-        let Some(came) = bed.within(left).await else { panic!("{id} is held for over {HELD_AT_MOST:?}") };
-        if came.what == format!("DELETE {id}") {
-            return came;
+        let left = (since + MAX_OBSERVED_HOLD_TIME).saturating_duration_since(Instant::now());
+        let Some(received) = bed.next_within(left).await else {
+            panic!("state of {id} is held for over {MAX_OBSERVED_HOLD_TIME:?}")
+        };
+        if received.what == format!("DELETE {id}") {
+            return received;
         }
-        came.says(&turned_away(503)).await;
+        received.reply(&rejection(503)).await;
     }
 }
 
-// ---- How a read ends ----
+// ---- Ends of a read ----
 
-/// A reader answers as its connection breaks, in every way, and no writer takes what it has read: it is let go.
+/// The connection of a read breaks at different points of the answer, and no writer takes the state: it is released.
 #[tokio::test]
-async fn what_was_read_as_the_connection_broke_is_let_go() {
-    for (says, with_reset) in [
+async fn state_is_released_after_the_connection_of_the_read_broke() {
+    for (reply, with_reset) in [
         ("HTTP/1.1 202 X\r\nContent-Length: 20\r\n\r\n{\"ca", true),
         ("HTTP/1.1 202 X\r\nContent-Length: 20\r\n\r\n{\"ca", false),
         ("HTTP/1.1 202 X\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n{\"c", true),
@@ -74,229 +83,241 @@
         ("", true),
         ("", false),
     ] {
-        let mut bed = Bed::start(&[READER, WRITER], patient).await;
-        let mut asked = bed.asks("01", "book", "2.0");
+        let mut bed = TestBed::start(&[READER, WRITER], long_attempt_timeouts).await;
+        let mut requested = bed.start_request("01", "book", "2.0");
         let reading = bed.expect("POST 01").await;
-        reading.says(says).await;
-        sleep(Duration::from_millis(5)).await; // it comes before the break: a reset takes what is not read yet
-        reading.line.closes(with_reset).await;
-        let (mut held, mut let_go) = (Some(Instant::now()), false);
+        reading.reply(reply).await;
+        sleep(Duration::from_millis(5)).await; // lets the answer arrive first: a reset discards unread bytes
+        reading.connection.close(with_reset).await;
+        let (mut held, mut is_released) = (Some(Instant::now()), false);
         let answered = loop {
             tokio::select! {
-                answer = &mut asked => break answer.unwrap(),
-                came = bed.next() => match (came.what.as_str(), came.server) {
+                answer = &mut requested => break answer.unwrap(),
+                received = bed.next() => match (received.what.as_str(), received.server) {
                     ("POST 01", 0) => {
-                        came.says(&read()).await;
+                        received.reply(&read_answer()).await;
                         held = Some(Instant::now());
                     }
-                    ("POST 01", _) => came.says(&turned_away(503)).await,
+                    ("POST 01", _) => received.reply(&rejection(503)).await,
                     _ => {
-                        let_go |= held.is_some_and(|held| came.came > held);
-                        came.says(&plain(204, "", "")).await;
+                        is_released |= held.is_some_and(|held| received.received > held);
+                        received.reply(&plain(204, "", "")).await;
                     }
                 },
             }
         };
-        assert!(matches!(status(&answered), 502 | 503), "{says:?}: {answered}");
-        if !let_go {
-            released(&mut bed, "01", Instant::now()).await;
+        assert!(matches!(status(&answered), 502 | 503), "{reply:?}: {answered}");
+        if !is_released {
+            wait_for_release(&mut bed, "01", Instant::now()).await;
         }
     }
 }
 
-/// The client leaves as its read ends, in either order and however the read ends: no writer is asked later, and what
-/// may have been read is let go.
+/// The client disconnects as the read ends, in either order, with an answered or a broken read. No attempt is sent
+/// later than 100 ms after that, and the state that may be held is released.
 #[tokio::test]
-async fn what_is_read_as_the_client_leaves_is_let_go() {
-    for leaves_first in [true, false] {
-        for breaks in [true, false] {
-            let mut bed = Bed::start(&[READER, WRITER], patient).await;
+async fn state_is_released_if_the_client_disconnects_as_the_read_ends() {
+    for disconnects_first in [true, false] {
+        for is_reset in [true, false] {
+            let mut bed = TestBed::start(&[READER, WRITER], long_attempt_timeouts).await;
             let client = client(&bed, "01", "book").await;
             let reading = bed.expect("POST 01").await;
-            if leaves_first {
+            if disconnects_first {
                 drop(client);
-                if breaks {
-                    reading.line.closes(true).await;
+                if is_reset {
+                    reading.connection.close(true).await;
                 } else {
-                    reading.says(&read()).await;
+                    reading.reply(&read_answer()).await;
                 }
             } else {
-                if breaks {
-                    reading.line.closes(true).await;
+                if is_reset {
+                    reading.connection.close(true).await;
                 } else {
-                    reading.says(&read()).await;
+                    reading.reply(&read_answer()).await;
                 }
                 drop(client);
             }
             let left = Instant::now();
-            let mut let_go = false;
-            for came in bed.all_within(Duration::from_millis(500)).await {
-                let late = came.came.saturating_duration_since(left);
-                let posted = came.what.starts_with("POST");
+            let mut is_released = false;
+            for received in bed.all_within(Duration::from_millis(500)).await {
+                let late = received.received.saturating_duration_since(left);
+                let posted = received.what.starts_with("POST");
                 assert!(
                     !posted || late < Duration::from_millis(100),
-                    "{leaves_first} {breaks}: {came:?} {late:?}"
+                    "{disconnects_first} {is_reset}: {received:?} {late:?}"
                 );
-                let_go |= came.what == "DELETE 01";
+                is_released |= received.what == "DELETE 01";
             }
-            assert!(let_go, "{leaves_first} {breaks}: nothing was let go");
+            assert!(is_released, "{disconnects_first} {is_reset}: no release received");
         }
     }
 }
 
-/// A read that was given up may have ended well just then. Another reader reads anew; when the request fails, what
-/// either has left is let go.
+/// A read may complete just as it is abandoned. Another reader then reads the prompt; when the request fails, the
+/// state that either reader may hold is released.
 #[tokio::test]
-async fn what_a_given_up_read_may_have_left_is_let_go_at_the_end() {
-    let mut bed = Bed::start(&[READER, READER, WRITER], unchanged).await;
-    let asked = bed.asks("01", "book", "2.9");
+async fn state_of_an_abandoned_read_is_released_when_the_request_fails() {
+    let mut bed = TestBed::start(&[READER, READER, WRITER], default_settings).await;
+    let requested = bed.start_request("01", "book", "2.9");
     let first = bed.expect("POST 01").await;
-    // Silent for longer than its patience; then its answer crosses the closing.
-    first.line.ended().await;
-    first.says(&read()).await;
-    bed.expect("DELETE 01").await.says(&plain(204, "", "")).await;
+    // The reader does not answer until the attempt times out; its answer then crosses the close of the connection.
+    first.connection.ended().await;
+    first.reply(&read_answer()).await;
+    bed.expect("DELETE 01").await.reply(&plain(204, "", "")).await;
     let second = bed.expect("POST 01").await;
-    assert_ne!(second.server, first.server, "the other is asked");
-    second.says(&read()).await;
+    assert_ne!(second.server, first.server, "the retry uses the other reader");
+    second.reply(&read_answer()).await;
     let writing = bed.expect("POST 01").await;
-    writing.says(&plain(500, "", "no")).await;
+    writing.reply(&plain(500, "", "no")).await;
     let end = Instant::now();
-    assert_eq!(status(&answer(asked).await), 502);
-    let mut asked = BTreeSet::new();
-    while let Some(came) = bed.within((end + HELD_AT_MOST).saturating_duration_since(Instant::now())).await {
-        assert_eq!(came.what, "DELETE 01");
-        asked.insert(came.server);
-        came.says(&plain(204, "", "")).await;
-    }
-    assert!(!asked.is_empty(), "nobody was asked to let go");
+    assert_eq!(status(&answer(requested).await), 502);
+    let mut requested = BTreeSet::new();
+    while let Some(received) =
+        bed.next_within((end + MAX_OBSERVED_HOLD_TIME).saturating_duration_since(Instant::now())).await
+    {
+        assert_eq!(received.what, "DELETE 01");
+        requested.insert(received.server);
+        received.reply(&plain(204, "", "")).await;
+    }
+    assert!(!requested.is_empty(), "no server received a release");
 }
 
-/// A reader ends its read just before it sees that the attempt was given up, and after the release that follows has been
-/// handled elsewhere: what it left then is let go of by a second release. So it is with a writer, which keeps the state for
-/// an attempt until it sees its close. What has been answered needs one only.
+/// A server may notice the close of an abandoned attempt only after the release that follows, because the two use
+/// different connections. A reader may complete its read in between, and a writer keeps the state for an attempt
+/// until it notices the close. The release is therefore repeated; if the attempt was answered, one release is
+/// enough.
 #[tokio::test]
-async fn what_a_read_leaves_that_ends_between_its_close_and_its_release_is_let_go() {
-    for given_up in [Some(READER), Some(WRITER), None] {
-        let mut bed = Bed::start(&[READER, WRITER], patient).await;
+async fn a_final_release_is_repeated_after_an_attempt_was_abandoned() {
+    for abandoned_server in [Some(READER), Some(WRITER), None] {
+        let mut bed = TestBed::start(&[READER, WRITER], long_attempt_timeouts).await;
         let client = client(&bed, "01", "book").await;
         let reading = bed.expect("POST 01").await;
-        if given_up != Some(READER) {
-            reading.says(&read()).await;
-            let writing = bed.expect("POST 01").await; // the writer has it
-            if given_up.is_none() {
-                writing.says(&plain(500, "", "no")).await;
+        if abandoned_server != Some(READER) {
+            reading.reply(&read_answer()).await;
+            let writing = bed.expect("POST 01").await; // the writer has received the attempt
+            if abandoned_server.is_none() {
+                writing.reply(&plain(500, "", "no")).await;
             }
         }
         drop(client);
-        let release = released(&mut bed, "01", Instant::now()).await;
-        release.says(&plain(204, "", "")).await;
-        let again = bed.within(HELD_AT_MOST).await.map(|came| came.what);
-        let expected = given_up.map(|_| "DELETE 01".to_owned());
-        assert_eq!(again, expected, "given up: {given_up:?}");
+        let release = wait_for_release(&mut bed, "01", Instant::now()).await;
+        release.reply(&plain(204, "", "")).await;
+        let again = bed.next_within(MAX_OBSERVED_HOLD_TIME).await.map(|received| received.what);
+        let expected = abandoned_server.map(|_| "DELETE 01".to_owned());
+        assert_eq!(again, expected, "abandoned at: {abandoned_server:?}");
     }
 }
 
-// ---- A writer that does not take it ----
+// ---- Writers that do not take the state ----
 
-/// No connection to the only writer comes up: what was read is let go in time, counted from the read's end.
+/// No connection to the only writer can be established: the state is released in time, counted from the end of the
+/// read.
 #[tokio::test]
-async fn what_no_writer_can_be_reached_for_is_let_go_in_time() {
-    for lane in ["ask", "book"] {
-        let mut bed = Bed::start(&[READER, WRITER], patient).await;
-        bed.shuts(1).await;
-        let _asked = bed.asks("01", lane, "2.9");
+async fn state_is_released_in_time_if_no_writer_can_be_connected_to() {
+    for class in ["ask", "book"] {
+        let mut bed = TestBed::start(&[READER, WRITER], long_attempt_timeouts).await;
+        bed.block_connections(1).await;
+        let _requested = bed.start_request("01", class, "2.9");
         let reading = bed.expect("POST 01").await;
-        reading.says(&read()).await;
-        released(&mut bed, "01", Instant::now()).await;
+        reading.reply(&read_answer()).await;
+        wait_for_release(&mut bed, "01", Instant::now()).await;
     }
 }
 
-/// The same where the settings let a connect take longer than a state may be held: while connections fail to come up,
-/// that time goes on running.
+/// As the test above, with settings that let a connect take longer than state may be held: the hold time continues
+/// while connects are pending.
 #[tokio::test]
-async fn what_waits_for_a_slow_connect_is_let_go_in_time() {
-    let mut bed = Bed::start(&[READER, WRITER], slow_to_connect).await;
-    bed.shuts(1).await;
-    let _asked = bed.asks("01", "book", "2.9");
+async fn state_is_released_in_time_during_a_slow_connect() {
+    let mut bed = TestBed::start(&[READER, WRITER], slow_connect).await;
+    bed.block_connections(1).await;
+    let _requested = bed.start_request("01", "book", "2.9");
     let reading = bed.expect("POST 01").await;
-    reading.says(&read()).await;
-    released(&mut bed, "01", Instant::now()).await;
+    reading.reply(&read_answer()).await;
+    wait_for_release(&mut bed, "01", Instant::now()).await;
 }
 
-/// A writer is cut off with its connection up: the request's last byte never reaches it (here: its machine takes no
-/// more than the first part of a long one). A call counts only once its last byte has come, so the time goes on.
+/// A writer is cut off after it accepted the connection, so that the last byte of the request never reaches it
+/// (here its machine takes only the first part of a long request). An attempt counts only once its last byte is
+/// received, so the hold time continues.
 #[tokio::test]
-async fn what_is_sent_into_a_silent_connection_is_let_go_in_time() {
-    let mut bed = Bed::start(&[READER, WRITER], patient).await;
-    bed.takes_little(1);
+async fn state_is_released_in_time_if_the_writer_does_not_take_the_whole_request() {
+    let mut bed = TestBed::start(&[READER, WRITER], long_attempt_timeouts).await;
+    bed.stop_reading(1);
     let filler = "a".repeat(250_000);
     let text = platform("01", "book", "2.9")
         .replace("Content-Length: 15", &format!("Content-Length: {}", 15 + filler.len() + 7))
         .replace("{\"stream\":true}", &format!("{{\"stream\":true,\"m\":\"{filler}\"}}"));
     let to = bed.platform;
-    let _asked = tokio::spawn(async move { dewladder_test_peers::until_close(to, &text).await });
+    let _requested = tokio::spawn(async move { dewladder_test_peers::until_close(to, &text).await });
     let reading = bed.expect("POST 01").await;
-    reading.says(&read()).await;
-    released(&mut bed, "01", Instant::now()).await;
+    reading.reply(&read_answer()).await;
+    wait_for_release(&mut bed, "01", Instant::now()).await;
 }
 
-/// A writer's machine is cut off while a connection to it is open: the connection stays silent with no error, though the
-/// system has taken all bytes and acknowledged them, and a new one does not come up. What was sent has not arrived.
+/// The machine of a writer is cut off while a connection to it is open. The connection becomes unresponsive
+/// without an error, although the operating system took and acknowledged all bytes, and no new one can be
+/// established. An attempt sent over the open connection has not reached the server process.
 #[tokio::test]
-async fn what_is_sent_over_an_open_connection_to_a_machine_that_is_cut_off_is_let_go_in_time() {
-    for lane in ["ask", "book"] {
-        let mut bed = Bed::start(&[READER, WRITER], patient).await;
-        let first = bed.asks("01", lane, "2.9");
-        bed.expect("POST 01").await.says(&read()).await;
-        bed.expect("POST 01").await.says(&stream(1)).await;
+async fn state_is_released_in_time_if_the_machine_of_the_writer_is_cut_off() {
+    for class in ["ask", "book"] {
+        let mut bed = TestBed::start(&[READER, WRITER], long_attempt_timeouts).await;
+        let first = bed.start_request("01", class, "2.9");
+        bed.expect("POST 01").await.reply(&read_answer()).await;
+        bed.expect("POST 01").await.reply(&stream(1)).await;
         assert_eq!(status(&answer(first).await), 200);
-        sleep(SOON).await; // its connections can be used again
-        bed.shuts(1).await;
-        let _asked = bed.asks("02", lane, "2.9");
+        sleep(SETTLE_TIME).await; // by then its connections can be reused
+        bed.block_connections(1).await;
+        let _requested = bed.start_request("02", class, "2.9");
         let reading = bed.expect("POST 02").await;
-        reading.says(&read()).await;
+        reading.reply(&read_answer()).await;
         let since = Instant::now();
         loop {
-            let left = (since + HELD_AT_MOST).saturating_duration_since(Instant::now());
-            let Some(came) = bed.within(left).await else { panic!("{lane}: held for over {HELD_AT_MOST:?}") };
-            if came.what == "DELETE 02" {
+            let left = (since + MAX_OBSERVED_HOLD_TIME).saturating_duration_since(Instant::now());
+            let Some(received) = bed.next_within(left).await else {
+                panic!("{class}: held for over {MAX_OBSERVED_HOLD_TIME:?}")
+            };
+            if received.what == "DELETE 02" {
                 break;
             }
             assert_eq!(
-                came.server, 1,
-                "{lane}: sent to the writer over the open connection, and never answered"
+                received.server, 1,
+                "{class}: only the writer, over the open connection, may receive anything else"
             );
         }
     }
 }
 
-/// Open connections fall silent with no error, and new ones come up: what is held reaches a server, or is let go, in time.
+/// Open connections become unresponsive without an error, while new ones work. An attempt that takes the held
+/// state, or a release, is received by a server in time.
 #[tokio::test]
-async fn what_is_held_does_not_wait_for_an_open_connection_that_has_fallen_silent() {
-    for lane in ["ask", "book"] {
-        let mut bed = Bed::start(&[READER, WRITER], patient).await;
-        let first = bed.asks("01", lane, "2.9");
-        bed.expect("POST 01").await.says(&read()).await;
-        bed.expect("POST 01").await.says(&stream(1)).await;
+async fn held_state_does_not_wait_for_an_unresponsive_open_connection() {
+    for class in ["ask", "book"] {
+        let mut bed = TestBed::start(&[READER, WRITER], long_attempt_timeouts).await;
+        let first = bed.start_request("01", class, "2.9");
+        bed.expect("POST 01").await.reply(&read_answer()).await;
+        bed.expect("POST 01").await.reply(&stream(1)).await;
         assert_eq!(status(&answer(first).await), 200);
-        sleep(SOON).await; // its connections can be used again
-        bed.silences(1);
-        let _asked = bed.asks("02", lane, "2.9");
-        bed.expect("POST 02").await.says(&read()).await;
-        let came = bed.within(HELD_AT_MOST).await;
-        assert!(came.is_some(), "{lane}: neither sent nor let go of in {HELD_AT_MOST:?}");
+        sleep(SETTLE_TIME).await; // by then its connections can be reused
+        bed.ignore_open_connections(1);
+        let _requested = bed.start_request("02", class, "2.9");
+        bed.expect("POST 02").await.reply(&read_answer()).await;
+        let received = bed.next_within(MAX_OBSERVED_HOLD_TIME).await;
+        assert!(
+            received.is_some(),
+            "{class}: no attempt and no release received in {MAX_OBSERVED_HOLD_TIME:?}"
+        );
     }
 }
 
-/// Sends that no machine acknowledges have not reached a server: the time that a state may be held goes on from the
-/// read's end, however many writers are tried, and what was read is let go when it is over.
+/// Attempts that no machine acknowledges count as not received. The hold time continues from the end of the read,
+/// however many writers are tried, and the state is released once it has passed.
 #[test]
-fn the_time_of_what_is_held_goes_on_while_nothing_is_acknowledged() {
+fn unacknowledged_sends_do_not_extend_the_hold_time() {
     let mut core = Core::new(settings([Effect::Idempotent; 3]), 3, SECOND, 24);
     let entries = (0..SERVERS).map(|server| entry(server, Health::Ready)).collect();
     let mut now = SECOND;
     core.step(now, Input::EndpointsUpdated { how: ListUpdateKind::Full, entries });
-    let call = RequestInfo {
+    let request_info = RequestInfo {
         id: ID,
         class: 0,
         session: Some(Key(1)),
@@ -307,30 +328,30 @@
         hint: None,
         not_after: now + 4 * SECOND,
     };
-    let mut effects = core.step(now, Input::RequestArrived(call));
+    let mut effects = core.step(now, Input::RequestArrived(request_info));
     let (mut read_at, mut unacknowledged) = (None, 0);
     while now < 4 * SECOND {
         let mut next = Vec::new();
         for effect in std::mem::take(&mut effects) {
             match effect {
-                Asks::Send { id, attempt, reads: true, .. } => {
+                CoreEffect::Send { id, attempt, reads: true, .. } => {
                     now += 10_000;
                     read_at = Some(now);
                     next.extend(
                         core.step(now, Input::AttemptFinished { id, attempt, result: Outcome::Read.into() }),
                     );
                 }
-                Asks::Send { id, attempt, begin_by, .. } => {
-                    assert!(begin_by <= read_at.expect("a read") + RELEASE, "at {now}: {begin_by}");
+                CoreEffect::Send { id, attempt, begin_by, .. } => {
+                    assert!(begin_by <= read_at.expect("a read") + MAX_HOLD_TIME, "at {now}: {begin_by}");
                     now += 120_000;
                     unacknowledged += 1;
                     let ending = Outcome::Unacknowledged.into();
                     next.extend(core.step(now, Input::AttemptFinished { id, attempt, result: ending }));
                 }
-                Asks::ReleaseHeldState { .. } => {
+                CoreEffect::ReleaseHeldState { .. } => {
                     let held = now - read_at.expect("a read");
-                    assert!(unacknowledged > 1, "one writer was tried");
-                    assert!(held <= RELEASE + 130_000, "held for {held} us");
+                    assert!(unacknowledged > 1, "only one writer was tried");
+                    assert!(held <= MAX_HOLD_TIME + 130_000, "held for {held} us");
                     return;
                 }
                 _ => {}
@@ -342,233 +363,239 @@
         }
         effects = next;
     }
-    panic!("never let go");
+    panic!("the state was never released");
 }
 
-/// The only writer begins to drain between the read's end and the send, or while the read is out: nothing new is sent
-/// to it then, and what was read is let go in time.
+/// The only writer starts draining while the read is in flight. Nothing new is sent to it, and the state is
+/// released in time.
 #[tokio::test]
-async fn what_a_draining_writer_can_not_take_is_let_go_in_time() {
-    let mut bed = Bed::start(&[READER, WRITER], patient).await;
-    let asked = bed.asks("01", "book", "2.9");
+async fn state_is_released_in_time_if_the_only_writer_is_draining() {
+    let mut bed = TestBed::start(&[READER, WRITER], long_attempt_timeouts).await;
+    let requested = bed.start_request("01", "book", "2.9");
     let reading = bed.expect("POST 01").await;
-    bed.drains(&[1]);
-    sleep(Duration::from_millis(100)).await; // the agent has told it
-    reading.says(&read()).await;
-    let came = released(&mut bed, "01", Instant::now()).await;
-    came.says(&plain(204, "", "")).await;
-    assert_eq!(status(&answer(asked).await), 503, "it never ran");
-    assert!(bed.lines_of(1).is_empty() || came.server == 1, "nothing was sent to the one that drains");
+    bed.set_draining(&[1]);
+    sleep(Duration::from_millis(100)).await; // by then the dispatcher has received the new list
+    reading.reply(&read_answer()).await;
+    let received = wait_for_release(&mut bed, "01", Instant::now()).await;
+    received.reply(&plain(204, "", "")).await;
+    assert_eq!(status(&answer(requested).await), 503, "it never ran");
+    assert!(
+        bed.connections_of(1).is_empty() || received.server == 1,
+        "nothing is sent to the draining writer"
+    );
 }
 
-/// Both at once: the writer drains as the read ends, with nothing between. Whatever is sent, it is sent once.
+/// A writer starts draining just as the read ends, in either order. The request is sent to a writer only once.
 #[tokio::test]
-async fn a_drain_that_crosses_the_reads_end_leaves_nothing_held() {
+async fn a_drain_that_crosses_the_end_of_the_read_leaves_no_state_held() {
     for drain_first in [true, false] {
-        let mut bed = Bed::start(&[READER, WRITER, WRITER], patient).await;
-        let asked = bed.asks("01", "book", "2.9");
+        let mut bed = TestBed::start(&[READER, WRITER, WRITER], long_attempt_timeouts).await;
+        let requested = bed.start_request("01", "book", "2.9");
         let reading = bed.expect("POST 01").await;
         if drain_first {
-            bed.drains(&[1]);
-            reading.says(&read()).await;
+            bed.set_draining(&[1]);
+            reading.reply(&read_answer()).await;
         } else {
-            reading.says(&read()).await;
-            bed.drains(&[1]);
+            reading.reply(&read_answer()).await;
+            bed.set_draining(&[1]);
         }
         let writing = bed.expect("POST 01").await;
-        writing.says(&stream(1)).await;
-        assert_eq!(status(&answer(asked).await), 200);
-        let later = bed.all_within(SOON).await;
-        assert!(later.iter().all(|came| came.what.starts_with("DELETE")), "{later:?}");
+        writing.reply(&stream(1)).await;
+        assert_eq!(status(&answer(requested).await), 200);
+        let later = bed.all_within(SETTLE_TIME).await;
+        assert!(later.iter().all(|received| received.what.starts_with("DELETE")), "{later:?}");
     }
 }
 
-/// A writer that is drained, has no state, then none is reachable: each time what is held is let go in time, also where
-/// the first says 410 and the second can't be connected to.
+/// The only writer answers that it found no state (410), and after the prompt was read again no connection to it
+/// can be established. The state of the second read is released in time.
 #[tokio::test]
-async fn no_state_then_no_connection_leaves_nothing_held() {
-    let many = |told: &mut Value| {
-        patient(told);
-        told["settings"]["limits"]["max_attempts"] = json!(20);
+async fn a_no_state_answer_followed_by_a_failed_connect_leaves_no_state_held() {
+    let many_attempts = |config_json: &mut Value| {
+        long_attempt_timeouts(config_json);
+        config_json["settings"]["limits"]["max_attempts"] = json!(20);
     };
-    let mut bed = Bed::start(&[READER, WRITER], many).await;
-    let _asked = bed.asks("01", "book", "2.9");
-    bed.expect("POST 01").await.says(&read()).await;
+    let mut bed = TestBed::start(&[READER, WRITER], many_attempts).await;
+    let _requested = bed.start_request("01", "book", "2.9");
+    bed.expect("POST 01").await.reply(&read_answer()).await;
     let writing = bed.expect("POST 01").await;
-    writing.says(&turned_away(410)).await;
-    writing.line.closes(false).await;
-    bed.shuts(1).await;
-    let second = bed.post().await;
-    assert_eq!((second.server, second.what.as_str()), (0, "POST 01"), "read anew");
-    // The release of what the first read left is over before the second has ended.
-    for came in bed.all_within(SOON).await {
-        came.says(&plain(204, "", "")).await;
-    }
-    for came in bed.all_within(SOON).await {
-        came.says(&plain(204, "", "")).await;
-    }
-    second.says(&read()).await;
-    released(&mut bed, "01", Instant::now()).await;
+    writing.reply(&rejection(410)).await;
+    writing.connection.close(false).await;
+    bed.block_connections(1).await;
+    let second = bed.next_post().await;
+    assert_eq!((second.server, second.what.as_str()), (0, "POST 01"), "the prompt is read again");
+    // Answers the releases of the first read's state before the second read ends.
+    for received in bed.all_within(SETTLE_TIME).await {
+        received.reply(&plain(204, "", "")).await;
+    }
+    for received in bed.all_within(SETTLE_TIME).await {
+        received.reply(&plain(204, "", "")).await;
+    }
+    second.reply(&read_answer()).await;
+    wait_for_release(&mut bed, "01", Instant::now()).await;
 }
 
 // ---- Releases ----
 
-/// What was read is to be let go, and the holder's answer to that fails in every way: another server is asked in time.
+/// A release fails at the holder of the state in different ways. It is then sent to another server in time.
 #[tokio::test]
-async fn a_release_that_fails_at_the_holder_is_asked_of_another_server() {
+async fn a_release_that_fails_at_the_holder_is_sent_to_another_server() {
     #[derive(Clone, Copy, Debug, PartialEq)]
-    enum Fails {
-        Resets,
-        Ends,
-        IsSilent,
-        Refuses(u16),
-        IsDead,
-    }
-    let mut wrong = Vec::new();
+    enum ReleaseFailure {
+        Reset,
+        Close,
+        NoAnswer,
+        Status(u16),
+        Killed,
+    }
+    let mut failures = Vec::new();
     for how in [
-        Fails::Resets,
-        Fails::Ends,
-        Fails::IsSilent,
-        Fails::IsDead,
-        Fails::Refuses(503),
-        Fails::Refuses(500),
-        Fails::Refuses(404),
+        ReleaseFailure::Reset,
+        ReleaseFailure::Close,
+        ReleaseFailure::NoAnswer,
+        ReleaseFailure::Killed,
+        ReleaseFailure::Status(503),
+        ReleaseFailure::Status(500),
+        ReleaseFailure::Status(404),
     ] {
-        let mut bed = Bed::start(&[READER, WRITER, WRITER], patient).await;
-        let asked = bed.asks("01", "book", "2.9");
-        bed.expect("POST 01").await.says(&read()).await;
+        let mut bed = TestBed::start(&[READER, WRITER, WRITER], long_attempt_timeouts).await;
+        let requested = bed.start_request("01", "book", "2.9");
+        bed.expect("POST 01").await.reply(&read_answer()).await;
         let writing = bed.expect("POST 01").await;
-        if how == Fails::IsDead {
-            bed.dies(0).await;
+        if how == ReleaseFailure::Killed {
+            bed.kill(0).await;
         }
-        writing.says(&plain(500, "", "no")).await;
+        writing.reply(&plain(500, "", "no")).await;
         let end = Instant::now();
-        assert_eq!(status(&answer(asked).await), 502);
+        assert_eq!(status(&answer(requested).await), 502);
         let mut at = None;
-        while let Some(came) =
-            bed.within((end + HELD_AT_MOST).saturating_duration_since(Instant::now())).await
+        while let Some(received) =
+            bed.next_within((end + MAX_OBSERVED_HOLD_TIME).saturating_duration_since(Instant::now())).await
         {
-            assert_eq!(came.what, "DELETE 01");
-            if came.server != 0 {
-                at = Some(came.server);
-                came.says(&plain(204, "", "")).await;
+            assert_eq!(received.what, "DELETE 01");
+            if received.server != 0 {
+                at = Some(received.server);
+                received.reply(&plain(204, "", "")).await;
                 break;
             }
             match how {
-                Fails::Resets => came.line.closes(true).await,
-                Fails::Ends => came.line.closes(false).await,
-                Fails::Refuses(503) => came.says(&turned_away(503)).await,
-                Fails::Refuses(code) => came.says(&plain(code, "", "")).await,
-                Fails::IsSilent | Fails::IsDead => {}
+                ReleaseFailure::Reset => received.connection.close(true).await,
+                ReleaseFailure::Close => received.connection.close(false).await,
+                ReleaseFailure::Status(503) => received.reply(&rejection(503)).await,
+                ReleaseFailure::Status(code) => received.reply(&plain(code, "", "")).await,
+                ReleaseFailure::NoAnswer | ReleaseFailure::Killed => {}
             }
         }
-        wrong.extend(at.is_none().then_some(how));
+        failures.extend(at.is_none().then_some(how));
     }
-    assert!(wrong.is_empty(), "nobody else was asked where the holder {wrong:?}");
+    assert!(failures.is_empty(), "no other server received the release after {failures:?} at the holder");
 }
 
-/// Nobody answers a release for a while: it is asked again until one does.
+/// No server answers a release for a while. The release is retried until one does.
 #[tokio::test]
-async fn a_release_that_nobody_answers_is_asked_again() {
-    let mut bed = Bed::start(&[READER, WRITER], patient).await;
-    let asked = bed.asks("01", "book", "2.9");
-    bed.expect("POST 01").await.says(&read()).await;
-    bed.expect("POST 01").await.says(&plain(500, "", "no")).await;
-    assert_eq!(status(&answer(asked).await), 502);
+async fn a_release_that_no_server_answers_is_retried() {
+    let mut bed = TestBed::start(&[READER, WRITER], long_attempt_timeouts).await;
+    let requested = bed.start_request("01", "book", "2.9");
+    bed.expect("POST 01").await.reply(&read_answer()).await;
+    bed.expect("POST 01").await.reply(&plain(500, "", "no")).await;
+    assert_eq!(status(&answer(requested).await), 502);
     for _ in 0..8 {
         bed.expect("DELETE 01").await;
     }
-    bed.expect("DELETE 01").await.says(&plain(204, "", "")).await;
+    bed.expect("DELETE 01").await.reply(&plain(204, "", "")).await;
 }
 
-/// A writer has no state, and the reader that was to hold it is silent. The request is read anew; a release that is
-/// still being asked for must not let go of what the new read has left.
+/// A writer finds no state, and the reader that should hold it does not answer the release. The prompt is read
+/// again; a release that is still being retried must not release the state of the new read.
 #[tokio::test]
-async fn a_release_that_is_late_lets_go_of_no_newer_read() {
+async fn a_late_release_does_not_release_the_state_of_a_newer_read() {
     for readers in [&[READER, WRITER][..], &[READER, READER, WRITER]] {
-        let mut bed = Bed::start(readers, patient).await;
-        let asked = bed.asks("01", "book", "2.9");
-        bed.expect("POST 01").await.says(&read()).await;
-        bed.expect("POST 01").await.says(&turned_away(410)).await;
-        // The release comes before the new read, and is not answered, whoever is asked.
+        let mut bed = TestBed::start(readers, long_attempt_timeouts).await;
+        let requested = bed.start_request("01", "book", "2.9");
+        bed.expect("POST 01").await.reply(&read_answer()).await;
+        bed.expect("POST 01").await.reply(&rejection(410)).await;
+        // The release is sent before the new read; no server answers it.
         let mut second = bed.expect("DELETE 01").await;
         while second.what == "DELETE 01" {
             second = bed.next().await;
         }
         assert_eq!(second.what, "POST 01");
-        assert!(second.server + 1 < readers.len(), "it is read anew");
-        second.says(&read()).await;
-        let made = Instant::now();
+        assert!(second.server + 1 < readers.len(), "a reader reads the prompt again");
+        second.reply(&read_answer()).await;
+        let second_read_at = Instant::now();
         let mut late = Vec::new();
         let mut writing = None;
-        for came in bed.all_within(Duration::from_millis(400)).await {
-            match came.what.as_str() {
-                // Without the guard they go on for as long as this looks.
-                "DELETE 01" if came.came > made => {
-                    late.push((came.server, came.came - made));
+        for received in bed.all_within(Duration::from_millis(400)).await {
+            match received.what.as_str() {
+                // Without the guard, releases are retried during the whole 400 ms.
+                "DELETE 01" if received.received > second_read_at => {
+                    late.push((received.server, received.received - second_read_at));
                 }
                 "DELETE 01" => {}
-                _ => writing = Some(came),
+                _ => writing = Some(received),
             }
         }
-        writing.expect("it goes on to the writer").says(&stream(1)).await;
-        assert_eq!(status(&answer(asked).await), 200);
-        assert!(late.is_empty(), "{} servers: let go after the new read: {late:?}", readers.len());
+        writing.expect("the request is sent to the writer").reply(&stream(1)).await;
+        assert_eq!(status(&answer(requested).await), 200);
+        assert!(late.is_empty(), "{} servers: released after the new read: {late:?}", readers.len());
     }
 }
 
-/// The client leaves, or its time runs out, while the state waits for a connection to a writer: it is let go in time.
+/// The client disconnects, or its deadline passes, while the state waits for a connection to a writer. The state is
+/// released in time.
 #[tokio::test]
-async fn what_waits_as_the_request_ends_is_let_go_in_time() {
-    for leaves in [true, false] {
-        let mut bed = Bed::start(&[READER, WRITER], slow_to_connect).await;
-        bed.shuts(1).await;
-        let (client, remaining) = (client(&bed, "01", "book").await, bed.asks("02", "book", "0.3"));
+async fn state_that_waits_for_a_connect_is_released_in_time_when_the_request_ends() {
+    for disconnects in [true, false] {
+        let mut bed = TestBed::start(&[READER, WRITER], slow_connect).await;
+        bed.block_connections(1).await;
+        let (client, remaining) = (client(&bed, "01", "book").await, bed.start_request("02", "book", "0.3"));
         let mut ids = BTreeSet::new();
         for _ in 0..2 {
             let reading = bed.next().await;
             ids.insert(reading.what.clone());
-            reading.says(&read()).await;
+            reading.reply(&read_answer()).await;
         }
         assert_eq!(ids.len(), 2);
-        let id = if leaves { "01" } else { "02" };
-        if leaves {
-            sleep(Duration::from_millis(50)).await; // the connect is under way
+        let id = if disconnects { "01" } else { "02" };
+        if disconnects {
+            sleep(Duration::from_millis(50)).await; // by then the connect is pending
             drop(client);
-            released(&mut bed, id, Instant::now()).await;
+            wait_for_release(&mut bed, id, Instant::now()).await;
         } else {
             assert_ne!(status(&answer(remaining).await), 200);
-            released(&mut bed, id, Instant::now()).await;
+            wait_for_release(&mut bed, id, Instant::now()).await;
         }
     }
 }
 
-/// With the first event all that is held goes by itself: the stream goes on to its end, whatever a second reader has
-/// left, and nothing else is sent for the request.
+/// With the first event, servers release all state of the request themselves. The stream continues to its end, no
+/// further attempt is sent, and this holds even if two readers may hold state.
 #[tokio::test]
-async fn with_the_first_event_nothing_more_is_sent() {
-    let mut bed = Bed::start(&[READER, READER, WRITER], unchanged).await;
-    let asked = bed.asks("01", "book", "2.9");
+async fn nothing_more_is_sent_after_the_first_event() {
+    let mut bed = TestBed::start(&[READER, READER, WRITER], default_settings).await;
+    let requested = bed.start_request("01", "book", "2.9");
     let first = bed.expect("POST 01").await;
-    first.line.ended().await; // given up, and read at the other
-    bed.expect("DELETE 01").await.says(&plain(204, "", "")).await;
-    bed.expect("POST 01").await.says(&read()).await;
+    first.connection.ended().await; // the attempt timed out; the other reader reads next
+    bed.expect("DELETE 01").await.reply(&plain(204, "", "")).await;
+    bed.expect("POST 01").await.reply(&read_answer()).await;
     let writing = bed.expect("POST 01").await;
-    writing.says(&format!("{STREAM}{}", chunk(&event(1)))).await;
+    writing.reply(&format!("{STREAM_HEAD}{}", chunk(&event(1)))).await;
     let later = bed.all_within(Duration::from_millis(200)).await;
-    assert!(later.iter().all(|came| !came.what.starts_with("POST")), "{later:?}");
-    writing.says("0\r\n\r\n").await;
-    let answer = answer(asked).await;
+    assert!(later.iter().all(|received| !received.what.starts_with("POST")), "{later:?}");
+    writing.reply("0\r\n\r\n").await;
+    let answer = answer(requested).await;
     assert_eq!((status(&answer), body(&answer)), (200, (event(1), true)));
 }
 
-// ---- All orders, at the reducer ----
+// ---- All orders of events, at the reducer ----
 
 const SECOND: Micros = 1_000_000;
-const RELEASE: Micros = SECOND / 2;
-/// A stop is carried out within so much.
-const STOPS: Micros = 30_000;
+/// Longest time that state may be held (`max_hold_time` of the settings).
+const MAX_HOLD_TIME: Micros = SECOND / 2;
+/// Time within which the driver stops a cancelled attempt.
+const MAX_STOP_TIME: Micros = 30_000;
 
+/// Settings with three classes, which have these effects, and readers, writers and mixed servers.
 fn settings(effects: [Effect; 3]) -> Settings {
     let class = |(at, effect): (u32, Effect)| {
         let class = Class {
@@ -599,7 +626,7 @@
         gossip_price: 0.0,
         writers_can_read: false,
         max_retry_after: SECOND,
-        max_hold_time: RELEASE,
+        max_hold_time: MAX_HOLD_TIME,
         resolution: 2_000,
         slow_start_min_share: 0.3,
         slow_start_window: 10 * SECOND,
@@ -617,78 +644,81 @@
     ServerEntry { server: ServerId(server), zone, cell, weight: 1.0, started: None, health, kind: server % 3 }
 }
 
-/// An attempt that is out.
+/// An attempt in flight.
 #[derive(Debug)]
-struct Out {
+struct AttemptInFlight {
     number: u32,
     server: ServerId,
     sent: Micros,
-    /// When it was told to stop.
-    stopping: Option<Micros>,
-    begun: bool,
-    /// A server that runs has it; one that stands still has not, though its machine took all bytes.
+    /// Time at which the reducer cancelled it; `None` before that.
+    cancelled_at: Option<Micros>,
+    stream_started: bool,
+    /// Whether a running server process has received the attempt. A stalled process has not, although its machine
+    /// took all bytes.
     arrived: bool,
 }
 
-/// One request, as its client and its servers see it.
-struct Orders {
+/// Model of one request, as its client and its servers see it.
+struct RequestModel {
     core: Core,
     now: Micros,
     effect: Effect,
     not_after: Micros,
     ready: BTreeMap<ServerId, bool>,
-    out: Option<Out>,
-    /// The first attempt that may have run.
+    in_flight: Option<AttemptInFlight>,
+    /// Time at which the first attempt that may have run was sent.
     ran: Option<Micros>,
     held: BTreeSet<ServerId>,
-    /// All that was ever held, or may have been.
+    /// Servers that ever held state of the request, or may have.
     ever_held: BTreeSet<ServerId>,
-    /// Since when something is held with no attempt at a server that runs.
+    /// Time since which state is held while no running server has an attempt.
     held_since: Option<Micros>,
-    /// Releases that are not answered yet: when that is told, and their numbers.
+    /// Unanswered releases: the time at which the answer is reported, and the number.
     releases: Vec<(Micros, u64)>,
-    /// Draws whether attempts arrive, and when releases are answered.
-    draws: u64,
+    /// State of the random generator that decides which attempts arrive and when releases are answered.
+    random_state: u64,
     answers: u32,
-    gone: bool,
+    client_left: bool,
     streaming: bool,
-    forgotten: bool,
+    evicted: bool,
 }
 
 const ID: RequestId = RequestId(1);
 
-impl Orders {
+impl RequestModel {
     fn reads(server: ServerId) -> bool {
         server.0.is_multiple_of(3)
     }
 
-    fn draw(&mut self) -> u64 {
-        self.draws =
-            self.draws.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        self.draws >> 33
+    fn next_random(&mut self) -> u64 {
+        self.random_state =
+            self.random_state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        self.random_state >> 33
     }
 
-    /// Whether an attempt is with a server that runs.
+    /// Whether a running server has received the attempt in flight.
     fn is_with_server(&self) -> bool {
-        self.out.as_ref().is_some_and(|out| out.arrived)
+        self.in_flight.as_ref().is_some_and(|in_flight| in_flight.arrived)
     }
 
-    /// Whether a server that runs has an attempt that waits for what is held.
+    /// Whether a running server has received an attempt that waits for the held state.
     fn is_awaited(&self) -> bool {
-        self.out.as_ref().is_some_and(|out| out.arrived && !Self::reads(out.server))
+        self.in_flight.as_ref().is_some_and(|in_flight| in_flight.arrived && !Self::reads(in_flight.server))
     }
 
-    fn tell(&mut self, input: Input) {
+    /// Feeds an input to the reducer and checks its effects.
+    fn feed(&mut self, input: Input) {
         for effect in self.core.step(self.now, input) {
             self.check(effect);
         }
     }
 
-    fn check(&mut self, effect: Asks) {
+    /// Checks an effect against the model and applies it.
+    fn check(&mut self, effect: CoreEffect) {
         match effect {
-            Asks::Send { attempt, server, attempt_deadline, .. } => {
-                assert!(!self.gone && self.answers == 0, "sent after the end");
-                assert!(self.out.is_none(), "a second copy beside one that is out");
+            CoreEffect::Send { attempt, server, attempt_deadline, .. } => {
+                assert!(!self.client_left && self.answers == 0, "sent after the request was completed");
+                assert!(self.in_flight.is_none(), "sent while another attempt is in flight");
                 assert!(self.ready[&server], "sent to a server that is not up");
                 assert!(self.now < attempt_deadline && attempt_deadline <= self.not_after);
                 match (self.effect, self.ran) {
@@ -696,136 +726,162 @@
                     (Effect::Deduplicated, Some(ran)) => assert!(self.now < ran + SECOND, "after the window"),
                     _ => {}
                 }
-                let arrived = !self.draw().is_multiple_of(3);
-                self.out = Some(Out {
+                let arrived = !self.next_random().is_multiple_of(3);
+                self.in_flight = Some(AttemptInFlight {
                     number: attempt,
                     server,
                     sent: self.now,
-                    stopping: None,
-                    begun: false,
+                    cancelled_at: None,
+                    stream_started: false,
                     arrived,
                 });
-                self.hold();
+                self.update_held_since();
             }
-            Asks::CancelAttempt { attempt, .. } => {
-                let out = self.out.as_mut().filter(|out| out.number == attempt).expect("it is out");
+            CoreEffect::CancelAttempt { attempt, .. } => {
+                let in_flight = self
+                    .in_flight
+                    .as_mut()
+                    .filter(|in_flight| in_flight.number == attempt)
+                    .expect("a cancelled attempt is in flight");
                 assert!(
-                    out.stopping.is_none() && !(out.begun && self.streaming),
-                    "stopped twice, or the client's own"
+                    in_flight.cancelled_at.is_none() && !(in_flight.stream_started && self.streaming),
+                    "cancelled twice, or while its stream is relayed"
                 );
-                out.stopping = Some(self.now);
+                in_flight.cancelled_at = Some(self.now);
             }
-            Asks::Relay { attempt, .. } => {
-                assert!(self.out.as_ref().is_some_and(|out| out.number == attempt && out.stopping.is_none()));
+            CoreEffect::Relay { attempt, .. } => {
+                assert!(
+                    self.in_flight.as_ref().is_some_and(
+                        |in_flight| in_flight.number == attempt && in_flight.cancelled_at.is_none()
+                    )
+                );
                 self.answered();
                 self.streaming = true;
                 (self.held, self.held_since) = (BTreeSet::new(), None);
-                self.ran = self.ran.or(self.out.as_ref().map(|out| out.sent));
+                self.ran = self.ran.or(self.in_flight.as_ref().map(|in_flight| in_flight.sent));
             }
-            Asks::Reject { .. } => {
+            CoreEffect::Reject { .. } => {
                 assert!(
                     self.ran.is_none() || self.effect != Effect::AtMostOnce,
-                    "refused though it may have run"
+                    "rejected though it may have run"
                 );
                 self.answered();
             }
-            Asks::Fail { .. } => self.answered(),
-            Asks::ReleaseHeldState { holders, number, .. } => {
-                let reads = self.out.as_ref().is_some_and(|out| Self::reads(out.server));
-                assert!(!reads, "a release would let go of what the read leaves that is out");
+            CoreEffect::Fail { .. } => self.answered(),
+            CoreEffect::ReleaseHeldState { holders, number, .. } => {
+                let reads = self.in_flight.as_ref().is_some_and(|in_flight| Self::reads(in_flight.server));
+                assert!(!reads, "a release would release the state of the read in flight");
                 let holders: BTreeSet<_> = holders.into_iter().collect();
                 assert!(holders.is_superset(&self.held) && holders.is_subset(&self.ever_held));
-                // What an attempt waits for stays.
+                // The state that an attempt waits for stays held.
                 if !self.is_awaited() {
                     (self.held, self.held_since) = (BTreeSet::new(), None);
                 }
-                let answered_after = [1_000, 8_000, 60_000, 400_000][self.draw() as usize % 4];
+                let answered_after = [1_000, 8_000, 60_000, 400_000][self.next_random() as usize % 4];
                 self.releases.push((self.now + answered_after, number));
             }
-            Asks::Evict { .. } => {
-                assert!(self.out.is_none() && self.held.is_empty() && (self.answers == 1 || self.gone));
-                self.forgotten = true;
+            CoreEffect::Evict { .. } => {
+                assert!(
+                    self.in_flight.is_none()
+                        && self.held.is_empty()
+                        && (self.answers == 1 || self.client_left)
+                );
+                self.evicted = true;
             }
             _ => {}
         }
     }
 
+    /// Records the final answer to the client.
     fn answered(&mut self) {
         self.answers += 1;
         assert_eq!(self.answers, 1, "a second answer");
-        assert!(!self.gone, "an answer to a client that has left");
-        assert!(self.now <= self.not_after + 8_000 + STOPS, "a late answer");
+        assert!(!self.client_left, "an answer to a client that has disconnected");
+        assert!(self.now <= self.not_after + 8_000 + MAX_STOP_TIME, "a late answer");
     }
 
-    /// Takes down how an attempt has ended, before the reducer is told.
-    fn ends(&mut self, outcome: Outcome) -> Out {
-        let out = self.out.take().expect("out");
-        if Self::reads(out.server) && (outcome == Outcome::Read || outcome.may_have_run()) {
-            self.held.insert(out.server);
-            self.ever_held.insert(out.server);
+    /// Records in the model how the attempt in flight ended, before the reducer is told.
+    fn ends(&mut self, outcome: Outcome) -> AttemptInFlight {
+        let in_flight = self.in_flight.take().expect("an attempt is in flight");
+        if Self::reads(in_flight.server) && (outcome == Outcome::Read || outcome.may_have_run()) {
+            self.held.insert(in_flight.server);
+            self.ever_held.insert(in_flight.server);
         }
-        if !Self::reads(out.server) && outcome.may_have_run() {
-            self.ran = self.ran.or(Some(out.sent));
+        if !Self::reads(in_flight.server) && outcome.may_have_run() {
+            self.ran = self.ran.or(Some(in_flight.sent));
         }
-        self.streaming &= !out.begun;
-        out
+        self.streaming &= !in_flight.stream_started;
+        in_flight
     }
 
-    fn hold(&mut self) {
+    /// Starts or stops the measurement of the hold time.
+    fn update_held_since(&mut self) {
         let is_idle = !self.is_with_server() && !self.held.is_empty();
         self.held_since = if is_idle { self.held_since.or(Some(self.now)) } else { None };
     }
 
-    fn finishes(&mut self, outcome: Outcome) {
-        let out = self.ends(outcome);
+    /// Ends the attempt in flight by itself, without a cancellation.
+    fn finish_attempt(&mut self, outcome: Outcome) {
+        let in_flight = self.ends(outcome);
         let ending = AttemptResult { cached_tokens: 9, ..outcome.into() };
-        self.hold();
-        self.tell(Input::AttemptFinished { id: ID, attempt: out.number, result: ending });
+        self.update_held_since();
+        self.feed(Input::AttemptFinished { id: ID, attempt: in_flight.number, result: ending });
     }
 
-    fn has_stopped(&mut self, written: bool) {
-        let out = self.ends(if written { Outcome::Timeout } else { Outcome::NotSent });
-        self.hold();
-        self.tell(Input::AttemptStopped { id: ID, attempt: out.number, written });
+    /// Reports that the cancelled attempt has stopped; `written` if its last byte may have been written.
+    fn report_stop(&mut self, written: bool) {
+        let in_flight = self.ends(if written { Outcome::Timeout } else { Outcome::NotSent });
+        self.update_held_since();
+        self.feed(Input::AttemptStopped { id: ID, attempt: in_flight.number, written });
     }
 
-    /// Time goes on; a stop is answered in time.
+    /// Advances the time, with the timers of the reducer, confirmations of stops and answers to releases that fall
+    /// due.
     fn pass(&mut self, time: Micros) {
         let end = self.now + time;
         loop {
-            let stopped = self.out.as_ref().and_then(|out| out.stopping).map(|at| at + STOPS);
+            let stop_due = self
+                .in_flight
+                .as_ref()
+                .and_then(|in_flight| in_flight.cancelled_at)
+                .map(|at| at + MAX_STOP_TIME);
             self.releases.sort_unstable();
             let answered = self.releases.first().map(|&(at, _)| at);
-            let due = self.core.next_due().into_iter().chain(stopped).chain(answered).min();
+            let due = self.core.next_due().into_iter().chain(stop_due).chain(answered).min();
             let Some(due) = due.filter(|&due| due <= end) else { break };
             self.now = due.max(self.now);
-            if stopped.is_some_and(|at| at <= self.now) {
-                self.has_stopped(self.is_with_server() || self.now.is_multiple_of(2));
+            if stop_due.is_some_and(|at| at <= self.now) {
+                self.report_stop(self.is_with_server() || self.now.is_multiple_of(2));
             }
             if answered.is_some_and(|at| at <= self.now) {
                 let (_, number) = self.releases.remove(0);
-                self.tell(Input::ReleaseFinished { id: ID, number, answered: true });
+                self.feed(Input::ReleaseFinished { id: ID, number, answered: true });
             }
-            self.tell(Input::Tick);
+            self.feed(Input::Tick);
             let held = self.held_since.map_or(0, |since| self.now - since);
-            assert!(held <= RELEASE + 50_000, "held for {held} us with nothing out");
+            assert!(held <= MAX_HOLD_TIME + 50_000, "held for {held} us with no attempt in flight");
         }
         self.now = end;
     }
 
-    fn step(&mut self, what: u8, lot: u32) {
-        let out = self.out.as_ref().map(|out| (out.server, out.stopping.is_some(), out.begun));
-        match (what, out) {
-            // It begins; where it is being stopped, the driver drops the stream and says that it has stopped.
+    /// Applies the event that `what` selects; `draw` chooses its details.
+    fn step(&mut self, what: u8, draw: u32) {
+        let in_flight = self
+            .in_flight
+            .as_ref()
+            .map(|in_flight| (in_flight.server, in_flight.cancelled_at.is_some(), in_flight.stream_started));
+        match (what, in_flight) {
+            // The stream starts. If the attempt was cancelled, the driver drops the stream and reports the stop
+            // instead.
             (0 | 1, Some((server, false, false))) if !Self::reads(server) && self.is_with_server() => {
-                let number = self.out.as_mut().map(|out| {
-                    out.begun = true;
-                    out.number
+                let number = self.in_flight.as_mut().map(|in_flight| {
+                    in_flight.stream_started = true;
+                    in_flight.number
                 });
-                self.tell(Input::StreamStarted { id: ID, attempt: number.unwrap_or(0) });
+                self.feed(Input::StreamStarted { id: ID, attempt: number.unwrap_or(0) });
             }
-            (2..=5, Some((server, _, begun))) => {
-                let ends = match (Self::reads(server), begun) {
+            (2..=5, Some((server, _, stream_started))) => {
+                let ends = match (Self::reads(server), stream_started) {
                     (_, false) if !self.is_with_server() => {
                         &[Outcome::ConnectFailed, Outcome::Reset, Outcome::Unacknowledged][..]
                     }
@@ -841,43 +897,44 @@
                         Outcome::Unacknowledged,
                     ],
                 };
-                self.finishes(ends[lot as usize % ends.len()]);
+                self.finish_attempt(ends[draw as usize % ends.len()]);
             }
-            (6 | 7, Some((_, true, _))) => self.has_stopped(self.is_with_server() || lot.is_multiple_of(2)),
-            (8, _) if !self.gone => {
-                self.gone = true;
+            (6 | 7, Some((_, true, _))) => self.report_stop(self.is_with_server() || draw.is_multiple_of(2)),
+            (8, _) if !self.client_left => {
+                self.client_left = true;
                 if self.streaming {
-                    self.out = None; // its stream is dropped with the client's connection
+                    self.in_flight = None; // the stream is dropped with the client's connection
                     self.streaming = false;
                 }
-                self.hold();
-                self.tell(Input::ClientDisconnected(ID));
+                self.update_held_since();
+                self.feed(Input::ClientDisconnected(ID));
             }
             (9..=11, _) => {
-                let server = lot % SERVERS;
+                let server = draw % SERVERS;
                 let health = [Health::Ready, Health::Terminating, Health::Gone][what as usize - 9];
                 self.ready.insert(ServerId(server), health == Health::Ready);
-                self.tell(Input::EndpointsUpdated {
+                self.feed(Input::EndpointsUpdated {
                     how: ListUpdateKind::Patch,
                     entries: vec![entry(server, health)],
                 });
             }
-            // The class that the request came with goes on for it, whatever is said of its name from now on.
+            // Settings reload: the request keeps the class that it arrived with, even if the class of that name
+            // changes.
             (12, _) => {
                 let mut effects = EFFECTS;
-                effects.rotate_left(lot as usize % 3);
-                self.tell(Input::SettingsReloaded(Box::new(settings(effects))));
+                effects.rotate_left(draw as usize % 3);
+                self.feed(Input::SettingsReloaded(Box::new(settings(effects))));
             }
-            // A server that stood still goes on.
+            // A stalled server process continues.
             (15, Some((_, _, _))) => {
-                self.out.as_mut().expect("out").arrived = true;
-                self.hold();
+                self.in_flight.as_mut().expect("an attempt is in flight").arrived = true;
+                self.update_held_since();
             }
             (13, _) => {
                 let left = self.not_after.saturating_sub(self.now);
                 self.pass(left);
             }
-            _ => self.pass(u64::from(lot % 400) * 1_000),
+            _ => self.pass(u64::from(draw % 400) * 1_000),
         }
     }
 }
@@ -890,37 +947,38 @@
         ..ProptestConfig::default()
     })]
 
-    /// Drains, the client's leaving, answers, stops with and without a written byte, the deadline and new settings, in
-    /// every order: one answer at most, no second effect, nothing sent after the end, and all that is held let go.
+    /// Drains, the client's disconnect, answers, stops with and without a written byte, the deadline and new
+    /// settings, in any order: at most one answer, no second effect, nothing sent after the end, and all held
+    /// state released.
     #[test]
-    fn in_every_order_there_is_one_answer_no_second_effect_and_nothing_stays_held(
+    fn in_every_order_of_events_there_is_one_answer_no_second_effect_and_no_state_stays_held(
         class in 0u32..3,
         seed in any::<u64>(),
         steps in prop::collection::vec((0u8..16, any::<u32>()), 1..40),
     ) {
         let core = Core::new(settings(EFFECTS), seed, SECOND, 24);
         let not_after = 4 * SECOND;
-        let mut orders = Orders {
+        let mut model = RequestModel {
             core,
             now: SECOND,
             effect: EFFECTS[class as usize],
             not_after,
             ready: (0..SERVERS).map(|server| (ServerId(server), true)).collect(),
-            out: None,
+            in_flight: None,
             ran: None,
             held: BTreeSet::new(),
             ever_held: BTreeSet::new(),
             held_since: None,
             releases: Vec::new(),
-            draws: seed,
+            random_state: seed,
             answers: 0,
-            gone: false,
+            client_left: false,
             streaming: false,
-            forgotten: false,
+            evicted: false,
         };
         let entries = (0..SERVERS).map(|server| entry(server, Health::Ready)).collect();
-        orders.tell(Input::EndpointsUpdated { how: ListUpdateKind::Full, entries });
-        orders.tell(Input::RequestArrived(RequestInfo {
+        model.feed(Input::EndpointsUpdated { how: ListUpdateKind::Full, entries });
+        model.feed(Input::RequestArrived(RequestInfo {
             id: ID,
             class,
             session: Some(Key(u64::from(class))),
@@ -931,19 +989,19 @@
             hint: None,
             not_after,
         }));
-        for (what, lot) in steps {
-            orders.step(what, lot);
+        for (what, draw) in steps {
+            model.step(what, draw);
         }
-        // What is out comes to an end; a stream that has begun has no deadline, and its client leaves.
-        let left = orders.not_after.saturating_sub(orders.now) + SECOND;
-        if orders.streaming {
-            orders.step(8, 0);
+        // The attempt in flight ends. A stream that has started has no deadline, so its client disconnects.
+        let left = model.not_after.saturating_sub(model.now) + SECOND;
+        if model.streaming {
+            model.step(8, 0);
         }
-        orders.pass(left);
-        prop_assert!(orders.out.is_none(), "never stopped");
-        orders.pass(SECOND);
-        prop_assert!(orders.forgotten && orders.held.is_empty(), "something stays");
-        prop_assert!(orders.answers == 1 || orders.gone, "no answer");
-        prop_assert_eq!(orders.core.open(), 0);
+        model.pass(left);
+        prop_assert!(model.in_flight.is_none(), "an attempt never stopped");
+        model.pass(SECOND);
+        prop_assert!(model.evicted && model.held.is_empty(), "the request was not evicted, or state is still held");
+        prop_assert!(model.answers == 1 || model.client_left, "no answer");
+        prop_assert_eq!(model.core.open(), 0);
     }
 }
