--- a/tests/crossings_handover.rs
+++ b/tests/crossings_handover.rs
@@ -837,7 +837,7 @@
 
     /// Advances the time, with the timers of the reducer, confirmations of stops and answers to releases that fall
     /// due.
-    fn pass(&mut self, time: Micros) {
+    fn advance(&mut self, time: Micros) {
         let end = self.now + time;
         loop {
             let stop_due = self
@@ -932,9 +932,9 @@
             }
             (13, _) => {
                 let left = self.not_after.saturating_sub(self.now);
-                self.pass(left);
+                self.advance(left);
             }
-            _ => self.pass(u64::from(draw % 400) * 1_000),
+            _ => self.advance(u64::from(draw % 400) * 1_000),
         }
     }
 }
@@ -997,9 +997,9 @@
         if model.streaming {
             model.step(8, 0);
         }
-        model.pass(left);
+        model.advance(left);
         prop_assert!(model.in_flight.is_none(), "an attempt never stopped");
-        model.pass(SECOND);
+        model.advance(SECOND);
         prop_assert!(model.evicted && model.held.is_empty(), "the request was not evicted, or state is still held");
         prop_assert!(model.answers == 1 || model.client_left, "no answer");
         prop_assert_eq!(model.core.open(), 0);
--- a/tests/crossings_retries.rs
+++ b/tests/crossings_retries.rs
@@ -315,7 +315,7 @@
 // ---- Time limits ----
 
 /// Adds the deduplicated class `once` with a window of 0.7 s, and allows 4 s for a connect and for held state.
-fn dedup_class(value: &mut Value) {
+fn with_dedup_class(value: &mut Value) {
     let settings = &mut value["settings"];
     settings["lanes"].as_array_mut().unwrap().push(json!({"name": "once", "aim_s": 2.0, "give_up_s": 5.0,
         "effect": "deduplicated", "group": "all", "dedup_window_s": 0.7, "worth": 2.0}));
@@ -327,7 +327,7 @@
 /// connecting, so nothing of that attempt may be written.
 #[tokio::test]
 async fn a_retry_is_not_written_if_its_dedup_window_ends_while_it_connects() {
-    let mut bed = TestBed::start(&[READER, WRITER], dedup_class).await;
+    let mut bed = TestBed::start(&[READER, WRITER], with_dedup_class).await;
     let request = bed.start_request("01", "once", "3.0");
     let first = complete_read(&mut bed, "01").await;
     bed.block_connections(1).await;
@@ -351,7 +351,7 @@
 #[tokio::test]
 async fn a_retry_within_its_dedup_window_is_sent_once_it_is_connected() {
     let long_window = |value: &mut Value| {
-        dedup_class(value);
+        with_dedup_class(value);
         value["settings"]["lanes"][2]["dedup_window_s"] = json!(4.0);
     };
     let mut bed = TestBed::start(&[READER, WRITER], long_window).await;
