--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -1,6 +1,7 @@
-//! Who is alive, under deaths, pauses, cuts in one direction, loss and partitions, with the program as it is started.
-//! The bounds themselves are held in virtual time (`crates/simulation/tests/membership.rs`); here all that is waited for comes
-//! or the test fails.
+//! Failure detection among instances of the program in separate processes: with killed and paused instances, a
+//! network path that is blocked in one direction, lost messages and partitions. How soon states must be detected is
+//! checked in virtual time (`crates/simulation/tests/membership.rs`); these tests poll for each expected state and
+//! fail if it does not occur.
 
 mod processes;
 
@@ -17,102 +18,118 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_killed_instance_is_declared_dead_by_all_others_and_no_live_one_is() {
-    let mut cluster = Cluster::formed("kill", 5, 1).await;
+    let mut cluster = Cluster::new("kill", 5, 1).await;
     cluster.instances[3].as_ref().unwrap().signal("-KILL");
-    cluster.end(3).await;
-    cluster.until("the killed one", "dead", |_| 1).await;
+    cluster.kill(3).await;
+    cluster.wait_until("the killed instance", "dead", |_| 1).await;
     for (_, instance) in cluster.running() {
-        assert_eq!(instance.holds("dead").await, ["n3"]);
+        assert_eq!(instance.members_in_state("dead").await, ["n3"]);
     }
-    // It comes back under its name, with nothing kept, and is alive again to all.
+    // It restarts under the same name, without any stored state, and all others see it alive again.
     cluster.start(3, KEY).await;
-    cluster.all_alive().await;
-    let (all, killed) = (cluster.deaths(None).await, 4);
-    assert_eq!(all, killed, "each of four held the killed one for dead, once, and nobody else");
+    cluster.wait_until_all_alive().await;
+    let (deaths, expected) = (cluster.kill_all_and_count_deaths(None).await, 4);
+    assert_eq!(
+        deaths, expected,
+        "each of the four others declares the killed instance dead once, and no other"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_paused_instance_refutes_and_declares_nobody_dead_when_it_continues() {
-    let cluster = Cluster::formed("pause", 5, 2).await;
+async fn a_resumed_instance_refutes_its_death_and_declares_no_other_dead() {
+    let cluster = Cluster::new("pause", 5, 2).await;
     let paused = cluster.instances[2].as_ref().unwrap();
     paused.signal("-STOP");
-    sleep(Duration::from_millis(900)).await; // three probe times
+    sleep(Duration::from_millis(900)).await; // three probe intervals
     paused.signal("-CONT");
-    cluster.all_alive().await;
-    assert!(paused.members().await["counts"]["pauses"].as_u64() >= Some(1), "it saw that it stood still");
-    // Longer than it can take to be held for dead: on waking it hears so, and refutes.
+    cluster.wait_until_all_alive().await;
+    assert!(
+        paused.members().await["counts"]["pauses"].as_u64() >= Some(1),
+        "the instance detects its own pause"
+    );
+    // Pauses it until all others have declared it dead. When it resumes, it learns that and refutes it.
     paused.signal("-STOP");
-    let mut dead = 0;
+    let mut declared_dead = 0;
     for _ in 0..3_000 {
-        dead = 0;
-        for (_, instance) in cluster.running().filter(|&(at, _)| at != 2) {
-            dead += usize::from(instance.holds("dead").await == ["n2"]);
+        declared_dead = 0;
+        for (_, instance) in cluster.running().filter(|&(index, _)| index != 2) {
+            declared_dead += usize::from(instance.members_in_state("dead").await == ["n2"]);
         }
-        if dead == 4 {
+        if declared_dead == 4 {
             break;
         }
         sleep(Duration::from_millis(20)).await;
     }
-    assert_eq!(dead, 4);
+    assert_eq!(declared_dead, 4);
     paused.signal("-CONT");
-    cluster.all_alive().await;
+    cluster.wait_until_all_alive().await;
     assert!(paused.members().await["counts"]["refuted"].as_u64() >= Some(1));
     assert_eq!(paused.members().await["counts"]["deaths"], 0);
-    let (name, dead) = ("n2", 4);
-    assert_eq!(cluster.deaths(None).await, dead, "only {name}, once at each of the others");
+    let (name, declared_dead) = ("n2", 4);
+    assert_eq!(
+        cluster.kill_all_and_count_deaths(None).await,
+        declared_dead,
+        "each of the others declares {name} dead once, and no other"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_cut_in_one_direction_and_lost_messages_lead_to_no_death() {
-    let cluster = Cluster::formed("harm", 5, 3).await;
+async fn a_one_way_block_and_lost_messages_cause_no_death() {
+    let cluster = Cluster::new("loss", 5, 3).await;
     cluster.net.block(0, 1, true);
-    sleep(Duration::from_secs(9)).await; // thirty probe times
+    sleep(Duration::from_secs(9)).await; // thirty probe intervals
     cluster.net.block(0, 1, false);
     cluster.net.lose(0.2);
     sleep(Duration::from_secs(60)).await;
     cluster.net.lose(0.0);
-    cluster.all_alive().await;
+    cluster.wait_until_all_alive().await;
     let (passed, lost) = cluster.net.counts();
-    assert!(lost * 20 > passed, "{lost} lost, {passed} passed: the harm was done");
-    assert_eq!(cluster.deaths(None).await, 0);
+    assert!(lost * 20 > passed, "{lost} lost, {passed} passed: too few lost");
+    assert_eq!(cluster.kill_all_and_count_deaths(None).await, 0);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn two_sides_of_a_partition_declare_each_other_dead_and_are_one_cluster_again_once_it_is_over() {
-    let mut cluster = Cluster::formed("partition", 5, 4).await;
+async fn both_sides_of_a_partition_declare_each_other_dead_and_rejoin_when_it_heals() {
+    let mut cluster = Cluster::new("partition", 5, 4).await;
     cluster.net.partition(&[0, 1], true);
-    cluster.until("each side sees the other gone", "dead", |at| if at < 2 { 3 } else { 2 }).await;
+    cluster
+        .wait_until("each side declares the other dead", "dead", |index| if index < 2 { 3 } else { 2 })
+        .await;
     cluster.net.partition(&[0, 1], false);
-    cluster.all_alive().await;
-    // One that ends in good order is not suspected.
+    cluster.wait_until_all_alive().await;
+    // An instance that shuts down cleanly is shown as left, and is neither suspected nor declared dead.
     let leaving = cluster.instances[4].take().unwrap();
     leaving.signal("-TERM");
-    cluster.until("the one that left", "left", |_| 1).await;
-    cluster.logs.extend(leaving.end().await);
-    assert_eq!(cluster.deaths(Some("n4")).await, 2, "by the other side only, while it was cut off");
+    cluster.wait_until("the instance that left", "left", |_| 1).await;
+    cluster.logs.extend(leaving.kill().await);
+    assert_eq!(
+        cluster.kill_all_and_count_deaths(Some("n4")).await,
+        2,
+        "declared dead by the two instances of the other side only, during the partition"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_instance_with_another_key_is_refused_and_its_datagrams_are_counted() {
-    let mut cluster = Cluster::formed("key", 2, 5).await;
-    cluster.end(1).await;
+async fn datagrams_of_an_instance_with_another_key_are_rejected_and_counted() {
+    let mut cluster = Cluster::new("key", 2, 5).await;
+    cluster.kill(1).await;
     cluster.start(1, "ff112233445566778899aabbccddeeff").await;
     let first = cluster.instances[0].as_ref().unwrap();
-    let mut refused = 0;
+    let mut rejected = 0;
     for _ in 0..3_000 {
-        refused = first.members().await["refused"]["mac"].as_u64().unwrap_or(0);
-        if refused > 2 {
+        rejected = first.members().await["refused"]["mac"].as_u64().unwrap_or(0);
+        if rejected > 2 {
             break;
         }
         sleep(Duration::from_millis(20)).await;
     }
-    assert!(refused > 2);
+    assert!(rejected > 2);
     let other = cluster.instances[1].as_ref().unwrap().members().await;
-    assert_eq!(other["members"], json!([]), "it learns nothing either");
+    assert_eq!(other["members"], json!([]), "the instance with the other key learns of no member either");
 }
 
 #[tokio::test]
-async fn without_the_cluster_table_nothing_of_a_cluster_is_there() {
+async fn without_the_cluster_table_there_is_no_cluster_log_line_or_endpoint() {
     let fleet = Fleet::start(Shape::default()).await.unwrap();
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("cluster-off");
     std::fs::create_dir_all(&folder).unwrap();
@@ -124,7 +141,7 @@
     let mut child = program.stderr(Stdio::piped()).kill_on_drop(true).spawn().unwrap();
     let mut lines = BufReader::new(child.stderr.take().unwrap()).lines();
     let admin = loop {
-        let line = lines.next_line().await.unwrap().expect("it starts");
+        let line = lines.next_line().await.unwrap().expect("the program starts");
         assert!(!line.contains("cluster"), "{line}");
         if let Some((_, address)) = line.split_once("second address: ") {
             break address.parse().unwrap();
--- a/tests/processes/mod.rs
+++ b/tests/processes/mod.rs
@@ -1,5 +1,6 @@
-//! Instances of the program as they are started, talking through a network that harms what passes.
-#![allow(dead_code)]
+//! A cluster of dispatchers in separate processes, whose datagrams pass through a network that can lose and block
+//! them.
+#![allow(dead_code)] // each test file that includes this module uses a part of it
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -13,22 +14,27 @@
 use tokio::process::{Child, Command};
 use tokio::time::sleep;
 
+/// The cluster key that all instances share unless a test gives one of them another.
 pub const KEY: &str = "00112233445566778899aabbccddeeff";
-/// A probe each 0.3 s.
-pub const TIMES: &str = "probe_every_s = 0.3\nprobe_timeout_s = 0.15\nsync_every_s = 1.0\n";
+/// Intervals that are shorter than the defaults, with a probe every 0.3 s.
+pub const INTERVALS: &str = "probe_every_s = 0.3\nprobe_timeout_s = 0.15\nsync_every_s = 1.0\n";
 
-/// The value of a log line's field.
+/// The value of `name=value` in a log line.
 pub fn field<'a>(line: &'a str, name: &str) -> Option<&'a str> {
     line.split(' ').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
 }
 
+/// A running dispatcher process.
 pub struct Instance {
     pub child: Child,
+    /// The admin address.
     pub admin: SocketAddr,
+    /// Collects the lines of standard error until the process ends.
     log: tokio::task::JoinHandle<Vec<String>>,
 }
 
 impl Instance {
+    /// The answer to `GET /cluster/members`.
     pub async fn members(&self) -> Value {
         let answer = until_close(self.admin, "GET /cluster/members HTTP/1.1\r\nHost: h\r\n\r\n").await;
         let (head, body) = answer.split_once("\r\n\r\n").unwrap_or_else(|| panic!("an answer: {answer:?}"));
@@ -36,38 +42,45 @@
         serde_json::from_str(body).unwrap_or_else(|error| panic!("{error}: {body}"))
     }
 
-    /// Names of the others that it holds in a state.
-    pub async fn holds(&self, state: &str) -> Vec<String> {
+    /// Names of the other members that this instance shows in the given state.
+    pub async fn members_in_state(&self, state: &str) -> Vec<String> {
         let all = self.members().await;
         let members = all["members"].as_array().cloned().unwrap_or_default();
         let names = members.iter().filter(|member| member["state"] == state);
         names.map(|member| member["name"].as_str().unwrap().to_owned()).collect()
     }
 
+    /// Sends a signal, given as an option of `kill`, such as `-TERM`.
     pub fn signal(&self, signal: &str) {
-        let id = self.child.id().expect("it runs").to_string();
+        let id = self.child.id().expect("the process runs").to_string();
         assert!(std::process::Command::new("kill").args([signal, &id]).status().unwrap().success());
     }
 
-    /// Kills it where it still runs; its log.
-    pub async fn end(mut self) -> Vec<String> {
+    /// Kills the process if it still runs, and returns its log lines.
+    pub async fn kill(mut self) -> Vec<String> {
         let _ = self.child.start_kill();
         self.log.await.unwrap()
     }
 }
 
+/// Instances `n0`, `n1` and so on, which share the model servers and the discovery agent of one fleet.
 pub struct Cluster {
     pub fleet: Fleet,
+    /// Carries the datagrams between the instances.
     pub net: FaultyNetwork,
     folder: PathBuf,
+    /// The instances by number; `None` for one that does not run.
     pub instances: Vec<Option<Instance>>,
+    /// Log lines of the instances that have ended.
     pub logs: Vec<String>,
-    /// Where the chat fronts are, and what else their file has.
+    /// The ports of the chat fronts, by instance. A restarted instance keeps its port.
     pub ports: Vec<Port>,
-    more: String,
+    /// Lines that are appended to the fronts file of each instance; `CHAT` stands for its chat address.
+    extra_fronts: String,
 }
 
-/// An address that a process may listen at; it stays taken while this lives, whoever ends and starts.
+/// Reserves a loopback port until dropped, so that it is not assigned elsewhere while processes that listen on it
+/// stop and start. The listening process must set `SO_REUSEPORT`.
 pub struct Port(Socket);
 
 impl Port {
@@ -84,40 +97,42 @@
 }
 
 impl Cluster {
-    /// So many instances that all hold each other for alive.
-    pub async fn formed(name: &str, count: usize, seed: u64) -> Self {
-        Self::with(name, count, seed, "").await
+    /// Starts `count` instances and waits until each of them sees all others alive.
+    pub async fn new(name: &str, count: usize, seed: u64) -> Self {
+        Self::with_fronts(name, count, seed, "").await
     }
 
-    /// With more lines of the operator's file.
-    pub async fn with(name: &str, count: usize, seed: u64, more: &str) -> Self {
+    /// Like `new`, with lines appended to the fronts file of each instance.
+    pub async fn with_fronts(name: &str, count: usize, seed: u64, extra_fronts: &str) -> Self {
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("cluster-{name}"));
         let fleet = Fleet::start(Shape::default()).await.unwrap();
         let net = FaultyNetwork::start(count, seed).await.unwrap();
         let ports = (0..count).map(|_| Port::new()).collect();
-        let more = more.to_owned();
-        let mut cluster = Self { fleet, net, folder, instances: Vec::new(), logs: Vec::new(), ports, more };
-        for at in 0..count {
+        let extra_fronts = extra_fronts.to_owned();
+        let mut cluster =
+            Self { fleet, net, folder, instances: Vec::new(), logs: Vec::new(), ports, extra_fronts };
+        for index in 0..count {
             cluster.instances.push(None);
-            cluster.start(at, KEY).await;
+            cluster.start(index, KEY).await;
         }
-        cluster.all_alive().await;
+        cluster.wait_until_all_alive().await;
         cluster
     }
 
-    pub async fn start(&mut self, at: usize, key: &str) {
-        let folder = self.folder.join(at.to_string());
+    /// Starts an instance with a cluster key, and returns when it has logged its admin and cluster addresses.
+    pub async fn start(&mut self, index: usize, key: &str) {
+        let folder = self.folder.join(index.to_string());
         std::fs::create_dir_all(folder.join("shared")).unwrap();
         let mut settings: Value =
             serde_json::from_str(&config(self.fleet.agent.address, &self.fleet.listing())).unwrap();
-        settings["name"] = json!(format!("n{at}"));
+        settings["name"] = json!(format!("n{index}"));
         settings["admin_addr"] = json!("127.0.0.1:0");
         std::fs::write(folder.join("config.json"), settings.to_string()).unwrap();
-        let (own, seed) = (self.net.address(at), self.net.address(if at == 0 { 1 } else { 0 }));
+        let (own, seed) = (self.net.address(index), self.net.address(if index == 0 { 1 } else { 0 }));
         let fronts = format!(
             "[cluster]\nenabled = true\nlisten = \"127.0.0.1:0\"\nadvertise = \"{own}\"\nkey = \"{key}\"\n\
-             seeds = [\"{seed}\"]\n{TIMES}{}",
-            self.more.replace("CHAT", &self.ports[at].address().to_string())
+             seeds = [\"{seed}\"]\n{INTERVALS}{}",
+            self.extra_fronts.replace("CHAT", &self.ports[index].address().to_string())
         );
         std::fs::write(folder.join("fronts.toml"), fronts).unwrap();
         let mut program = Command::new(env!("CARGO_BIN_EXE_dewladder"));
@@ -128,7 +143,11 @@
         let (mut admin, mut own) = (None, None);
         let mut all = Vec::new();
         while admin.is_none() || own.is_none() {
-            let line = lines.next_line().await.unwrap().unwrap_or_else(|| panic!("it starts: {all:?}"));
+            let line = lines
+                .next_line()
+                .await
+                .unwrap()
+                .unwrap_or_else(|| panic!("the program did not start: {all:?}"));
             if let Some((_, address)) = line.split_once("second address: ") {
                 admin = address.parse().ok();
             }
@@ -137,54 +156,61 @@
             }
             all.push(line);
         }
-        self.net.attach(at, own.unwrap());
+        self.net.attach(index, own.unwrap());
         let log = tokio::spawn(async move {
             while let Ok(Some(line)) = lines.next_line().await {
                 all.push(line);
             }
             all
         });
-        self.instances[at] = Some(Instance { child, admin: admin.unwrap(), log });
+        self.instances[index] = Some(Instance { child, admin: admin.unwrap(), log });
     }
 
+    /// The running instances with their numbers.
     pub fn running(&self) -> impl Iterator<Item = (usize, &Instance)> {
-        self.instances.iter().enumerate().filter_map(|(at, one)| one.as_ref().map(|one| (at, one)))
+        self.instances
+            .iter()
+            .enumerate()
+            .filter_map(|(index, instance)| instance.as_ref().map(|instance| (index, instance)))
     }
 
-    pub async fn end(&mut self, at: usize) {
-        if let Some(instance) = self.instances[at].take() {
-            self.logs.extend(instance.end().await);
+    /// Kills an instance if it runs, and keeps its log lines.
+    pub async fn kill(&mut self, index: usize) {
+        if let Some(instance) = self.instances[index].take() {
+            self.logs.extend(instance.kill().await);
         }
     }
 
-    /// Waits until each that runs holds so many others in a state.
-    pub async fn until(&self, what: &str, state: &str, wanted: impl Fn(usize) -> usize) {
-        let mut seen = Vec::new();
+    /// Waits until each running instance shows as many other members in the state as `wanted` gives for its number.
+    pub async fn wait_until(&self, condition: &str, state: &str, wanted: impl Fn(usize) -> usize) {
+        let mut mismatches = Vec::new();
         for _ in 0..3_000 {
-            seen.clear();
-            for (at, instance) in self.running() {
-                let holds = instance.holds(state).await;
-                if holds.len() != wanted(at) {
-                    seen.push((at, holds));
+            mismatches.clear();
+            for (index, instance) in self.running() {
+                let members_in_state = instance.members_in_state(state).await;
+                if members_in_state.len() != wanted(index) {
+                    mismatches.push((index, members_in_state));
                 }
             }
-            if seen.is_empty() {
+            if mismatches.is_empty() {
                 return;
             }
             sleep(Duration::from_millis(20)).await;
         }
-        panic!("{what}: {state} at {seen:?}");
+        panic!("{condition}: {state} at {mismatches:?}");
     }
 
-    pub async fn all_alive(&self) {
+    /// Waits until each running instance sees all other running ones alive.
+    pub async fn wait_until_all_alive(&self) {
         let others = self.running().count() - 1;
-        self.until("all that run hold each other for alive", "alive", |_| others).await;
+        self.wait_until("all running instances see each other alive", "alive", |_| others).await;
     }
 
-    /// Ends all; how often an instance's log says that a member of that name, or any, is dead.
-    pub async fn deaths(mut self, name: Option<&str>) -> usize {
-        for at in 0..self.instances.len() {
-            self.end(at).await;
+    /// Kills all instances. Returns how many log lines of all instances declare a member dead, counting only the
+    /// member with the given name if there is one.
+    pub async fn kill_all_and_count_deaths(mut self, name: Option<&str>) -> usize {
+        for index in 0..self.instances.len() {
+            self.kill(index).await;
         }
         let dead = |line: &&String| {
             line.contains("cluster: member changed")
