--- a/tests/cluster_settings.rs
+++ b/tests/cluster_settings.rs
@@ -1,11 +1,14 @@
-//! The operator's table of a cluster: every key with what it sets, and every error's text, as `check-config` says it.
+//! The `[cluster]` table of the fronts file: what each key sets, the defaults, and the text of each error, as
+//! `check-config` prints it.
 
 use std::net::SocketAddrV4;
 
 use dewladder::edge::cluster::Table;
 use dewladder_membership::{Address, MemberId, Settings};
 
+/// A table that has every key.
 const EVERY_KEY: &str = include_str!("golden/cluster_table.toml");
+/// Invalid tables, each followed by a line `=> ` with the expected error.
 const ERRORS: &str = include_str!("golden/cluster_table_errors.txt");
 
 fn table(text: &str) -> Table {
@@ -13,11 +16,11 @@
 }
 
 #[test]
-fn every_key_of_the_table_sets_what_it_names() {
+fn every_key_sets_its_setting() {
     let table = table(EVERY_KEY);
     assert!(table.enabled);
     assert_eq!(table.listen, "127.0.0.2:7001".parse::<SocketAddrV4>().unwrap());
-    let checked = table.check("n0").expect("a table that can be");
+    let checked = table.check("n0").expect("a valid table");
     let expected = Settings {
         name: "blue".to_owned(),
         address: Address { ip: [10, 0, 0, 9], port: 7_002 },
@@ -52,33 +55,33 @@
 }
 
 #[test]
-fn absent_keys_have_the_values_of_the_example_file() {
+fn missing_keys_default_to_the_values_of_the_example_file() {
     let example: toml::Table =
         toml::from_str(include_str!("../deploy/fronts.toml")).expect("the example file");
     let example: Table = example["cluster"].clone().try_into().expect("a table");
     let key = "000102030405060708090a0b0c0d0e0f";
-    let shown = |table: Table| {
-        let checked = Table { key: key.to_owned(), ..table }.check("n0").expect("a table that can be");
+    let settings = |table: Table| {
+        let checked = Table { key: key.to_owned(), ..table }.check("n0").expect("a valid table");
         (checked.membership, checked.replica)
     };
-    assert_eq!(shown(example), shown(table("")));
+    assert_eq!(settings(example), settings(table("")));
 }
 
-/// Each case of the golden file: the table's lines, and behind `=> ` what is said of them.
+/// The cases of the golden file: the lines of a table, and the error expected for it.
 fn cases() -> Vec<(String, String)> {
     let mut cases = Vec::new();
     let mut lines = String::new();
     for line in ERRORS.lines() {
         match line.strip_prefix("=> ") {
-            Some(said) => cases.push((std::mem::take(&mut lines), said.to_owned())),
+            Some(error_text) => cases.push((std::mem::take(&mut lines), error_text.to_owned())),
             None => lines += &format!("{line}\n"),
         }
     }
     cases
 }
 
-/// What is said of a table, on one line.
-fn said(text: &str) -> String {
+/// The error for a table, on one line, or `nothing` for a valid table.
+fn error_text(text: &str) -> String {
     match toml::from_str::<Table>(text) {
         Ok(table) => table.check("n0").map_or_else(|error| error.to_string(), |_| "nothing".to_owned()),
         Err(error) => error.message().replace('\n', " "),
@@ -86,9 +89,9 @@
 }
 
 #[test]
-fn what_is_wrong_with_a_table_is_told_in_the_words_of_the_golden_file() {
+fn each_invalid_table_has_the_error_text_the_golden_file() {
     let cases = cases();
     assert!(cases.len() > 30);
-    let text: String = cases.iter().map(|(lines, _)| format!("{lines}=> {}\n", said(lines))).collect();
+    let text: String = cases.iter().map(|(lines, _)| format!("{lines}=> {}\n", error_text(lines))).collect();
     assert_eq!(text, ERRORS);
 }
--- a/tests/cluster_table.rs
+++ b/tests/cluster_table.rs
@@ -1,4 +1,4 @@
-//! The operator's table of a cluster.
+//! Each error of the `[cluster]` table names the key with the invalid value.
 
 use dewladder::edge::cluster::Table;
 
@@ -7,30 +7,30 @@
 }
 
 #[test]
-fn an_invalid_table_is_refused_with_its_field() {
+fn errors_name_the_invalid_key() {
     let key = "key = \"000102030405060708090a0b0c0d0e0f\"\n";
     assert!(table(key).check("n0").is_ok());
-    let told = |text: &str| table(text).check("n0").expect_err(text).to_string();
+    let error_of = |text: &str| table(text).check("n0").expect_err(text).to_string();
     for (text, field) in [
         ("key = \"0g\"", "cluster.key"),
         ("key = \"012\"", "cluster.key"),
         ("key = \"0102\"", "cluster.key"),
         ("", "cluster.key"),
     ] {
-        assert!(told(text).starts_with(field), "{text}: {}", told(text));
+        assert!(error_of(text).starts_with(field), "{text}: {}", error_of(text));
     }
-    let three = "enabled = true\nmembers = [\"n0\", \"n1\", \"n2\"]";
-    assert!(table(&format!("{key}[replica]\n{three}")).check("n0").is_ok());
+    let three_members = "enabled = true\nmembers = [\"n0\", \"n1\", \"n2\"]";
+    assert!(table(&format!("{key}[replica]\n{three_members}")).check("n0").is_ok());
     for (text, field) in [
         ("enabled = true", "cluster.replica.members"),
         ("enabled = true\nmembers = [\"n1\", \"n2\"]", "cluster.replica.members"),
-        (&format!("{three}\ncopies = 4"), "cluster.replica.copies"),
-        (&format!("{three}\nquorum = 1"), "cluster.replica.quorum"),
-        (&format!("{three}\nsettle_s = 0.0"), "cluster.replica.settle_s"),
-        (&format!("{three}\nwindow_s = nan"), "cluster.replica.window_s"),
+        (&format!("{three_members}\ncopies = 4"), "cluster.replica.copies"),
+        (&format!("{three_members}\nquorum = 1"), "cluster.replica.quorum"),
+        (&format!("{three_members}\nsettle_s = 0.0"), "cluster.replica.settle_s"),
+        (&format!("{three_members}\nwindow_s = nan"), "cluster.replica.window_s"),
     ] {
-        let said = told(&format!("{key}[replica]\n{text}"));
-        assert!(said.starts_with(field), "{text}: {said}");
+        let error = error_of(&format!("{key}[replica]\n{text}"));
+        assert!(error.starts_with(field), "{text}: {error}");
     }
     for (text, field) in [
         ("cluster = \"\"", "cluster.cluster"),
@@ -43,8 +43,8 @@
         ("suspicion = inf", "cluster.suspicion"),
         ("retransmit = 0", "cluster.retransmit"),
     ] {
-        let said = told(&format!("{key}{text}"));
-        assert!(said.starts_with(field), "{text}: {said}");
+        let error = error_of(&format!("{key}{text}"));
+        assert!(error.starts_with(field), "{text}: {error}");
     }
     for text in ["seeds = [\"here\"]", "listen = \"[::1]:7946\"", "probe = 1"] {
         assert!(toml::from_str::<Table>(text).is_err(), "{text}");
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -1,4 +1,5 @@
-//! The program as it is started: what it says of good and bad configurations.
+//! The command line: messages and exit codes for valid and invalid configurations, signals, and the commands `demo`
+//! and `conform`.
 
 mod stand_in;
 
@@ -11,7 +12,8 @@
 use stand_in::eventually;
 use tokio::io::AsyncBufReadExt as _;
 
-/// Runs the program with these texts as its files; `None` for a file that is not there.
+/// Runs a command of the program on files with the given contents, in a folder named after the test. With `None`
+/// there is no configuration file.
 fn run(test: &str, command: &str, config: Option<&str>, fronts: &str) -> Output {
     let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(test);
     std::fs::create_dir_all(&folder).unwrap();
@@ -27,10 +29,10 @@
 }
 
 #[test]
-fn a_bad_configuration_is_one_plain_line_and_no_start() {
+fn an_invalid_configuration_is_reported_on_one_line_and_prevents_the_start() {
     let good = stand_in::config("127.0.0.1:9".parse().unwrap(), &json!({}));
     let fronts = stand_in::FRONTS;
-    for (at, (config, fronts, says)) in [
+    for (index, (config, fronts, expected)) in [
         (None, fronts, "can't read"),
         (Some("{"), fronts, "EOF"),
         (Some("[]"), fronts, "invalid"),
@@ -67,16 +69,16 @@
     .enumerate()
     {
         for command in ["check-config", "serve"] {
-            let output = run(&format!("bad-{at}-{command}"), command, config, fronts);
+            let output = run(&format!("bad-{index}-{command}"), command, config, fronts);
             let text = String::from_utf8(output.stderr).unwrap();
-            assert_eq!((output.status.code(), text.lines().count()), (Some(1), 1), "{at} {text}");
-            assert!(text.starts_with("dewladder: ") && text.contains(says), "{at} {text}");
+            assert_eq!((output.status.code(), text.lines().count()), (Some(1), 1), "{index} {text}");
+            assert!(text.starts_with("dewladder: ") && text.contains(expected), "{index} {text}");
         }
     }
 }
 
 #[test]
-fn a_good_configuration_is_said_to_be_one_and_the_shipped_fronts_are_off() {
+fn a_valid_configuration_passes_the_check_and_the_shipped_fronts_are_disabled() {
     let good = stand_in::config("127.0.0.1:9".parse().unwrap(), &json!({}));
     let output = run("good", "check-config", Some(&good), stand_in::FRONTS);
     assert_eq!((output.status.code(), output.stderr.len()), (Some(0), 0));
@@ -86,7 +88,7 @@
 }
 
 #[test]
-fn a_server_has_the_same_number_everywhere_whatever_its_id_looks_like() {
+fn a_server_id_of_any_format_always_maps_to_the_same_number() {
     assert_eq!(server_id("s-5be2a07c"), ServerId(0x5be2_a07c));
     assert_eq!(server_id("kiln-box-7"), server_id("kiln-box-7"));
     assert_ne!(server_id("kiln-box-7"), server_id("kiln-box-8"));
@@ -97,7 +99,7 @@
     let listing: Listing = serde_json::from_value(listing).unwrap();
     let names = Names { zones: vec!["a".into(), "b".into()], kinds: vec!["r".into(), "w".into()] };
     let entries = entries(&listing, &names);
-    let [(entry, address)] = &entries[..] else { panic!("an unknown phase is left out") };
+    let [(entry, address)] = &entries[..] else { panic!("a server in an unknown phase is left out") };
     assert_eq!(
         (entry.zone.0, entry.kind, entry.started, address.as_str()),
         (1, 1, Some(12_000), "127.0.0.1:1")
@@ -105,7 +107,7 @@
 }
 
 #[test]
-fn told_to_end_the_program_ends_well() {
+fn sigterm_shuts_the_program_down_cleanly() {
     let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"));
     let path = folder.join("end.json");
     std::fs::write(&path, stand_in::config("127.0.0.1:9".parse().unwrap(), &json!({}))).unwrap();
@@ -113,9 +115,9 @@
     program.args(["serve", "--config"]).arg(&path).env_clear().current_dir(folder).stderr(Stdio::piped());
     let mut child = program.spawn().unwrap();
     let mut lines = BufReader::new(child.stderr.take().unwrap()).lines().map_while(Result::ok);
-    assert!(lines.any(|line| line.contains("n0: serving on")), "it says that it serves");
-    let told = Command::new("kill").args(["-TERM", &child.id().to_string()]).status().unwrap();
-    assert!(told.success());
+    assert!(lines.any(|line| line.contains("n0: serving on")), "the program logs that it serves");
+    let result = Command::new("kill").args(["-TERM", &child.id().to_string()]).status().unwrap();
+    assert!(result.success());
     let rest: Vec<String> = lines.collect();
     assert!(
         rest.last()
@@ -126,10 +128,11 @@
     assert_eq!(child.wait().unwrap().code(), Some(0));
 }
 
-/// Seen on the bench: SIGHUP ended the program. A good file moves the watch at once, with the open call to the
-/// old agent dropped and the whole list asked for; a bad one changes nothing; the last of several counts.
+/// Guards against a fault of an earlier version, which SIGHUP terminated. After SIGHUP, a valid configuration with
+/// another agent takes effect immediately: the dispatcher closes its open call to the old agent and requests the full
+/// list from the new one. An invalid file changes nothing. After several reloads in a row, the last one applies.
 #[tokio::test]
-async fn told_by_sighup_the_program_reads_its_configuration_again_and_lives() {
+async fn sighup_reloads_the_configuration_without_ending_the_program() {
     let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("again.json");
     let list = |revision: u32| json!({"revision": revision, "complete": true, "members": []});
     let (old, new) = (stand_in::Agent::start(list(7)).await, stand_in::Agent::start(list(3)).await);
@@ -139,39 +142,42 @@
     program.args(["serve", "--config"]).arg(&path).env_clear().current_dir(env!("CARGO_TARGET_TMPDIR"));
     let mut child = program.stderr(Stdio::piped()).kill_on_drop(true).spawn().unwrap();
     let id = child.id().unwrap().to_string();
-    let tell = |signal: &str| assert!(Command::new("kill").args([signal, &id]).status().unwrap().success());
-    let watch = |revision: u32| format!("/registry/instances?from={revision}&hold_ms=4000");
-    let whole = "/registry/instances".to_owned();
-    eventually("the old one is watched", || old.log() == [whole.clone(), watch(7)]).await;
+    let send_signal =
+        |signal: &str| assert!(Command::new("kill").args([signal, &id]).status().unwrap().success());
+    let watch_call = |revision: u32| format!("/registry/instances?from={revision}&hold_ms=4000");
+    let full_list_call = "/registry/instances".to_owned();
+    eventually("the old agent is watched", || old.log() == [full_list_call.clone(), watch_call(7)]).await;
 
     let mut lines = tokio::io::BufReader::new(child.stderr.take().unwrap()).lines();
     std::fs::write(&path, "{").unwrap();
-    tell("-HUP");
+    send_signal("-HUP");
     while let Some(line) = lines.next_line().await.unwrap() {
         if line.contains("configuration: not taken over, the old one stands") {
             break;
         }
     }
-    assert_eq!(old.log().len(), 2, "the open call goes on");
+    assert_eq!(old.log().len(), 2, "the open call to the agent continues");
 
     std::fs::write(&path, text(&new)).unwrap();
-    tell("-HUP");
-    eventually("the new one is watched", || new.log() == [whole.clone(), watch(3)]).await;
-    eventually("the old one is left", || old.log().last().unwrap() == "closed").await;
+    send_signal("-HUP");
+    eventually("the new agent is watched", || new.log() == [full_list_call.clone(), watch_call(3)]).await;
+    eventually("the call to the old agent is closed", || old.log().last().unwrap() == "closed").await;
 
     for agent in [&old, &new, &old] {
         std::fs::write(&path, text(agent)).unwrap();
-        tell("-HUP");
+        send_signal("-HUP");
     }
-    eventually("the last one named is watched", || old.log().last() == Some(&watch(7))).await;
-    eventually("the other is left", || new.log().last().unwrap() == "closed").await;
-    tell("-TERM");
+    eventually("the agent of the last configuration is watched", || old.log().last() == Some(&watch_call(7)))
+        .await;
+    eventually("the call to the other agent is closed", || new.log().last().unwrap() == "closed").await;
+    send_signal("-TERM");
     assert_eq!(child.wait().await.unwrap().code(), Some(0));
 }
 
-/// The first run: what it prints can be used as printed, and Ctrl-C ends it in good order.
+/// A user's first run: the URL and address that `demo` prints work as printed, and SIGINT (Ctrl-C) shuts it down
+/// cleanly.
 #[test]
-fn the_demo_serves_both_fronts_and_ends() {
+fn the_demo_serves_both_fronts_until_sigint() {
     let mut program = Command::new(env!("CARGO_BIN_EXE_dewladder"));
     let mut child =
         program.arg("demo").env_clear().stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().unwrap();
@@ -188,18 +194,21 @@
             String::from_utf8(output.stderr).unwrap(),
         )
     };
-    let told = conform(&["--url", url, "--key", "key-of-clay", "--only", "answer/stream"]);
+    let result = conform(&["--url", url, "--key", "key-of-clay", "--only", "answer/stream"]);
     assert_eq!(
-        (told.0, told.1.trim()),
+        (result.0, result.1.trim()),
         (Some(0), "3 passed, 0 failed, 0 could not be tried, of 3"),
-        "{told:?}"
+        "{result:?}"
     );
-    let told = conform(&["--url", url, "--key", "not-a-key", "--only", "answer/whole"]);
-    assert!(told.0 == Some(1) && told.1.contains("FAILED") && told.2.contains("1 of 1 cases"), "{told:?}");
-    let told = conform(&["--url", "http://192.0.2.1:80", "--only", "answer/whole"]);
-    assert!(told.0 == Some(1) && told.2.contains("only addresses on loopback"), "{told:?}");
-    let told = conform(&["--url", url, "--only", "no-such-case"]);
-    assert!(told.0 == Some(1) && told.2.contains("no case's name"), "{told:?}");
+    let result = conform(&["--url", url, "--key", "not-a-key", "--only", "answer/whole"]);
+    assert!(
+        result.0 == Some(1) && result.1.contains("FAILED") && result.2.contains("1 of 1 cases"),
+        "{result:?}"
+    );
+    let result = conform(&["--url", "http://192.0.2.1:80", "--only", "answer/whole"]);
+    assert!(result.0 == Some(1) && result.2.contains("only addresses on loopback"), "{result:?}");
+    let result = conform(&["--url", url, "--only", "no-such-case"]);
+    assert!(result.0 == Some(1) && result.2.contains("no case's name"), "{result:?}");
     let platform = text.iter().find_map(|line| line.strip_prefix("  the platform's front   ")).unwrap();
     let mut stream = std::net::TcpStream::connect(platform.trim()).unwrap();
     std::io::Write::write_all(&mut stream, stand_in::platform("9b1f03aa5c7e2d41", "ask", "5").as_bytes())
--- a/tests/fronts_settings.rs
+++ b/tests/fronts_settings.rs
@@ -1,5 +1,5 @@
-//! The keys of `deploy/fronts.toml` that the client fronts read, their defaults, and the words for values that can't
-//! be used.
+//! The keys of `deploy/fronts.toml` that the client fronts read, their defaults, and the error for each invalid
+//! value.
 
 mod golden_file;
 mod stand_in;
@@ -11,18 +11,19 @@
 use golden_file::assert_golden;
 use serde_json::json;
 
-const LISTENS: &str = "[chat]\nenabled = true\nlisten = \"127.0.0.1:0\"\n";
+/// The least that a fronts file needs for an enabled chat front.
+const MINIMAL_FRONTS: &str = "[chat]\nenabled = true\nlisten = \"127.0.0.1:0\"\n";
 
 fn config() -> Config {
     let text = stand_in::config("127.0.0.1:9".parse().unwrap(), &json!({}));
     Config::parse("config", &text, |_| None).unwrap()
 }
 
-/// Each key with a value of its own, and what the fronts go by then.
+/// Each key has a different value, and each value appears in the setting of that key.
 #[test]
-fn each_key_sets_what_it_names() {
+fn each_key_sets_its_setting() {
     let text = format!(
-        "{LISTENS}max_tokens = 11\nmost_open = 12\nmost_choices = 13\norigins = [\"o\"]\nkeepalive_s = 1.5\n\
+        "{MINIMAL_FRONTS}max_tokens = 11\nmost_open = 12\nmost_choices = 13\norigins = [\"o\"]\nkeepalive_s = 1.5\n\
          responses_percent = 14.0\nresponses_tenant_percent = 50.0\na_key_of_tomorrow = 1\n\
          [chat.models]\nm = \"ask\"\n[chat.tenants]\nk = \"t\"\n\
          [chat.repeats]\nenabled = true\nwindow_s = 21.0\nafter_start_s = 22.0\nlinger_s = 23.0\nmost_entries = 24\n\
@@ -61,22 +62,22 @@
     );
 }
 
-/// The file that is deployed gives what a file without these keys gives.
+/// The deployed file has the same effect as a file that leaves these keys out.
 #[test]
 fn the_deployed_file_holds_the_defaults() {
     let deployed = Fronts::parse("fronts", include_str!("../deploy/fronts.toml")).unwrap().chat.unwrap();
-    let plain = Fronts::parse("fronts", LISTENS).unwrap().chat.unwrap();
+    let defaults = Fronts::parse("fronts", MINIMAL_FRONTS).unwrap().chat.unwrap();
     let limits = config().limits;
-    assert_eq!(deployed.repeats, plain.repeats);
-    assert_eq!(deployed.resume, plain.resume);
-    assert_eq!(deployed.check_and_response_memory(&limits), plain.check_and_response_memory(&limits));
+    assert_eq!(deployed.repeats, defaults.repeats);
+    assert_eq!(deployed.resume, defaults.resume);
+    assert_eq!(deployed.check_and_response_memory(&limits), defaults.check_and_response_memory(&limits));
     assert_eq!((deployed.max_tokens, deployed.most_open, deployed.most_choices), (800, 64, 4));
-    assert_eq!((plain.max_tokens, plain.most_open, plain.most_choices), (800, 64, 4));
-    assert_eq!((deployed.keepalive_s, plain.keepalive_s, plain.origins.len()), (0.0, 0.0, 0));
+    assert_eq!((defaults.max_tokens, defaults.most_open, defaults.most_choices), (800, 64, 4));
+    assert_eq!((deployed.keepalive_s, defaults.keepalive_s, defaults.origins.len()), (0.0, 0.0, 0));
 }
 
 #[test]
-fn each_value_that_can_not_be_used_is_refused_with_these_words() {
+fn each_invalid_value_has_the_error_of_the_golden_file() {
     let mut text = String::new();
     for lines in [
         "keepalive_s = -1.0",
@@ -107,13 +108,13 @@
         "[chat.resume]\nmost = 101",
         "[chat.resume]\nmost_text_kib = 1025",
     ] {
-        let refused = match Fronts::parse("fronts", &format!("{LISTENS}{lines}\n")) {
-            Ok(fronts) => chat::check(&fronts.chat.unwrap(), &config())
-                .expect_err("a value that can't be used")
-                .to_string(),
+        let error = match Fronts::parse("fronts", &format!("{MINIMAL_FRONTS}{lines}\n")) {
+            Ok(fronts) => {
+                chat::check(&fronts.chat.unwrap(), &config()).expect_err("an invalid value").to_string()
+            }
             Err(error) => error.to_string(),
         };
-        writeln!(text, "{}\n  {refused}", lines.replace('\n', " ")).unwrap();
+        writeln!(text, "{}\n  {error}", lines.replace('\n', " ")).unwrap();
     }
     assert_golden("fronts_settings.txt", &text);
 }
