--- a/tests/bin/test_server.rs
+++ b/tests/bin/test_server.rs
@@ -1,9 +1,10 @@
-//! A reader or a writer in a process of its own, so that a test can stop it, let it go on and kill it: its machine goes on
-//! taking connections and bytes while the process stands still. For the tests only.
+//! A reader or writer in a separate process, which tests can pause (SIGSTOP), resume and kill. While the process is
+//! paused, the kernel continues to accept connections and to receive bytes for it. For tests only.
 //!
-//! `dewladder-test-server reader|writer LEDGER WORK_MS [STOP]`: it prints the address on which it listens, and reports each
-//! step to the ledger before it acts on it. A read, and the time until a writer's first event, take WORK_MS. With STOP it
-//! stops itself (SIGSTOP) the first time that it comes to that moment: `accepted`, `received`, `answering` or `answered`.
+//! `dewladder-test-server reader|writer LEDGER WORK_MS [STOP]` prints the address on which it listens. LEDGER is
+//! the address of the test, to which the server reports each step of a request before it acts on it. A read takes
+//! WORK_MS, and so does the time until a writer's first event. With STOP, the server sends itself SIGSTOP the first
+//! time that it reaches that point: `accepted`, `received`, `answering` or `answered`.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,23 +16,27 @@
 
 type Failure = Box<dyn std::error::Error + Send + Sync>;
 
-/// Stops and goes on are seen by then.
-const STOPPED_AFTER: Duration = Duration::from_millis(50);
+/// Wait after SIGSTOP: the signal is delivered asynchronously, and must have taken effect before the server
+/// continues.
+const SIGSTOP_DELIVERY: Duration = Duration::from_millis(50);
 const STREAM_HEAD: &str =
     "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 #[derive(Clone)]
 struct Server {
     is_reader: bool,
+    /// Where steps are reported.
     ledger: SocketAddr,
+    /// Duration of a read, and of a write until its first event.
     work_time: Duration,
+    /// The point at which the server still has to stop itself.
     stop: Option<String>,
 }
 
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> Result<(), Failure> {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    let [role, ledger, work_ms, stop @ ..] = &words[..] else {
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    let [role, ledger, work_ms, stop @ ..] = &arguments[..] else {
         return Err("reader|writer LEDGER WORK_MS [STOP]".into());
     };
     let mut server = Server {
@@ -50,7 +55,7 @@
     }
 }
 
-/// Serves a connection until it ends; what goes wrong on it ends it.
+/// Serves a connection until it closes or an error occurs on it.
 async fn serve(mut stream: TcpStream, mut server: Server) {
     let mut read = Vec::new();
     while let Some((head, _)) = message(&mut stream, &mut read).await {
@@ -62,28 +67,29 @@
 }
 
 impl Server {
-    /// Stops this process here, the first time.
-    async fn stop_at(&mut self, moment: &str) -> Result<(), Failure> {
-        if self.stop.as_deref() != Some(moment) {
+    /// Stops this process if STOP names this point and the server has not stopped there before.
+    async fn stop_at(&mut self, point: &str) -> Result<(), Failure> {
+        if self.stop.as_deref() != Some(point) {
             return Ok(());
         }
         self.stop = None;
         let own_id = std::process::id().to_string();
         std::process::Command::new("kill").args(["-STOP", &own_id]).status()?;
-        sleep(STOPPED_AFTER).await;
+        sleep(SIGSTOP_DELIVERY).await;
         Ok(())
     }
 
-    /// Reports a step; the ledger's word on it.
+    /// Reports a step of a request to the ledger. Whether the ledger allows the step: only the answer to `take`
+    /// matters.
     async fn report(&self, step: &str, id: &str) -> Result<bool, Failure> {
         let mut ledger = TcpStream::connect(self.ledger).await?;
         ledger.write_all(format!("{step} {id}\n").as_bytes()).await?;
-        let mut word = String::new();
-        ledger.read_to_string(&mut word).await?;
-        Ok(word == "yes")
+        let mut answer = String::new();
+        ledger.read_to_string(&mut answer).await?;
+        Ok(answer == "yes")
     }
 
-    /// Answers a request; whether the connection goes on.
+    /// Answers a request. Whether the connection stays open.
     async fn answer(
         &mut self,
         stream: &mut TcpStream,
@@ -97,15 +103,16 @@
             return Ok(true);
         }
         let id = field(head, "x-txn").unwrap_or_default();
-        let [has, over] =
+        let [started, finished] =
             if self.is_reader { ["reader_has", "reader_over"] } else { ["writer_has", "writer_over"] };
-        self.report(has, &id).await?;
+        self.report(started, &id).await?;
         self.stop_at("received").await?;
-        let goes_on = self.work(stream, read, &id).await;
-        self.report(over, &id).await?;
-        goes_on
+        let stays_open = self.work(stream, read, &id).await;
+        self.report(finished, &id).await?;
+        stays_open
     }
 
+    /// Works on a read or write and sends its answer. Whether the connection stays open.
     async fn work(&mut self, stream: &mut TcpStream, read: &mut Vec<u8>, id: &str) -> Result<bool, Failure> {
         if is_closed_within(stream, read, self.work_time).await {
             return Ok(false);
@@ -129,7 +136,8 @@
     }
 }
 
-/// Whether the other side closes within a time: then the work is given up.
+/// Whether the client closes the connection within the time; the request is abandoned then. Bytes that the client
+/// sends also end the wait, and are added to `read`.
 async fn is_closed_within(stream: &mut TcpStream, read: &mut Vec<u8>, time: Duration) -> bool {
     tokio::select! {
         biased;
--- a/tests/conform_report.rs
+++ b/tests/conform_report.rs
@@ -1,4 +1,5 @@
-//! What `dewladder conform` prints, byte for byte: a line for each case, the count, and the one line where not all passed.
+//! The output of `dewladder conform`, byte for byte: the lines for the cases, the summary, and on standard error one
+//! line if not all cases passed. The headings between the runs are part of the golden file.
 
 mod golden_file;
 mod stand_in;
@@ -9,6 +10,7 @@
 use stand_in::*;
 use tokio::process::Command;
 
+/// Runs `dewladder conform`; its exit code, standard output and standard error.
 async fn conform(arguments: &[&str]) -> String {
     let mut program = Command::new(env!("CARGO_BIN_EXE_dewladder"));
     program.args(["conform", "--model", "kiln-ask", "--once", "kiln-book"]).args(arguments).env_clear();
@@ -18,7 +20,7 @@
 }
 
 #[tokio::test]
-async fn each_case_is_printed_with_what_it_came_to() {
+async fn the_output_equals_the_golden_file() {
     let pause = Duration::from_millis(1);
     let shape = Shape { events: 3, read: pause, pause, ..Shape::default() };
     let site = FleetSite::start(shape, "enabled = true\nafter_start_s = 0.0\n").await;
@@ -26,7 +28,7 @@
     let closed = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
     let closed = format!("http://{closed}/");
     let mut text = String::new();
-    for (what, arguments) in [
+    for (heading, arguments) in [
         ("all is well, told", &["--url", &url, "--key", "key-of-clay", "--only", "body/", "--verbose"][..]),
         ("all is well", &["--url", &url, "--key", "key-of-clay", "--only", "body/"]),
         ("another tenant is needed", &["--url", &url, "--key", "key-of-clay", "--only", "another-tenant"]),
@@ -38,7 +40,7 @@
         ("not on loopback", &["--url", "http://192.0.2.1:80"]),
         ("an argument that is not known", &["--url", &url, "--kiln"]),
     ] {
-        text += &format!("=== {what}\n{}", conform(arguments).await);
+        text += &format!("=== {heading}\n{}", conform(arguments).await);
     }
     assert_golden("conform_report.txt", &text);
 }
