--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -1,8 +1,8 @@
-//! A library that tests load into a process (`LD_PRELOAD`). It stands in for functions of the C library and, as the
-//! environment variable [`PLAN`] says, has them fail with an errno, take only a part of the bytes, or tell a wall clock
-//! that has stepped. Without a plan it changes nothing. Never part of the program itself.
+//! A library that tests load into a process with `LD_PRELOAD`. It replaces functions of the C library and injects
+//! faults into them: they fail with an errno, transfer only a part of the bytes, return late, or report a wall
+//! clock that has stepped. Without a plan it changes nothing. The dispatcher does not link it.
 //!
-//! The plan is a list of rules separated by `;`, see [`rule`].
+//! The environment variable [`PLAN`] holds the plan, a list of rules separated by `;`, see [`rule`].
 
 mod calls;
 pub mod rule;
@@ -14,24 +14,30 @@
 
 /// The environment variable that holds the plan.
 pub const PLAN: &str = "FAULT_SHIM_PLAN";
-/// The environment variable that names a file; each injected fault is appended to it as a line.
+/// The environment variable with the path of the trace file, to which each injected fault is appended as a line:
+/// the time since the process started (ms), the call and the effect.
 pub const TRACE: &str = "FAULT_SHIM_TRACE";
 
 const MICROS_PER_MILLI: u64 = 1_000;
 
+/// The plan of this process and the progress of its execution.
 struct State {
     rules: Vec<Rule>,
+    /// Time of the first replaced call, on the monotonic clock.
     started_us: u64,
     /// The descriptor of the trace file, or -1.
     trace: i32,
-    draws: AtomicU64,
-    /// When a hold last began, since the start; 0 for never.
-    held_at_ms: AtomicU64,
+    /// State of the random number generator.
+    generator: AtomicU64,
+    /// When the last hold began, since `started_us`; 0 if there was none.
+    hold_start_ms: AtomicU64,
 }
 
-/// The least time between two holds: several in a row would make one that is longer than any that is asked for.
-const HOLD_INTERVAL_MS: u64 = 1_000;
+/// The minimum time between the starts of two holds. Several holds in a row would add up to a longer one than any
+/// rule asks for.
+const MIN_HOLD_INTERVAL_MS: u64 = 1_000;
 
+/// The state, created at the first replaced call. Panics if the plan is invalid.
 fn state() -> &'static State {
     static STATE: OnceLock<State> = OnceLock::new();
     STATE.get_or_init(|| {
@@ -45,34 +51,36 @@
             rules,
             started_us: calls::monotonic_micros(),
             trace,
-            draws: AtomicU64::new(1),
-            held_at_ms: AtomicU64::new(0),
+            generator: AtomicU64::new(1),
+            hold_start_ms: AtomicU64::new(0),
         }
     })
 }
 
 impl State {
-    /// Whether a hold may begin now; it is taken to begin then.
-    fn may_hold(&self, now_ms: u64) -> bool {
-        let last_ms = self.held_at_ms.load(Ordering::Relaxed);
-        if last_ms != 0 && now_ms < last_ms + HOLD_INTERVAL_MS {
+    /// Whether a hold may begin now. If so, it is recorded as begun.
+    fn try_begin_hold(&self, now_ms: u64) -> bool {
+        let last_ms = self.hold_start_ms.load(Ordering::Relaxed);
+        if last_ms != 0 && now_ms < last_ms + MIN_HOLD_INTERVAL_MS {
             return false;
         }
-        let (order, held_at_ms) = (Ordering::Relaxed, now_ms.max(1));
-        self.held_at_ms.compare_exchange(last_ms, held_at_ms, order, order).is_ok()
+        let (order, hold_start_ms) = (Ordering::Relaxed, now_ms.max(1));
+        self.hold_start_ms.compare_exchange(last_ms, hold_start_ms, order, order).is_ok()
     }
 }
 
-/// A number of a fixed sequence (SplitMix64): the same plan makes the same draws in the same order.
-fn draw(draws: &AtomicU64) -> u64 {
-    const STEP: u64 = 0x9e37_79b9_7f4a_7c15;
-    let mut value = draws.fetch_add(STEP, Ordering::Relaxed).wrapping_add(STEP);
+/// The next number of a fixed pseudorandom sequence (SplitMix64), so that each process with the same plan draws the
+/// same numbers in the same order.
+fn draw(generator: &AtomicU64) -> u64 {
+    const INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
+    let mut value = generator.fetch_add(INCREMENT, Ordering::Relaxed).wrapping_add(INCREMENT);
     value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     value ^ (value >> 31)
 }
 
-/// What the plan has for a call that is made now, if anything.
+/// The effect that the plan has on a call made now, from the first matching rule; `None` if no rule matches. Each
+/// effect is traced.
 fn fault(call: Call) -> Option<Effect> {
     let state = state();
     if state.rules.is_empty() {
@@ -82,15 +90,15 @@
     let rule = state
         .rules
         .iter()
-        .find(|rule| rule.call == call && rule.is_in_force(now_ms) && rule.hits(draw(&state.draws)))?;
-    if matches!(rule.effect, Effect::Hold(_)) && !state.may_hold(now_ms) {
+        .find(|rule| rule.call == call && rule.is_in_force(now_ms) && rule.hits(draw(&state.generator)))?;
+    if matches!(rule.effect, Effect::Hold(_)) && !state.try_begin_hold(now_ms) {
         return None;
     }
     calls::trace(state.trace, &format!("{now_ms} {call:?} {:?}\n", rule.effect));
     Some(rule.effect)
 }
 
-/// By how much the wall clock differs from the machine's now (ms).
+/// The current offset of the wall clock from the system's (ms): the sum of all steps in force.
 fn wall_clock_step() -> i64 {
     let state = state();
     let now_ms = calls::monotonic_micros().saturating_sub(state.started_us) / MICROS_PER_MILLI;
--- a/crates/fault-shim/src/rule.rs
+++ b/crates/fault-shim/src/rule.rs
@@ -1,14 +1,15 @@
-//! The rules of a plan: which call fails how, from when to when, and how often.
+//! The rules of a plan: which calls are affected, how, in which period, and how often.
 //!
-//! A rule is `CALL:EFFECT@FROM-TO%PERMILLE`: times in milliseconds since the process started, `PERMILLE` of the calls
-//! hit. `accept:ECONNABORTED@500-900%300`, `recv:short@0-60000%100`, `clock:3600000@2000-60000`. The last part may be left
-//! out: then every call is hit.
+//! A rule is written `CALL:EFFECT@FROM-TO%PERMILLE`. `FROM` and `TO` are milliseconds since the process started,
+//! and `PERMILLE` is the rate of affected calls per mille; without `%PERMILLE`, every call is affected. Examples:
+//! `accept:ECONNABORTED@500-900%300`, `recv:short@0-60000%100`, `clock:3600000@2000-60000`,
+//! `monotonic:hold60@0-9000%10`.
 
 use std::fmt;
 use std::num::ParseIntError;
 use std::str::FromStr;
 
-/// A group of system calls that fail together.
+/// A group of system calls that the same rules apply to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
     /// `accept4`.
@@ -19,13 +20,13 @@
     Bind,
     /// `listen`.
     Listen,
-    /// `connect` of a stream.
+    /// `connect` of a TCP socket.
     Connect,
-    /// `recv` and `recvfrom` of a stream.
+    /// `recv` on a TCP socket.
     Receive,
-    /// `send`, `sendmsg` and `writev` to a stream.
+    /// `send`, `sendmsg` and `writev` on a TCP socket.
     Send,
-    /// `open` of a file for reading or writing.
+    /// `open64`, for reading or writing.
     Open,
     /// `read` and `pread` of a regular file.
     ReadFile,
@@ -37,57 +38,59 @@
     Sync,
     /// `flock`.
     Lock,
-    /// `clock_gettime` of the wall clock.
+    /// `clock_gettime` of the wall clock (`CLOCK_REALTIME`).
     WallClock,
-    /// A hold between a look at the monotonic clock and what follows it.
+    /// `clock_gettime` of the monotonic clock. A hold delays the caller after the clock was read, so that the time
+    /// it has read is already old.
     MonotonicClock,
 }
 
-/// What becomes of a call.
+/// The effect of a rule on a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// It fails with this errno and does nothing.
+    /// The call fails with this errno, without being executed.
     Errno(i32),
-    /// It does its work for a part of the bytes only.
+    /// The call transfers only a part of the bytes.
     Short,
-    /// The clock differs from the machine's by so many milliseconds.
+    /// The wall clock differs from the system's by this offset (ms).
     Step(i64),
-    /// It returns so many milliseconds late.
+    /// The call returns late by this time (ms).
     Hold(u64),
 }
 
 /// One rule of a plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rule {
-    /// The calls that it is about.
+    /// The calls that the rule applies to.
     pub call: Call,
-    /// What becomes of them.
+    /// The effect on these calls.
     pub effect: Effect,
-    /// Milliseconds since the process started.
+    /// Start of the period in which the rule is in force, in milliseconds since the process started.
     pub from_ms: u64,
-    /// Milliseconds since the process started; from then on it is not in force.
+    /// End of the period (exclusive), in milliseconds since the process started.
     pub to_ms: u64,
-    /// So many of a thousand calls are hit.
+    /// Rate of affected calls (per mille).
     pub permille: u64,
 }
 
 impl Rule {
-    /// Whether it is in force at a time since the start.
+    /// Whether the rule is in force at this time since the process started.
     #[must_use]
     pub fn is_in_force(&self, now_ms: u64) -> bool {
         (self.from_ms..self.to_ms).contains(&now_ms)
     }
 
-    /// Whether a call with this random draw is hit.
+    /// Whether the rule affects a call, given a random number drawn for that call.
     #[must_use]
     pub fn hits(&self, draw: u64) -> bool {
         draw % 1_000 < self.permille
     }
 }
 
-/// The share of calls that are hit where a rule does not say it.
-const ALWAYS: &str = "1000";
+/// The rate of affected calls (per mille) of a rule without one.
+const DEFAULT_PERMILLE: &str = "1000";
 
+/// The names of calls in rules.
 const CALLS: [(&str, Call); 15] = [
     ("accept", Call::Accept),
     ("socket", Call::Socket),
@@ -106,6 +109,7 @@
     ("monotonic", Call::MonotonicClock),
 ];
 
+/// The errno names that a rule can use.
 const ERRNOS: [(&str, i32); 21] = [
     ("EACCES", libc::EACCES),
     ("EADDRINUSE", libc::EADDRINUSE),
@@ -130,34 +134,34 @@
     ("ETIMEDOUT", libc::ETIMEDOUT),
 ];
 
-/// Why a text is no rule.
+/// Why a text is not a valid rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RuleError {
-    /// The part with this separator is missing.
+    /// This separator, and with it a part of the rule, is missing.
     Missing(&'static str),
-    /// A time or share that is no number.
+    /// A time or rate is not a valid number.
     Number {
-        /// What was given.
+        /// The invalid text.
         text: String,
-        /// Why it can't be read.
+        /// Why it can't be parsed.
         source: ParseIntError,
     },
-    /// The time of a hold that is no number.
+    /// The time of a hold is not a valid number.
     Hold(ParseIntError),
-    /// No group of calls has this name.
+    /// The text is not the name of a call.
     UnknownCall(String),
-    /// No effect has this name.
+    /// The text is neither an errno name, `short`, a hold nor a clock offset.
     UnknownEffect(String),
 }
 
 impl fmt::Display for RuleError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Missing(part) => write!(formatter, "no {part}"),
-            Self::Number { text, source } => write!(formatter, "'{text}': {source}"),
-            Self::Hold(source) => write!(formatter, "{source}"),
-            Self::UnknownCall(text) => write!(formatter, "'{text}' is no call"),
-            Self::UnknownEffect(text) => write!(formatter, "'{text}' is no effect"),
+            Self::Missing(part) => write!(formatter, "missing {part}"),
+            Self::Number { text, source } => write!(formatter, "invalid number '{text}': {source}"),
+            Self::Hold(source) => write!(formatter, "invalid hold time: {source}"),
+            Self::UnknownCall(text) => write!(formatter, "unknown call '{text}'"),
+            Self::UnknownEffect(text) => write!(formatter, "unknown effect '{text}'"),
         }
     }
 }
@@ -194,23 +198,23 @@
     fn from_str(text: &str) -> Result<Self, RuleError> {
         let (call, rest) = text.split_once(':').ok_or(RuleError::Missing("':'"))?;
         let (effect, times) = rest.split_once('@').ok_or(RuleError::Missing("'@'"))?;
-        let (times, permille) = times.split_once('%').unwrap_or((times, ALWAYS));
+        let (times, permille) = times.split_once('%').unwrap_or((times, DEFAULT_PERMILLE));
         let (from, to) = times.split_once('-').ok_or(RuleError::Missing("'-' between the times"))?;
         Ok(Self {
-            call: call_named(call)?,
+            call: parse_call(call)?,
             effect: effect.parse()?,
-            from_ms: number(from)?,
-            to_ms: number(to)?,
-            permille: number(permille)?,
+            from_ms: parse_number(from)?,
+            to_ms: parse_number(to)?,
+            permille: parse_number(permille)?,
         })
     }
 }
 
-fn call_named(text: &str) -> Result<Call, RuleError> {
-    let named = CALLS.iter().find(|(name, _)| *name == text);
-    named.map(|(_, call)| *call).ok_or_else(|| RuleError::UnknownCall(text.to_owned()))
+fn parse_call(text: &str) -> Result<Call, RuleError> {
+    let entry = CALLS.iter().find(|(name, _)| *name == text);
+    entry.map(|(_, call)| *call).ok_or_else(|| RuleError::UnknownCall(text.to_owned()))
 }
 
-fn number(text: &str) -> Result<u64, RuleError> {
+fn parse_number(text: &str) -> Result<u64, RuleError> {
     text.parse().map_err(|source| RuleError::Number { text: text.to_owned(), source })
 }
