--- a/benches/load.rs
+++ b/benches/load.rs
@@ -1,8 +1,10 @@
-//! 500 streams at once before the program under 1,024 descriptors and 192 MB, with a fifth of all requests failing
-//! at servers: final answers, memory, descriptors and time to the first event. With `BASELINE=PROGRAM` an earlier
-//! build of the program is played in the same run; `ONLY=TEXT` plays rows that begin so. `cargo bench --bench load`.
+//! 500 concurrent streams through one dispatcher, which is limited to 1,024 descriptors and 192 MB, while servers
+//! fail a fifth of all requests. Reports the final answers, memory, descriptors and time to the first event.
+//!
+//! `cargo bench --bench load`. With `BASELINE=PROGRAM`, an earlier build of the program is measured in the same run.
+//! `ONLY=TEXT` measures only the rows whose name starts with the text.
 
-use std::net::{SocketAddr, TcpListener as Plain};
+use std::net::{SocketAddr, TcpListener as StdListener};
 use std::path::Path;
 use std::process::Stdio;
 use std::time::Duration;
@@ -16,35 +18,43 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until, timeout_at, Instant};
 
+/// Clients in each round.
 const STREAMS: usize = 500;
 const ROUNDS: usize = 4;
-/// All clients of a round come within this.
-const WITHIN: Duration = Duration::from_millis(1_000);
-const PATIENCE: Duration = Duration::from_secs(20);
+/// The clients of a round start evenly spread over this time.
+const ARRIVAL_TIME: Duration = Duration::from_millis(1_000);
+/// How long a client waits for the end of its answer.
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(20);
 
+/// Number of clients by the answer that they received.
 #[derive(Default)]
-struct Came {
+struct AnswerCounts {
+    /// A complete answer.
     whole: usize,
+    /// A stream that ended with an error.
     errors: usize,
+    /// Rejected, with the time after which to retry.
     refused: usize,
+    /// Failed before the stream began.
     failed: usize,
     /// Anything else: no final answer, or more than one.
     unclear: usize,
 }
 
-/// An address that is free now.
-fn free() -> SocketAddr {
-    Plain::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("a port")
+/// An address with a free port.
+fn free_address() -> SocketAddr {
+    StdListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("a port")
 }
 
+/// Starts a build of the program; the addresses of its platform front and its chat front.
 async fn start(program: &Path, fleet: &Fleet, fronts: &str) -> (Child, SocketAddr, SocketAddr) {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
     let mut platform: Value =
         serde_json::from_str(&config(fleet.agent.address, &fleet.listing())).expect("JSON");
-    let (listen, chat) = (free(), free());
+    let (listen, chat) = (free_address(), free_address());
     platform["listen"] = json!(listen);
-    for lane in platform["settings"]["lanes"].as_array_mut().expect("lanes") {
-        (lane["aim_s"], lane["give_up_s"]) = (json!(1.2), json!(6.0));
+    for class in platform["settings"]["lanes"].as_array_mut().expect("classes") {
+        (class["aim_s"], class["give_up_s"]) = (json!(1.2), json!(6.0));
     }
     let (config, front) = (folder.join("load.json"), folder.join("load.toml"));
     std::fs::write(&config, platform.to_string()).expect("written");
@@ -62,8 +72,8 @@
     (child, listen, chat)
 }
 
-/// One client; the time from when it was due to its first event, so that a program that holds up its clients
-/// does not look fast.
+/// One client, which starts when it is due. The time to its first event, and the kind of its answer. The time
+/// counts from when the client was due, so that a dispatcher that is slow to accept does not appear fast.
 async fn client(
     to: SocketAddr,
     number: usize,
@@ -82,35 +92,35 @@
         body.len()
     );
     let text = if platform {
-        let (id, lane) = (
+        let (id, class) = (
             format!("{:016x}", 0x5eed_0000_0000 + number),
             if number.is_multiple_of(4) { "book" } else { "ask" },
         );
-        dewladder_test_peers::platform(&id, lane, "6.0")
+        dewladder_test_peers::platform(&id, class, "6.0")
             .replace("{\"stream\":true}", &body)
             .replace("Content-Length: 15", &format!("Content-Length: {}", body.len()))
     } else {
         text
     };
-    let mut first = None;
-    let talk = async {
+    let mut first_event = None;
+    let exchange = async {
         let mut read = Vec::new();
         let Ok(mut stream) = TcpStream::connect(to).await else { return read };
         if stream.write_all(text.as_bytes()).await.is_ok() {
             while stream.read_buf(&mut read).await.is_ok_and(|count| count > 0) {
-                if first.is_none() && read.windows(6).any(|window| window == b"data: ") {
-                    first = Some(due.elapsed());
+                if first_event.is_none() && read.windows(6).any(|window| window == b"data: ") {
+                    first_event = Some(due.elapsed());
                 }
             }
         }
         read
     };
-    let read = timeout_at(due + PATIENCE, talk).await.unwrap_or_default();
+    let read = timeout_at(due + CLIENT_TIMEOUT, exchange).await.unwrap_or_default();
     let text = String::from_utf8_lossy(&read);
     let status = text.split(' ').nth(1).unwrap_or("");
     let (dones, errors) = (text.matches("data: [DONE]").count(), text.matches("\"error\"").count());
-    let came = match (status, dones, errors) {
-        // The platform's front cuts a stream that broke off, without the last chunk.
+    let outcome = match (status, dones, errors) {
+        // If a server breaks off a stream, the platform front closes the connection without the last chunk.
         ("200", 0, 0) if platform && !text.ends_with("0\r\n\r\n") => "error",
         ("503", 0, 0) if platform && text.contains("retry-after") => "refused",
         ("502", 0, 0) if platform => "failed",
@@ -120,9 +130,10 @@
         ("502" | "504", 0, 1) => "failed",
         _ => "unclear",
     };
-    (first, came)
+    (first_event, outcome)
 }
 
+/// A field of the process's `/proc/PID/status`; 0 if it can't be read.
 fn status(child: &Child, name: &str) -> u64 {
     let id = child.id().unwrap_or(0);
     let text = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
@@ -130,12 +141,14 @@
     line.split_whitespace().nth(1).and_then(|number| number.parse().ok()).unwrap_or(0)
 }
 
+/// Number of open descriptors of the process.
 fn descriptors(child: &Child) -> usize {
     std::fs::read_dir(format!("/proc/{}/fd", child.id().unwrap_or(0))).map_or(0, Iterator::count)
 }
 
-async fn play(what: &str, program: &Path, extra: &str, platform: bool) {
-    if std::env::var("ONLY").is_ok_and(|only| !what.starts_with(&only)) {
+/// Measures one build with one configuration, through the platform front or the chat front, and prints a row.
+async fn measure(row: &str, program: &Path, extra: &str, platform: bool) {
+    if std::env::var("ONLY").is_ok_and(|only| !row.starts_with(&only)) {
         return;
     }
     let (read, pause) = (Duration::from_millis(3), Duration::from_millis(40));
@@ -151,64 +164,66 @@
     );
     let (mut child, listen, chat) = start(program, &fleet, &fronts).await;
     let front = if platform { listen } else { chat };
-    let (mut came, mut most) = (Came::default(), 0);
-    let mut firsts = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("bounds");
+    let (mut outcome, mut max_descriptors) = (AnswerCounts::default(), 0);
+    let mut first_events = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("bounds");
     for round in 0..ROUNDS {
-        let begin = Instant::now() + Duration::from_millis(50);
+        let start_time = Instant::now() + Duration::from_millis(50);
         let mut clients = JoinSet::new();
         for number in 0..STREAMS {
-            let due = begin + WITHIN * number as u32 / STREAMS as u32;
+            let due = start_time + ARRIVAL_TIME * number as u32 / STREAMS as u32;
             clients.spawn(client(front, round * STREAMS + number, due, platform));
         }
-        let mut look = tokio::time::interval(Duration::from_millis(50));
+        let mut sampling = tokio::time::interval(Duration::from_millis(50));
         loop {
             tokio::select! {
                 joined = clients.join_next() => {
-                    let Some(Ok((first, how))) = joined else { break };
-                    if let Some(first) = first {
-                        firsts.saturating_record(first.as_micros() as u64);
+                    let Some(Ok((first_event, answer))) = joined else { break };
+                    if let Some(first_event) = first_event {
+                        first_events.saturating_record(first_event.as_micros() as u64);
                     }
-                    match how {
-                        "whole" => came.whole += 1,
-                        "error" => came.errors += 1,
-                        "refused" => came.refused += 1,
-                        "failed" => came.failed += 1,
-                        _ => came.unclear += 1,
+                    match answer {
+                        "whole" => outcome.whole += 1,
+                        "error" => outcome.errors += 1,
+                        "refused" => outcome.refused += 1,
+                        "failed" => outcome.failed += 1,
+                        _ => outcome.unclear += 1,
                     }
                 }
-                _ = look.tick() => most = most.max(descriptors(&child)),
+                _ = sampling.tick() => max_descriptors = max_descriptors.max(descriptors(&child)),
             }
         }
     }
-    let (memory, begun) = (status(&child, "VmHWM") / 1_024, fleet.started());
-    let book =
-        |number: usize| begun.iter().filter(|b| b.body.contains(&format!("request {number}\""))).count() > 1;
-    let doubled = (0..ROUNDS * STREAMS).filter(|number| number.is_multiple_of(4) && book(*number)).count();
+    let (memory, started) = (status(&child, "VmHWM") / 1_024, fleet.started());
+    let ran_twice = |number: usize| {
+        started.iter().filter(|request| request.body.contains(&format!("request {number}\""))).count() > 1
+    };
+    let doubled =
+        (0..ROUNDS * STREAMS).filter(|number| number.is_multiple_of(4) && ran_twice(*number)).count();
     println!(
-        "{what:<22} {:>6} {:>6} {:>8} {:>7} {:>8} {:>8} {:>9} {:>9} {:>7} {:>6} {:>8}",
-        came.whole,
-        came.errors,
-        came.refused,
-        came.failed,
-        came.unclear,
+        "{row:<22} {:>6} {:>6} {:>8} {:>7} {:>8} {:>8} {:>9} {:>9} {:>7} {:>6} {:>8}",
+        outcome.whole,
+        outcome.errors,
+        outcome.refused,
+        outcome.failed,
+        outcome.unclear,
         doubled,
-        firsts.value_at_quantile(0.5) as f64 / 1e3,
-        firsts.value_at_quantile(0.99) as f64 / 1e3,
+        first_events.value_at_quantile(0.5) as f64 / 1e3,
+        first_events.value_at_quantile(0.99) as f64 / 1e3,
         memory,
-        most,
+        max_descriptors,
         fleet.max_open()
     );
-    child.start_kill().expect("it can be ended");
+    child.start_kill().expect("the process can be killed");
     let _ = child.wait().await;
 }
 
 fn main() {
-    // Under `cargo test` a benchmark is only to show that it builds.
+    // `cargo test` also runs benchmarks, without `--bench`: then it only has to build.
     if !std::env::args().any(|argument| argument == "--bench") {
         return;
     }
     println!(
-        "{ROUNDS} times {STREAMS} streams within {WITHIN:?}, 60 events of 40 ms each; 4 readers, 6 writers"
+        "{ROUNDS} times {STREAMS} streams within {ARRIVAL_TIME:?}, 60 events of 40 ms each; 4 readers, 6 writers"
     );
     println!(
         "{:<22} {:>6} {:>6} {:>8} {:>7} {:>8} {:>8} {:>9} {:>9} {:>7} {:>6} {:>8}",
@@ -234,15 +249,15 @@
     runtime.block_on(async {
         let baseline = std::env::var("BASELINE").ok();
         if let Some(baseline) = &baseline {
-            play("platform, as it stood", Path::new(baseline), "", true).await;
+            measure("platform, baseline", Path::new(baseline), "", true).await;
         }
-        play("platform, now", now, "", true).await;
+        measure("platform, current", now, "", true).await;
         if let Some(baseline) = &baseline {
-            play("chat, as it stood", Path::new(baseline), "", false).await;
+            measure("chat, baseline", Path::new(baseline), "", false).await;
         }
-        play("chat, now", now, "", false).await;
-        play("chat, with the ledger", now, "[chat.repeats]\nenabled = true\nafter_start_s = 0.0\n", false).await;
-        let all = "[chat.repeats]\nenabled = true\nafter_start_s = 0.0\nlinger_s = 10.0\n[chat.resume]\nenabled = true\n";
-        play("chat, all on", now, all, false).await;
+        measure("chat, current", now, "", false).await;
+        measure("chat, deduplication", now, "[chat.repeats]\nenabled = true\nafter_start_s = 0.0\n", false).await;
+        let all_features = "[chat.repeats]\nenabled = true\nafter_start_s = 0.0\nlinger_s = 10.0\n[chat.resume]\nenabled = true\n";
+        measure("chat, all on", now, all_features, false).await;
     });
 }
--- a/benches/repeats.rs
+++ b/benches/repeats.rs
@@ -1,5 +1,6 @@
-//! Trials with forced disconnects, without knowledge of repeats, with it, and with a time to linger: how many bookings
-//! run twice, and what the retries get. `cargo bench --bench repeats`.
+//! Bookings whose clients lose their connection and retry, against a dispatcher without deduplication, with it, and
+//! with a linger time in addition, for which requests go on after their client has disconnected. Counts how many
+//! bookings run twice, and what the retries receive. `cargo bench --bench repeats`.
 
 #[path = "../tests/stand_in/mod.rs"]
 mod stand_in;
@@ -8,10 +9,11 @@
 
 use std::time::Instant;
 
+/// Number of bookings in each configuration.
 const TRIALS: usize = 2_400;
 
 fn main() {
-    // Under `cargo test` a benchmark is only to show that it builds.
+    // `cargo test` also runs benchmarks, without `--bench`: then it only has to build.
     if !std::env::args().any(|argument| argument == "--bench") {
         return;
     }
@@ -20,21 +22,23 @@
         "{:<24} {:>8} {:>9} {:>9} {:>10} {:>10} {:>8} {:>8}",
         "", "doubled", "never ran", "answered", "for good", "come back", "unclear", "seconds"
     );
-    for (what, linger) in [("no ledger", None), ("ledger", Some(0.0)), ("ledger, linger 10 s", Some(10.0))] {
+    for (configuration, linger) in
+        [("no deduplication", None), ("deduplication", Some(0.0)), ("and linger of 10 s", Some(10.0))]
+    {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         let start = Instant::now();
-        let came = runtime.block_on(async {
+        let counts = runtime.block_on(async {
             let site = trials::site(linger).await;
             trials::run(site.chat, &site.fleet, TRIALS, 20_261_201).await
         });
         println!(
-            "{what:<24} {:>8} {:>9} {:>9} {:>10} {:>10} {:>8} {:>8.1}",
-            came.doubled,
-            came.never_ran,
-            came.answered,
-            came.refused_for_good,
-            came.asked_back,
-            came.unclear,
+            "{configuration:<24} {:>8} {:>9} {:>9} {:>10} {:>10} {:>8} {:>8.1}",
+            counts.doubled,
+            counts.never_ran,
+            counts.answered,
+            counts.refused_for_good,
+            counts.asked_back,
+            counts.unclear,
             start.elapsed().as_secs_f64()
         );
     }
--- a/benches/scale/decisions.rs
+++ b/benches/scale/decisions.rs
@@ -1,4 +1,5 @@
-//! Decisions alone, on one core: a dispatcher's share of requests in virtual time, each call of the router timed.
+//! Cost of the decisions alone: one dispatcher's share of the requests, in virtual time on one core, with the real
+//! time of each call of the router measured.
 
 use std::collections::BTreeMap;
 use std::process::Command;
@@ -17,61 +18,70 @@
 use crate::{oracle, Failure};
 
 const SECOND: Micros = 1_000_000;
-/// Requests a second of one dispatcher: 22,000 over 510.
+/// Requests a second of one dispatcher: 22,000 over 510 dispatchers.
 const REQUESTS_PER_SECOND: u64 = 43;
-/// Requests that are played before anything is measured, unless told otherwise: beliefs and rates are as in service
-/// then.
+/// Requests that are simulated before the measurement by default (20 s), so that the router's estimates and rates
+/// are as in operation.
 const WARM_UP_REQUESTS: u64 = REQUESTS_PER_SECOND * 20;
+/// Duration of a read.
 const READ_US: Micros = 300_000;
+/// Time until a write begins to stream.
 const WRITE_US: Micros = 120_000;
+/// Duration of a stream.
 const STREAM_US: Micros = 8 * SECOND;
-/// Servers in slow start stay so for the whole workload.
+/// Long enough that servers in slow start stay in it for the whole workload.
 const SLOW_START_WINDOW_US: Micros = 100_000 * SECOND;
-/// Longest time that one sample is played (s); requests measured until then count.
+/// Longest real time of one sample. A sample that reaches it has the requests measured until then, and at least 50.
 const MAX_SAMPLE_TIME: Duration = Duration::from_secs(40);
 
-/// The router, or the oracle that it is compared with.
-trait Decides {
+/// The router, or the full scan that it is compared with: the test oracle, which compares all servers in each
+/// decision.
+trait EventHandler {
     fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>);
 }
 
-impl Decides for dewladder_router::Router {
+impl EventHandler for dewladder_router::Router {
     fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.handle(now, event, out);
     }
 }
 
-impl Decides for oracle::Router {
+impl EventHandler for oracle::Router {
     fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.handle(now, event, out);
     }
 }
 
-/// One size.
+/// The size of a simulated deployment and of the sample.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
     pub decider: Decider,
     pub servers: u32,
-    pub cold_percent: u32,
+    /// Share of the servers that are in slow start (percent).
+    pub slow_start_percent: u32,
     pub dispatchers: u32,
     pub classes: u32,
+    /// Requests to measure.
     pub requests: u64,
+    /// Requests before the measurement.
     pub warm_up: u64,
 }
 
-/// What happens next in virtual time.
+/// A scheduled event in virtual time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Step {
+    /// A timer that the router started expires.
     TimerFires(TimerToken),
     /// A prompt has been read.
     ReadEnds(InFlight),
     /// An answer begins to stream.
     StreamStarts(InFlight),
+    /// An answer is complete.
     StreamEnds(InFlight),
     RequestArrives,
 }
 
-/// An attempt that was sent.
+/// An attempt that was sent and has not ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct InFlight {
     id: RequestId,
@@ -80,27 +90,31 @@
     sent_at: Micros,
 }
 
-/// Requests before one dispatcher, in virtual time; the router's time is taken on the real clock.
+/// The requests of one dispatcher in virtual time. The router's processing time is measured on the real clock.
 pub struct Workload {
-    router: Box<dyn Decides>,
+    router: Box<dyn EventHandler>,
     size: Size,
     /// Requests a second.
     rate: u64,
-    /// Load updates that were sent to other dispatchers.
+    /// Load updates that the router has sent to other dispatchers.
     published: u64,
     now: Micros,
+    /// Steps by time and sequence number.
     schedule: BTreeMap<(Micros, u64), Step>,
-    /// Parts steps of one time, in the order in which they were scheduled.
+    /// Number of scheduled steps, which keeps steps at the same time in the order in which they were scheduled.
     sequence: u64,
-    /// Requests that have arrived.
+    /// Number of requests that have arrived.
     arrived: u64,
     rng: Pcg64Mcg,
-    /// Time that the router has taken for each open request.
+    /// Time that the router has spent on each open request so far.
     decision_times: BTreeMap<RequestId, Duration>,
+    /// Number of attempts of each open request so far.
     attempts: BTreeMap<RequestId, u32>,
+    /// Number of measured requests that were served.
     served: u64,
-    /// The same of completed requests (ns), and of sweeps.
+    /// Time that the router spent on each measured request that is complete.
     request_times_ns: Histogram<u64>,
+    /// Time that the router spent on each measured sweep: a periodic timer.
     sweep_times_ns: Histogram<u64>,
 }
 
@@ -117,12 +131,12 @@
         Self::with(size, REQUESTS_PER_SECOND, |_| {})
     }
 
-    /// A workload of so many requests a second, and settings changed by `tweak`.
-    pub fn with(size: Size, rate: u64, tweak: impl FnOnce(&mut Settings)) -> Self {
+    /// A workload with another request rate (requests a second) and with settings adjusted by `adjust`.
+    pub fn with(size: Size, rate: u64, adjust: impl FnOnce(&mut Settings)) -> Self {
         let mut settings = shape::settings(size.dispatchers, size.classes, SLOW_START_WINDOW_US);
-        tweak(&mut settings);
+        adjust(&mut settings);
         let now = 1_000 * SECOND;
-        let router: Box<dyn Decides> = match size.decider {
+        let router: Box<dyn EventHandler> = match size.decider {
             Decider::Indexed => Box::new(dewladder_router::Router::new(settings, 7, now)),
             Decider::FullScan => Box::new(oracle::Router::new(settings, 7, now)),
         };
@@ -148,8 +162,8 @@
     }
 
     fn is_in_slow_start(&self, server: u32) -> bool {
-        // Spread evenly over cells and roles.
-        u64::from(server) * 37 % 100 < u64::from(self.size.cold_percent)
+        // The factor spreads these servers evenly over cells and roles.
+        u64::from(server) * 37 % 100 < u64::from(self.size.slow_start_percent)
     }
 
     fn entries(&self) -> Vec<ServerEntry> {
@@ -157,6 +171,7 @@
         (0..self.size.servers).map(|server| shape::entry(server, started(server))).collect()
     }
 
+    /// Hands the whole list to the router; the time that it took.
     fn send_list(&mut self) -> Duration {
         let event = Event::EndpointsUpdated { how: ListUpdateKind::Full, entries: self.entries() };
         self.handle_event(event, None)
@@ -167,13 +182,14 @@
         self.schedule.insert((at, self.sequence), step);
     }
 
-    /// Hands the router an event and does as it says; how long that took it. `of`: the request that it counts for.
-    fn handle_event(&mut self, event: Event, of: Option<RequestId>) -> Duration {
+    /// Hands an event to the router and executes its actions. The time that the router took, which is also added to
+    /// that of the given request.
+    fn handle_event(&mut self, event: Event, request: Option<RequestId>) -> Duration {
         let mut actions = Vec::new();
         let start = Instant::now();
         self.router.handle(self.now, event, &mut actions);
         let took = start.elapsed();
-        if let Some(id) = of {
+        if let Some(id) = request {
             *self.decision_times.entry(id).or_default() += took;
         }
         for action in actions {
@@ -201,12 +217,15 @@
         }
     }
 
+    /// Ends a request, and records its time if it belongs to the measurement.
     fn complete(&mut self, id: RequestId, served: bool) {
         self.attempts.remove(&id);
         let Some(spent) = self.decision_times.remove(&id) else { return };
         if id.0 > self.size.warm_up {
             self.served += u64::from(served);
-            self.request_times_ns.record(spent.as_nanos() as u64).expect("it grows");
+            self.request_times_ns
+                .record(spent.as_nanos() as u64)
+                .expect("the histogram resizes automatically");
         }
     }
 
@@ -214,16 +233,17 @@
         self.arrived += 1;
         let id = RequestId(self.arrived);
         let draw = self.rng.next_u64();
-        // Turns of some thousand sessions; two in three share one of 200 prefixes, the first ones the most.
+        // A turn of one of 4,000 sessions. Two in three sessions share one of 200 prefixes, the first ones most
+        // often.
         let session = draw % 4_000;
         let shared = (draw >> 32) % 200 * ((draw >> 40) % 200) / 200;
-        let shares = !session.is_multiple_of(3);
+        let has_shared_prefix = !session.is_multiple_of(3);
         let info = RequestInfo {
             id,
             class: session as u32 % self.size.classes,
             session: Some(Key(session)),
-            shared: shares.then_some(Key(1 << 40 | shared)),
-            shared_tokens: if shares { 1_500 } else { 0 },
+            shared: has_shared_prefix.then_some(Key(1 << 40 | shared)),
+            shared_tokens: if has_shared_prefix { 1_500 } else { 0 },
             prompt_tokens: 2_000 + (draw >> 20) % 6_000,
             max_tokens: 500,
             hint: None,
@@ -260,7 +280,7 @@
     fn fire_timer(&mut self, token: TimerToken) {
         let took = self.handle_event(Event::TimerFired(token), None);
         if self.arrived > self.size.warm_up {
-            self.sweep_times_ns.record(took.as_nanos() as u64).expect("it grows");
+            self.sweep_times_ns.record(took.as_nanos() as u64).expect("the histogram resizes automatically");
         }
     }
 
@@ -279,29 +299,30 @@
         }
     }
 
-    /// Runs until so many requests have arrived.
-    pub fn until_arrived(&mut self, requests: u64) {
+    /// Executes steps until this number of requests have arrived.
+    pub fn run_until_arrived(&mut self, requests: u64) {
         while self.arrived < requests {
             self.step();
         }
     }
 
-    /// Load updates that were sent to other dispatchers.
+    /// Number of load updates that the router has sent to other dispatchers.
     pub fn published(&self) -> u64 {
         self.published
     }
 
-    /// Mean time of so many events (us).
+    /// Mean time that the router takes for `count` events (us).
     fn mean_time_us(&mut self, count: u32, mut event: impl FnMut(&mut Self, u32) -> Event) -> f64 {
-        let mut all = Duration::ZERO;
+        let mut total = Duration::ZERO;
         for at in 0..count {
             self.now += 1_000;
             let event = event(self, at);
-            all += self.handle_event(event, None);
+            total += self.handle_event(event, None);
         }
-        micros(all.as_nanos() as f64 / f64::from(count))
+        micros(total.as_nanos() as f64 / f64::from(count))
     }
 
+    /// Mean time to take in a list with one changed entry (us).
     fn changed_entry(&mut self) -> f64 {
         self.mean_time_us(100, |workload, at| {
             let server = at / 2 % workload.size.servers;
@@ -311,6 +332,7 @@
         })
     }
 
+    /// Mean time to take in a load update from another dispatcher (us).
     fn received_update(&mut self) -> f64 {
         self.mean_time_us(2_000, |workload, at| {
             let server = tag(ServerId(at * 7 % workload.size.servers));
@@ -320,14 +342,15 @@
     }
 }
 
-/// Resident memory of this process (bytes).
-pub fn resident() -> u64 {
-    let statm = std::fs::read_to_string("/proc/self/statm").expect("its own figures");
+/// Resident memory of this process (bytes), for pages of 4 KiB.
+pub fn resident_memory() -> u64 {
+    let statm = std::fs::read_to_string("/proc/self/statm").expect("the statistics of this process");
     statm.split(' ').nth(1).and_then(|pages| pages.parse::<u64>().ok()).expect("resident pages") * 4_096
 }
 
+/// Runs one workload and measures it.
 fn sample(size: Size) -> DecisionSample {
-    let before = resident();
+    let before = resident_memory();
     let mut workload = Workload::new(size);
     let end = size.warm_up + size.requests;
     let start = Instant::now();
@@ -336,20 +359,20 @@
     {
         workload.step();
     }
-    // Those that are open come to their end; the last ones asked are not measured to it otherwise.
+    // Lets open requests finish; otherwise the last ones that arrived would be missing from the measurement.
     let last = workload.now + 10 * SECOND;
     while workload.schedule.first_key_value().is_some_and(|((at, _), _)| *at < last)
         && start.elapsed() < MAX_SAMPLE_TIME
     {
         workload.step();
     }
-    let memory = resident().saturating_sub(before);
-    let lists = 5;
-    let whole: Duration = (0..lists).map(|_| workload.send_list()).sum();
+    let memory = resident_memory().saturating_sub(before);
+    let list_count = 5;
+    let whole: Duration = (0..list_count).map(|_| workload.send_list()).sum();
     DecisionSample {
         decider: size.decider,
         servers: size.servers,
-        slow_start_percent: size.cold_percent,
+        slow_start_percent: size.slow_start_percent,
         dispatchers: size.dispatchers,
         classes: size.classes,
         requests: workload.request_times_ns.len(),
@@ -358,19 +381,21 @@
         request_p99: micros(workload.request_times_ns.value_at_quantile(0.99) as f64),
         request_worst: micros(workload.request_times_ns.max() as f64),
         sweep_mean: micros(workload.sweep_times_ns.mean()),
-        whole_list: micros(whole.as_nanos() as f64 / f64::from(lists)),
+        whole_list: micros(whole.as_nanos() as f64 / f64::from(list_count)),
         changed_entry: workload.changed_entry(),
         update_received: workload.received_update(),
         memory,
     }
 }
 
+/// The values of `--decider` in the part `decisions`.
 const DECIDERS: [(&str, &[Decider]); 3] = [
     ("both", &[Decider::FullScan, Decider::Indexed]),
     ("indexed", &[Decider::Indexed]),
     ("full-scan", &[Decider::FullScan]),
 ];
 
+/// The options of one sample.
 fn size(arguments: &mut Arguments) -> Result<Size, OptionsError> {
     Ok(Size {
         decider: options::one_of(
@@ -379,7 +404,7 @@
             &[("indexed", Decider::Indexed), ("full-scan", Decider::FullScan)],
         )?,
         servers: options::number(arguments, "--servers", 100, 2..=20_000)?,
-        cold_percent: options::number(arguments, "--cold", 0, 0..=100)?,
+        slow_start_percent: options::number(arguments, "--cold", 0, 0..=100)?,
         dispatchers: options::number(arguments, "--dispatchers", 510, 1..=100_000)?,
         classes: options::number(arguments, "--classes", 4, 1..=1_000)?,
         requests: options::number(arguments, "--requests", 2_000, 10..=1_000_000)?,
@@ -387,19 +412,21 @@
     })
 }
 
-/// One sample, as JSON on standard output: each is taken in a process of its own, for its memory's sake.
-pub fn one(mut arguments: Arguments) -> Result<(), Failure> {
+/// Prints one sample as JSON on standard output. Each sample is taken in a separate process, so that its memory can
+/// be measured.
+pub fn print_sample(mut arguments: Arguments) -> Result<(), Failure> {
     let size = size(&mut arguments)?;
     options::end(arguments)?;
     println!("{}", serde_json::to_string(&sample(size))?);
     Ok(())
 }
 
-fn in_process(size: Size) -> Result<DecisionSample, Failure> {
+/// Takes one sample in a separate process.
+fn sample_in_process(size: Size) -> Result<DecisionSample, Failure> {
     let decider = if size.decider == Decider::Indexed { "indexed" } else { "full-scan" };
     let numbers = [
         ("--servers", u64::from(size.servers)),
-        ("--cold", size.cold_percent.into()),
+        ("--cold", size.slow_start_percent.into()),
         ("--dispatchers", size.dispatchers.into()),
         ("--classes", size.classes.into()),
         ("--requests", size.requests),
@@ -417,7 +444,8 @@
     Ok(serde_json::from_slice(&output.stdout)?)
 }
 
-/// Takes samples, one quantity varied at a time, and records them.
+/// The part `decisions`: measures each number of servers with each share of servers in slow start, then, for the
+/// largest number of servers, each further number of dispatchers and of classes. Records the samples.
 pub fn command(mut arguments: Arguments) -> Result<(), Failure> {
     let out = crate::out(&mut arguments)?;
     let deciders = options::one_of(&mut arguments, "--decider", &DECIDERS)?;
@@ -428,18 +456,18 @@
     let requests = options::number(&mut arguments, "--requests", 2_000, 10..=1_000_000)?;
     let warm_up = options::number(&mut arguments, "--warm-up", WARM_UP_REQUESTS, 0..=1_000_000)?;
     options::end(arguments)?;
-    let (most, first) = (servers[servers.len() - 1], (dispatchers[0], classes[0]));
+    let (max_servers, first) = (servers[servers.len() - 1], (dispatchers[0], classes[0]));
     let mut sizes: Vec<(u32, u32, u32, u32)> = Vec::new();
     for &servers in &servers {
         sizes.extend(cold.iter().map(|&cold| (servers, cold, first.0, first.1)));
     }
-    sizes.extend(dispatchers.iter().skip(1).map(|&dispatchers| (most, 0, dispatchers, first.1)));
-    sizes.extend(classes.iter().skip(1).map(|&classes| (most, 0, first.0, classes)));
+    sizes.extend(dispatchers.iter().skip(1).map(|&dispatchers| (max_servers, 0, dispatchers, first.1)));
+    sizes.extend(classes.iter().skip(1).map(|&classes| (max_servers, 0, first.0, classes)));
     let mut samples = Vec::new();
-    for (servers, cold_percent, dispatchers, classes) in sizes {
+    for (servers, slow_start_percent, dispatchers, classes) in sizes {
         for &decider in deciders {
-            let size = Size { decider, servers, cold_percent, dispatchers, classes, requests, warm_up };
-            let sample = in_process(size)?;
+            let size = Size { decider, servers, slow_start_percent, dispatchers, classes, requests, warm_up };
+            let sample = sample_in_process(size)?;
             print(&sample);
             samples.push(sample);
         }
@@ -451,7 +479,7 @@
 fn print(sample: &DecisionSample) {
     let DecisionSample { decider, servers, slow_start_percent, dispatchers, classes, .. } = sample;
     println!(
-        "{decider:?} {servers} servers, {slow_start_percent}% cold, {dispatchers} dispatchers, {classes} classes: {:.1} us \
+        "{decider:?} {servers} servers, {slow_start_percent}% in slow start, {dispatchers} dispatchers, {classes} classes: {:.1} us \
          a request (p99 {:.1}, worst {:.1}; {} of {} served), sweep {:.1}, list {:.0}, entry {:.0}, update {:.2} us, {:.1} MB",
         sample.request_mean,
         sample.request_p99,
--- a/benches/scale/fleet.rs
+++ b/benches/scale/fleet.rs
@@ -1,4 +1,5 @@
-//! Runs of real dispatchers among hollow ones, and the data path measured by them.
+//! Runs with real dispatchers in a deployment whose servers (replicas) and other dispatchers are hollow: each kind is
+//! simulated by one process that only speaks the protocols. Also measures the cost of the data path in such runs.
 
 use std::path::PathBuf;
 
@@ -10,19 +11,22 @@
 
 use crate::{root, Failure};
 
+/// The values of `--event`: what happens during a run.
 const EVENTS: [(&str, RunEvent); 2] = [("none", RunEvent::None), ("zone", RunEvent::Zone)];
 
 fn runtime() -> Result<tokio::runtime::Runtime, Failure> {
     Ok(tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?)
 }
 
-/// What is started: the dispatcher as the deploy file starts it, and this program for the hollow ones.
+/// The programs to start: the dispatcher with the command of the deploy file, and this program for the hollow
+/// servers and dispatchers.
 fn programs() -> Result<Programs, Failure> {
     let scratch = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let dispatcher = run_command(&root().join("deploy/balancer.toml"))?;
     Ok(Programs { dispatcher, folder: root().to_owned(), hollow: std::env::current_exe()?, scratch })
 }
 
+/// The options of a run; there can't be more real dispatchers than dispatchers.
 fn run_options(arguments: &mut Arguments) -> Result<RunOptions, OptionsError> {
     let options = RunOptions {
         servers: options::number(arguments, "--servers", 100, 20..=20_000)?,
@@ -44,7 +48,8 @@
     Ok(options)
 }
 
-fn play(options: RunOptions) -> Result<Report, Failure> {
+/// Executes one run and prints its progress.
+fn execute(options: RunOptions) -> Result<Report, Failure> {
     let programs = programs()?;
     Ok(runtime()?.block_on(run(options, &programs, |text| println!("{text}")))?)
 }
@@ -68,50 +73,52 @@
             ends.unanswered
         );
     }
-    let ledger = &report.replicas;
+    let replicas = &report.replicas;
     println!(
-        "replicas: {} reads, {} writes, {} calls to cold ones of which {} over their budget, {} ran twice that must not, \
-         {} still held; {} connections, {} open at once, {} at one; datagrams lost {}; {:.0} events a second and \
+        "replicas: {} reads, {} writes, {} calls to servers in slow start of which {} over their budget, \
+         {} at-most-once requests that ran twice, {} states still held; {} connections, {} open at once, {} at one; datagrams lost {}; {:.0} events a second and \
          {:.0} streams open at each dispatcher",
-        ledger.reads,
-        ledger.writes,
-        ledger.cold_calls,
-        ledger.over_budget,
-        ledger.ran_twice,
-        ledger.held,
-        ledger.connections,
-        ledger.most_connections,
-        ledger.most_at_one,
+        replicas.reads,
+        replicas.writes,
+        replicas.cold_calls,
+        replicas.over_budget,
+        replicas.ran_twice,
+        replicas.held,
+        replicas.connections,
+        replicas.most_connections,
+        replicas.most_at_one,
         report.gossip.lost,
         report.events,
         report.streams
     );
 }
 
-/// Runs once, and adds the samples to those that are recorded; those of the same size and event are replaced.
+/// The part `run`: executes one run and adds its samples to the recorded ones, in place of those with the same
+/// numbers of servers and dispatchers and the same event.
 pub fn command(mut arguments: Arguments) -> Result<(), Failure> {
     let out = crate::out(&mut arguments)?;
     let options = run_options(&mut arguments)?;
     options::end(arguments)?;
-    let report = play(options)?;
+    let report = execute(options)?;
     print(&report);
     let part = crate::part(report.samples)?;
     crate::record(&out, |results| {
-        let same = |sample: &RunSample| {
+        let is_replaced = |sample: &RunSample| {
             (sample.servers, sample.dispatchers, sample.event)
                 == (options.servers, options.dispatchers, options.event)
         };
         let mut samples: Vec<RunSample> = Vec::new();
-        // Samples of another commit are of another program: they go.
+        // Samples of another commit were taken with another program, and are dropped.
         if let Some(before) = results.run.take().filter(|before| before.commit == part.commit) {
-            samples.extend(before.samples.into_iter().filter(|sample| !same(sample)));
+            samples.extend(before.samples.into_iter().filter(|sample| !is_replaced(sample)));
         }
         samples.extend(part.samples);
         results.run = Some(dewladder_scale::results::Part { samples, ..part });
     })
 }
 
-/// One real dispatcher before few replicas, with streams of different lengths at one rate of requests.
+/// The part `data-path`: one real dispatcher with 100 servers at a constant request rate, in one run for each
+/// number of events per stream.
 pub fn data_path(mut arguments: Arguments) -> Result<(), Failure> {
     let out = crate::out(&mut arguments)?;
     let events = options::numbers(&mut arguments, "--events", "1,31,63,125,250", 1..=10_000u32)?;
@@ -132,7 +139,7 @@
             memory_mb: 256,
             event: RunEvent::None,
         };
-        let report = play(options)?;
+        let report = execute(options)?;
         print(&report);
         let sample = &report.samples[0];
         samples.push(DataPathSample {
@@ -148,13 +155,13 @@
     crate::record(&out, |results| results.data_path = Some(part))
 }
 
-/// The process of all replicas.
+/// Serves all hollow servers in this process; a run starts it.
 pub fn hollow_replicas(mut arguments: Arguments) -> Result<(), Failure> {
     let options: String = arguments.free_from_str()?;
     Ok(runtime()?.block_on(hollow::serve_replicas(&options))?)
 }
 
-/// The process of all other dispatchers.
+/// Serves all hollow dispatchers in this process; a run starts it.
 pub fn hollow_dispatchers(mut arguments: Arguments) -> Result<(), Failure> {
     let options: String = arguments.free_from_str()?;
     Ok(runtime()?.block_on(hollow::serve_dispatchers(&options))?)
--- a/benches/scale/gossip_samples.rs
+++ b/benches/scale/gossip_samples.rs
@@ -1,4 +1,5 @@
-//! Load gossip: how often a dispatcher tells, by the price of a message, the number of dispatchers and the request rate.
+//! Traffic of the load gossip: how many load updates a dispatcher sends and receives, depending on the price of an
+//! update, the number of dispatchers and the request rate.
 
 use dewladder_scale::options;
 use dewladder_scale::results::{Decider, GossipSample};
@@ -7,48 +8,54 @@
 use crate::decisions::{Size, Workload};
 use crate::Failure;
 
-/// An update, and the headers of UDP and IPv4 (bytes).
-const UPDATE: f64 = 5.0;
-const HEADERS: f64 = 28.0;
-/// Requests that are played.
-const PLAYED: u64 = 6_000;
+/// Size of a load update (bytes).
+const UPDATE_BYTES: f64 = 5.0;
+/// Size of the UDP and IPv4 headers (bytes).
+const HEADER_BYTES: f64 = 28.0;
+/// Requests that are simulated for each sample.
+const SIMULATED_REQUESTS: u64 = 6_000;
 
+/// The quantities that are varied.
 #[derive(Clone, Copy, Debug)]
-struct Varied {
+struct Parameters {
+    /// Price of an update, `prices.peer` in the settings.
     price: f64,
     dispatchers: u32,
+    /// Requests a second to each dispatcher.
     requests: u64,
 }
 
-fn sample(servers: u32, varied: Varied) -> GossipSample {
-    let Varied { price, dispatchers, requests } = varied;
+/// Runs one workload and derives the traffic a second from its updates per request.
+fn sample(servers: u32, parameters: Parameters) -> GossipSample {
+    let Parameters { price, dispatchers, requests } = parameters;
     let size = Size {
         decider: Decider::Indexed,
         servers,
-        cold_percent: 0,
+        slow_start_percent: 0,
         dispatchers,
         classes: 4,
-        requests: PLAYED,
+        requests: SIMULATED_REQUESTS,
         warm_up: 0,
     };
     let mut workload = Workload::with(size, requests, |settings| settings.gossip_price = price);
-    workload.until_arrived(PLAYED);
-    let told = workload.published() as f64 / PLAYED as f64;
-    let sent = told * requests as f64;
+    workload.run_until_arrived(SIMULATED_REQUESTS);
+    let per_request = workload.published() as f64 / SIMULATED_REQUESTS as f64;
+    let sent = per_request * requests as f64;
     let heard = sent * f64::from(dispatchers - 1);
     GossipSample {
         price,
         dispatchers,
         requests: requests as f64,
-        updates_per_request: told,
+        updates_per_request: per_request,
         sent,
         heard,
-        bytes_received: heard * (UPDATE + HEADERS),
-        payload_received: heard * UPDATE,
+        bytes_received: heard * (UPDATE_BYTES + HEADER_BYTES),
+        payload_received: heard * UPDATE_BYTES,
     }
 }
 
-/// Takes samples, one quantity varied at a time, and records them.
+/// The part `gossip`: the first value of each option is the target. Measures the target, then each further value
+/// with the other quantities at the target, and records the samples.
 pub fn command(mut arguments: Arguments) -> Result<(), Failure> {
     let out = crate::out(&mut arguments)?;
     let servers = options::number(&mut arguments, "--servers", 2_900, 2..=20_000)?;
@@ -56,16 +63,16 @@
     let dispatchers = options::numbers(&mut arguments, "--dispatchers", "510,18,60,200", 2..=100_000u32)?;
     let requests = options::numbers(&mut arguments, "--requests", "43,5,11,22", 1..=1_000u64)?;
     options::end(arguments)?;
-    let target = Varied { price: prices[0], dispatchers: dispatchers[0], requests: requests[0] };
+    let target = Parameters { price: prices[0], dispatchers: dispatchers[0], requests: requests[0] };
     let mut all = vec![target];
-    all.extend(prices.iter().skip(1).map(|&price| Varied { price, ..target }));
-    all.extend(dispatchers.iter().skip(1).map(|&dispatchers| Varied { dispatchers, ..target }));
-    all.extend(requests.iter().skip(1).map(|&requests| Varied { requests, ..target }));
+    all.extend(prices.iter().skip(1).map(|&price| Parameters { price, ..target }));
+    all.extend(dispatchers.iter().skip(1).map(|&dispatchers| Parameters { dispatchers, ..target }));
+    all.extend(requests.iter().skip(1).map(|&requests| Parameters { requests, ..target }));
     let mut samples = Vec::new();
-    for varied in all {
-        let sample = sample(servers, varied);
+    for parameters in all {
+        let sample = sample(servers, parameters);
         println!(
-            "{varied:?}: {:.3} updates a request, {:.1} sent, {:.0} heard a second, {:.1} KB a second ({:.1} without headers)",
+            "{parameters:?}: {:.3} updates a request, {:.1} sent, {:.0} received a second, {:.1} KB a second ({:.1} without headers)",
             sample.updates_per_request,
             sample.sent,
             sample.heard,
--- a/benches/scale/page.rs
+++ b/benches/scale/page.rs
@@ -9,7 +9,7 @@
 
 const PAGE: &str = "docs/CAPACITY.md";
 
-/// Writes the tables anew, into the places that the page has for them.
+/// Replaces the tables on the page by those rendered from the recorded samples.
 pub fn command(mut arguments: Arguments) -> Result<(), Failure> {
     let from = crate::out(&mut arguments)?;
     options::end(arguments)?;
@@ -18,6 +18,6 @@
     let before = std::fs::read_to_string(&path).map_err(|error| format!("{}: {error}", path.display()))?;
     let after = page::render(&before, &results)?;
     std::fs::write(&path, &after)?;
-    println!("{} {}", path.display(), if after == before { "is as it was" } else { "is rendered anew" });
+    println!("{} {}", path.display(), if after == before { "is unchanged" } else { "is updated" });
     Ok(())
 }
