--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -67,7 +67,10 @@
     let Ok(Message::Event(Event::AttemptFinished(finished))) = read_one(line) else {
         panic!("not a finished attempt")
     };
-    assert_eq!((finished.outcome, finished.completes_request, finished.report), (Outcome::Unknown, true, None));
+    assert_eq!(
+        (finished.outcome, finished.completes_request, finished.report),
+        (Outcome::Unknown, true, None)
+    );
     assert_eq!(
         read_one("inbox\t3\t1\taGkgNw=="),
         Ok(Message::Event(Event::GossipReceived(b"hi 7".to_vec())))
