--- a/tests/client_library.rs
+++ b/tests/client_library.rs
@@ -1,4 +1,4 @@
-//! A client library as apps use it, with its own retries on, against the program and the stand-in fleet.
+//! The client library `async-openai`, with its own retries on, against the dispatcher and a simulated fleet.
 
 mod stand_in;
 
@@ -18,11 +18,11 @@
 }
 
 fn request(body: serde_json::Value) -> CreateChatCompletionRequest {
-    serde_json::from_value(body).expect("a request as the library has it")
+    serde_json::from_value(body).expect("a request of the library's type")
 }
 
-fn plain(model: &str, what: &str) -> CreateChatCompletionRequest {
-    request(json!({"model": model, "messages": [{"role": "user", "content": what}]}))
+fn single_message(model: &str, prompt: &str) -> CreateChatCompletionRequest {
+    request(json!({"model": model, "messages": [{"role": "user", "content": prompt}]}))
 }
 
 async fn site() -> FleetSite {
@@ -33,7 +33,7 @@
 #[tokio::test]
 async fn the_client_library_reads_a_whole_answer() {
     let site = site().await;
-    let answer = client(&site).chat().create(plain("kiln-ask", "plain")).await.unwrap();
+    let answer = client(&site).chat().create(single_message("kiln-ask", "plain")).await.unwrap();
     assert_eq!(answer.choices[0].message.content.as_deref(), Some("w0 w1 w2 w3 w4 w5 "));
     assert_eq!((answer.object.as_str(), answer.usage.is_some()), ("chat.completion", true));
 }
@@ -42,17 +42,18 @@
 async fn the_client_library_reads_a_streamed_answer() {
     use futures_util::StreamExt as _;
     let site = site().await;
-    let mut stream = client(&site).chat().create_stream(plain("kiln-book", "streamed")).await.unwrap();
-    let (mut said, mut finish) = (String::new(), None);
+    let mut stream =
+        client(&site).chat().create_stream(single_message("kiln-book", "streamed")).await.unwrap();
+    let (mut received, mut finish) = (String::new(), None);
     while let Some(chunk) = stream.next().await {
-        let chunk = chunk.expect("a chunk as the library wants it");
-        said.push_str(chunk.choices[0].delta.content.as_deref().unwrap_or(""));
+        let chunk = chunk.expect("a chunk that the library can parse");
+        received.push_str(chunk.choices[0].delta.content.as_deref().unwrap_or(""));
         finish = chunk.choices[0].finish_reason.or(finish);
     }
-    assert_eq!((said.as_str(), finish), ("w0 w1 w2 w3 w4 w5 ", Some(FinishReason::Stop)));
+    assert_eq!((received.as_str(), finish), ("w0 w1 w2 w3 w4 w5 ", Some(FinishReason::Stop)));
 }
 
-/// Two calls whose pieces come in turns are put together by their index.
+/// Two tool calls whose fragments are interleaved are assembled by their index.
 #[tokio::test]
 async fn the_client_library_reads_tool_calls() {
     let site = site().await;
@@ -71,15 +72,17 @@
     );
 }
 
-/// The library's own retries after a refusal come to an answer, and a bad request is told as one at once.
+/// The library's own retries after a rejection lead to an answer, and an invalid request is reported as such at once.
 #[tokio::test]
 async fn the_client_library_understands_each_failure() {
     let site = site().await;
-    let wrong = client(&site).chat().create(plain("no-such-model", "x")).await.unwrap_err();
-    let OpenAIError::ApiError(error) = wrong else { panic!("an error of the API: {wrong:?}") };
+    let unknown_model = client(&site).chat().create(single_message("no-such-model", "x")).await.unwrap_err();
+    let OpenAIError::ApiError(error) = unknown_model else {
+        panic!("an error of the API: {unknown_model:?}")
+    };
     let error = format!("{error:?}");
     assert!(error.contains("model_not_found") && error.contains("Some(\"model\")"), "{error}");
     site.fleet.script([Fault::TurnsAway; 6]);
-    let answer = client(&site).chat().create(plain("kiln-book", "again")).await.unwrap();
+    let answer = client(&site).chat().create(single_message("kiln-book", "again")).await.unwrap();
     assert_eq!((answer.choices.len(), site.fleet.runs_of("again")), (1, 1));
 }
--- a/tests/framing.rs
+++ b/tests/framing.rs
@@ -1,10 +1,10 @@
-//! Where requests end on a connection.
+//! Detection of request boundaries on a connection, and of requests whose body length is ambiguous.
 
 use dewladder::edge::clients::framing::*;
 use proptest::prelude::*;
 
 #[test]
-fn lengths_that_are_told_twice_in_two_ways_or_as_no_number_are_ambiguous() {
+fn repeated_conflicting_or_invalid_lengths_are_ambiguous() {
     let head = |lines: &str| format!("POST / HTTP/1.1\r\nHost: h\r\n{lines}\r\n");
     for (lines, expected) in [
         ("", BodyFraming::KnownLength),
@@ -35,30 +35,30 @@
     })]
 
     #[test]
-    fn requests_are_found_in_whatever_pieces_they_come(
+    fn request_boundaries_are_found_in_any_fragmentation(
         bodies in prop::collection::vec(0usize..200, 1..6),
         cuts in prop::collection::vec(1usize..90, 1..60),
-        odd_at_last in any::<bool>(),
+        ambiguous_last in any::<bool>(),
     ) {
         let mut text = Vec::new();
         for body in &bodies {
             text.extend(format!("POST / HTTP/1.1\r\nContent-Length: {body}\r\n\r\n").bytes());
             text.extend(std::iter::repeat_n(b'\n', *body));
         }
-        if odd_at_last {
+        if ambiguous_last {
             text.extend(b"POST / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0");
         }
         let mut framing = RequestFraming::default();
         let (mut rest, mut cuts) = (&text[..], cuts.into_iter().cycle());
         while !rest.is_empty() {
-            let (now, then) = rest.split_at(cuts.next().unwrap_or(1).min(rest.len()));
-            framing.push(now);
-            rest = then;
+            let (piece, remaining) = rest.split_at(cuts.next().unwrap_or(1).min(rest.len()));
+            framing.push(piece);
+            rest = remaining;
         }
         for _ in &bodies {
             prop_assert_eq!(framing.next_body_framing(), BodyFraming::KnownLength);
         }
-        prop_assert_eq!(framing.next_body_framing(), BodyFraming::Ambiguous, "the odd one, or one that never came");
-        prop_assert_eq!(framing.is_within_request(), odd_at_last);
+        prop_assert_eq!(framing.next_body_framing(), BodyFraming::Ambiguous, "the ambiguous request, or none");
+        prop_assert_eq!(framing.is_within_request(), ambiguous_last);
     }
 }
--- a/tests/local_connect_failures.rs
+++ b/tests/local_connect_failures.rs
@@ -1,5 +1,5 @@
-//! Connects that fail for want of something on this machine, at the edges of the time that a connect has. Alone in its
-//! program: the limit on descriptors is the process's.
+//! Connects that fail or start late because this machine has no free file descriptors. These tests have a program of
+//! their own, since the limit on descriptors is set for the whole process.
 
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
@@ -16,11 +16,12 @@
 use tokio::sync::{oneshot, Mutex};
 use tokio::time::{sleep, timeout, Instant};
 
-/// The settings of the test's configuration have this time-out for connects.
+/// The connect timeout in the test configuration.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// A machine to which no connection comes up: its queue is full. The listener, and what fills its queue.
-fn silent_machine() -> (SocketAddr, Socket, Vec<TcpStream>) {
+/// An address at which connects time out because the listen backlog is full; with the listener and the connections that
+/// fill its backlog, which the caller keeps.
+fn unreachable_address() -> (SocketAddr, Socket, Vec<TcpStream>) {
     let listener = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
     listener.listen(0).unwrap();
@@ -32,10 +33,10 @@
     (address, listener, fillers)
 }
 
-/// Held by the test that changes the limit on descriptors.
-static LIMIT: Mutex<()> = Mutex::const_new(());
+/// Taken by each test that changes the limit on descriptors, so that they run one at a time.
+static DESCRIPTOR_LIMIT_LOCK: Mutex<()> = Mutex::const_new(());
 
-/// Sends a request to that address, over a new connection only where that is said; what comes of it.
+/// Sends a request to `address` and returns the outcome; with `new_connection` set, an open connection is not reused.
 async fn attempt(servers: Servers, address: SocketAddr, new_connection: bool) -> Outcome {
     let payload = Payload { txn: "01".to_owned(), target: "/".to_owned(), key: None, body: "{}".into() };
     let attempt_deadline = Instant::now() + Duration::from_secs(2);
@@ -55,47 +56,47 @@
     }
 }
 
-/// A limit on descriptors, below all that are open, for as long as this is kept.
-struct NoDescriptors(Rlimit);
+/// Limits descriptors to fewer than are open, so that none can be opened; dropping this restores the limit.
+struct DescriptorLimit(Rlimit);
 
-impl NoDescriptors {
-    fn hold() -> Self {
+impl DescriptorLimit {
+    fn lower() -> Self {
         let before = getrlimit(Resource::Nofile);
         setrlimit(Resource::Nofile, Rlimit { current: Some(3), ..before }).unwrap();
         Self(before)
     }
 }
 
-impl Drop for NoDescriptors {
+impl Drop for DescriptorLimit {
     fn drop(&mut self) {
         setrlimit(Resource::Nofile, self.0).unwrap();
     }
 }
 
 #[tokio::test]
-async fn a_connect_that_local_failures_left_little_time_is_not_the_servers_failure() {
-    let _one = LIMIT.lock().await;
-    let (address, _listener, _fillers) = silent_machine();
+async fn a_connect_timeout_shortened_by_local_failures_is_not_the_servers_failure() {
+    let _lock = DESCRIPTOR_LIMIT_LOCK.lock().await;
+    let (address, _listener, _fillers) = unreachable_address();
     let config = Config::parse("config", &config(address, &json!({})), |_| None).unwrap();
     let servers = Servers::new(&config, Figures::default());
 
-    let no_descriptors = NoDescriptors::hold();
+    let descriptor_limit = DescriptorLimit::lower();
     let sent = tokio::spawn(attempt(servers.clone(), address, false));
     sleep(CONNECT_TIMEOUT * 3 / 4).await;
-    drop(no_descriptors);
-    // The rest of the time is too short to say anything of the server.
+    drop(descriptor_limit);
+    // The remaining time is too short for a timeout to count as the server's failure.
     assert_eq!(sent.await.unwrap(), Outcome::NotSent);
 
-    // With all of its time, it is the server's.
+    // With the whole connect timeout available, a timeout is the server's failure.
     assert_eq!(attempt(servers, address, false).await, Outcome::ConnectFailed);
 }
 
-/// Where something is held and no connect can be made for want of descriptors, the request does not go over a connection
-/// that was open before, which may be silent: it is not sent at all.
+/// An attempt that requires a new connection, as for a request with held state, is not sent when no descriptor is free.
+/// It must not use an older open connection, which may be silent.
 #[tokio::test]
-async fn where_no_connect_can_be_made_nothing_goes_over_an_older_connection() {
+async fn an_attempt_that_needs_a_new_connection_does_not_fall_back_to_an_older_one() {
     const ANSWER: &[u8] = b"HTTP/1.1 202 Accepted\r\nContent-Length: 2\r\n\r\n{}";
-    let _one = LIMIT.lock().await;
+    let _lock = DESCRIPTOR_LIMIT_LOCK.lock().await;
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let config = Config::parse("config", &config(address, &json!({})), |_| None).unwrap();
@@ -108,10 +109,10 @@
         message(&mut stream, &mut read).await
     });
     assert_eq!(attempt(servers.clone(), address, false).await, Outcome::Read);
-    sleep(CONNECT_TIMEOUT).await; // its connection is used again once it has been quiet
+    sleep(CONNECT_TIMEOUT).await; // the connection is reusable only after it has been idle for a while
 
-    let _no_descriptors = NoDescriptors::hold();
+    let _descriptor_limit = DescriptorLimit::lower();
     assert_eq!(attempt(servers, address, true).await, Outcome::NotSent);
     let second = timeout(CONNECT_TIMEOUT, serving).await;
-    assert!(second.is_err(), "nothing came over the connection that was open: {second:?}");
+    assert!(second.is_err(), "nothing was sent over the open connection: {second:?}");
 }
--- a/tests/reducer.rs
+++ b/tests/reducer.rs
@@ -1,5 +1,5 @@
-//! The reducer against a router that would break the rules, which the router itself never does, and against a list whose
-//! servers come under new ids all day.
+//! The reducer's guards against router decisions that would break its rules, which the router itself never makes, and
+//! its memory of servers when a list keeps replacing them under new ids.
 
 use dewladder::edge::core::endpoints::Endpoints;
 use dewladder::edge::core::request_table::{RequestTable, SendRules};
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn after_the_final_answer_there_is_no_other_and_nothing_is_sent() {
+fn after_the_final_answer_no_other_is_given_and_nothing_is_sent() {
     let settings = settings();
     let endpoints = Endpoints::new(&settings);
     let rules = SendRules { classes: &settings.classes, endpoints: &endpoints };
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn servers_that_have_gone_are_forgotten() {
+fn servers_that_are_gone_from_the_list_are_forgotten() {
     let mut core = Core::new(settings(), 1, 1_000, 8);
     let entry = |server, health| ServerEntry {
         server: ServerId(server),
@@ -67,8 +67,8 @@
         health,
         kind: 0,
     };
-    for day in 0..100 {
-        let entries = vec![entry(day + 1, Health::Ready), entry(day, Health::Gone)];
+    for revision in 0..100 {
+        let entries = vec![entry(revision + 1, Health::Ready), entry(revision, Health::Gone)];
         core.step(2_000, Input::EndpointsUpdated { how: ListUpdateKind::Patch, entries });
     }
     assert_eq!(core.known_servers(), 1);
--- a/tests/stable_texts.rs
+++ b/tests/stable_texts.rs
@@ -1,5 +1,5 @@
-//! Texts that other programs read, held byte for byte: names of figures, answers of the second address and of the agent
-//! check, messages about configurations.
+//! Texts that other programs read, compared byte for byte with golden files: names of statistics, answers of the admin
+//! address and of the agent check, error messages about settings.
 
 mod golden_file;
 mod stand_in;
@@ -54,14 +54,14 @@
     assert_golden("readiness.txt", &text);
 }
 
-/// A configuration that can be used, to be broken at one place.
-fn good() -> Value {
+/// A valid configuration, in which a test makes one place invalid.
+fn valid_config() -> Value {
     let text = stand_in::config("127.0.0.1:9".parse().unwrap(), &json!({"members": []}));
     serde_json::from_str(&text).unwrap()
 }
 
-/// Puts a value at a JSON pointer; without one, takes out what is there.
-fn put(config: &mut Value, pointer: &str, value: Option<Value>) {
+/// Sets the value at a JSON pointer; `None` removes it.
+fn set_or_remove(config: &mut Value, pointer: &str, value: Option<Value>) {
     let (parent, key) = pointer.rsplit_once('/').unwrap();
     let parent = config.pointer_mut(parent).unwrap_or_else(|| panic!("no {pointer}"));
     match (parent, value) {
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn messages_about_configurations_keep_their_words() {
+fn settings_errors_keep_their_texts() {
     let mut cases = Vec::new();
     for pointer in
         ["/listen", "/settings", "/settings/lanes", "/settings/kinds", "/settings/limits/max_attempts"]
@@ -125,27 +125,27 @@
     }
     let mut text = String::new();
     for (pointer, value) in cases {
-        let mut config = good();
+        let mut config = valid_config();
         let (parent, _) = pointer.rsplit_once('/').unwrap();
         if config.pointer(parent).is_none() {
-            put(&mut config, parent, Some(json!({})));
+            set_or_remove(&mut config, parent, Some(json!({})));
         }
-        let put_text = value.as_ref().map_or("nothing".to_owned(), Value::to_string);
+        let value_text = value.as_ref().map_or("nothing".to_owned(), Value::to_string);
         if value.is_some() || config.pointer(pointer).is_some() {
-            put(&mut config, pointer, value);
+            set_or_remove(&mut config, pointer, value);
         }
-        let said = match Config::parse("config.json", &config.to_string(), |_| None) {
+        let result = match Config::parse("config.json", &config.to_string(), |_| None) {
             Ok(_) => "can be used".to_owned(),
             Err(error) => error.to_string(),
         };
-        writeln!(text, "{pointer} {put_text}: {said}").unwrap();
+        writeln!(text, "{pointer} {value_text}: {result}").unwrap();
     }
     assert_golden("config-messages.txt", &text);
 }
 
 #[test]
-fn messages_about_files_that_are_read_again_keep_their_words() {
-    let mut base = good();
+fn reload_messages_keep_their_texts() {
+    let mut base = valid_config();
     base["settings"]["limits"]["keepalive_s"] = json!(30.0);
     let config = Config::parse("config.json", &base.to_string(), |_| None).unwrap();
     let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("read-again.json");
@@ -163,20 +163,20 @@
     ];
     for (pointer, value) in changes {
         let mut changed = base.clone();
-        put(&mut changed, pointer, value);
+        set_or_remove(&mut changed, pointer, value);
         std::fs::write(&path, changed.to_string()).unwrap();
-        let said = match config.read_again(path.to_str().unwrap(), |_| None) {
+        let result = match config.read_again(path.to_str().unwrap(), |_| None) {
             Ok(read) => format!("{:?}", read.needs_restart),
             Err(error) => error.to_string().replace(path.to_str().unwrap(), "config.json"),
         };
-        writeln!(text, "{pointer}: {said}").unwrap();
+        writeln!(text, "{pointer}: {result}").unwrap();
     }
     assert_golden("read-again-messages.txt", &text);
 }
 
 #[test]
-fn messages_about_fronts_keep_their_words() {
-    let config = Config::parse("config.json", &good().to_string(), |_| None).unwrap();
+fn front_settings_errors_keep_their_texts() {
+    let config = Config::parse("config.json", &valid_config().to_string(), |_| None).unwrap();
     let mut text = String::new();
     for (table, lines) in [
         ("chat", "listen = 5"),
@@ -214,7 +214,7 @@
         let head = if table == "chat" && lines.starts_with("listen") { "" } else { head };
         let table_line =
             if table == "chat" && !head.is_empty() { String::new() } else { format!("[{table}]\n") };
-        let said = match Fronts::parse("fronts.toml", &format!("{head}{table_line}{lines}\n")) {
+        let result = match Fronts::parse("fronts.toml", &format!("{head}{table_line}{lines}\n")) {
             Err(error) => error.to_string(),
             Ok(fronts) => fronts.chat.map_or("can be used".to_owned(), |chat| {
                 let bounds = chat.bounds(&config.limits).map(|_| ()).map_err(|error| error.to_string());
@@ -224,7 +224,7 @@
                 format!("{bounds:?} {repeats:?} {resume:?}")
             }),
         };
-        writeln!(text, "{table} {lines}: {said}").unwrap();
+        writeln!(text, "{table} {lines}: {result}").unwrap();
     }
     assert_golden("fronts-messages.txt", &text);
 }
--- a/tests/stats.rs
+++ b/tests/stats.rs
@@ -1,10 +1,10 @@
-//! The record of what became of requests.
+//! The statistics of requests by class and outcome.
 
 use dewladder::edge::stats::*;
 use proptest::prelude::*;
 
 #[test]
-fn every_known_class_is_there_from_the_first_call_and_names_never_break_the_form() {
+fn every_known_class_is_listed_from_the_start_and_names_are_escaped() {
     let mut record = Record::default();
     record.know("ask");
     record.know("a.b:1|c\n");
@@ -28,20 +28,20 @@
         assert_eq!(text.lines().filter(|known| *known == line).count(), 1, "{line} in {text}");
     }
     assert!(!text.contains("nobody"));
-    let fine = |line: &str| line.matches(':').count() == 1 && line.matches('|').count() == 1;
-    assert!(text.lines().all(fine), "{text}");
+    let well_formed = |line: &str| line.matches(':').count() == 1 && line.matches('|').count() == 1;
+    assert!(text.lines().all(well_formed), "{text}");
 }
 
 proptest! {
-    /// Whatever happens in whatever order: what is pending is what was taken and has not ended, and a class
-    /// that is told of again keeps its counters.
+    /// In any order of events, the pending requests of a class are those taken less those ended, and a class that is
+    /// registered again keeps its counters.
     #[test]
     fn pending_is_taken_less_ended(steps in proptest::collection::vec((0usize..3, 0usize..5), 0..200)) {
         let (names, mut record) = (["a", "b", "c"], Record::default());
         let mut open = [0u64; 3];
         names.iter().for_each(|name| record.know(name));
-        for (class, what) in steps {
-            let end = [End::Completed, End::Rejected, End::Failed, End::Left].get(what).copied();
+        for (class, choice) in steps {
+            let end = [End::Completed, End::Rejected, End::Failed, End::Left].get(choice).copied();
             match end.filter(|_| open[class] > 0) {
                 Some(end) => {
                     record.ended(names[class], end);
--- a/tests/streams_in_time.rs
+++ b/tests/streams_in_time.rs
@@ -1,5 +1,5 @@
-//! Events are passed on one by one, as they come: the writer writes the next one only once the client has the one
-//! before, so that a dispatcher that waits for more would wait for ever.
+//! Events are relayed one by one, as they arrive: the test's writer sends an event only after the client has received
+//! the previous one, so a dispatcher that buffers events would wait forever.
 
 mod stand_in;
 
@@ -17,22 +17,24 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// What is not there by then never comes: far over the 0.3 s in which an event has to reach its client.
-const NEVER: Duration = Duration::from_secs(10);
-const IN_TIME: Duration = Duration::from_millis(300);
+/// The longest wait for an event; a test fails when it is exceeded. Far over the 0.3 s in which an event has to reach
+/// its client.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(10);
+/// The bound of the median time that an event takes to its client.
+const LATENCY_BOUND: Duration = Duration::from_millis(300);
 
-/// A dispatcher before a reader and a writer whose every write is the test's.
-struct Place {
+/// A dispatcher before a reader and a writer; the test itself makes each write of the writer.
+struct Site {
     _reader: Server,
     _agent: Agent,
     writer: TcpListener,
     fronts: [SocketAddr; 2],
-    end: Option<oneshot::Sender<()>>,
-    running: JoinHandle<Result<(), dewladder::edge::dispatcher::RunError>>,
+    shutdown: Option<oneshot::Sender<()>>,
+    dispatcher_task: JoinHandle<Result<(), dewladder::edge::dispatcher::RunError>>,
     _discovery: watch::Sender<SocketAddr>,
 }
 
-impl Place {
+impl Site {
     async fn start() -> Self {
         let (reader, writer) =
             (Server::start(Behavior::Read).await, TcpListener::bind("127.0.0.1:0").await.unwrap());
@@ -43,48 +45,59 @@
         ];
         let list = json!({"revision": 1, "complete": true, "members": members});
         let agent = Agent::start(list.clone()).await;
-        let mut known: serde_json::Value = serde_json::from_str(&config(agent.address, &list)).unwrap();
-        // Nothing here is about deadlines or full memory.
-        for lane in known["settings"]["lanes"].as_array_mut().unwrap() {
-            (lane["aim_s"], lane["give_up_s"]) = (json!(5.0), json!(10.0));
+        let mut config_json: serde_json::Value = serde_json::from_str(&config(agent.address, &list)).unwrap();
+        // Long deadlines and large memories, so that neither plays a part.
+        for class in config_json["settings"]["lanes"].as_array_mut().unwrap() {
+            (class["aim_s"], class["give_up_s"]) = (json!(5.0), json!(10.0));
         }
-        known["settings"]["domain"]["kind_memory_tokens"] = json!([10_000_000, 10_000_000]);
-        let mut config = Config::parse("config", &known.to_string(), |_| None).unwrap();
-        config.stall = NEVER;
+        config_json["settings"]["domain"]["kind_memory_tokens"] = json!([10_000_000, 10_000_000]);
+        let mut config = Config::parse("config", &config_json.to_string(), |_| None).unwrap();
+        config.stall = EVENT_TIMEOUT;
         let fronts = "[chat]\nenabled = true\nlisten = \"127.0.0.1:0\"\nmax_tokens = 800\nmost_open = 90\n\
              [chat.models]\nkiln-ask = \"ask\"\n[chat.tenants]\nkey-of-clay = \"chiangmai-clay\"\n";
         let dispatcher = Dispatcher::bind(config, &Fronts::parse("fronts", fronts).unwrap()).unwrap();
         let [platform, chat] = dispatcher.addresses()[..] else { panic!("two listeners") };
-        let (end, ended) = oneshot::channel();
+        let (shutdown, shutdown_signal) = oneshot::channel();
         let (discovery, at) = watch::channel(agent.address);
-        let running = tokio::spawn(dispatcher.run(at, async {
-            let _ = ended.await;
+        let dispatcher_task = tokio::spawn(dispatcher.run(at, async {
+            let _ = shutdown_signal.await;
         }));
-        let (fronts, end) = ([platform, chat], Some(end));
-        Self { _reader: reader, _agent: agent, writer, fronts, end, running, _discovery: discovery }
+        let (fronts, shutdown) = ([platform, chat], Some(shutdown));
+        Self {
+            _reader: reader,
+            _agent: agent,
+            writer,
+            fronts,
+            shutdown,
+            dispatcher_task,
+            _discovery: discovery,
+        }
     }
 
-    /// A client of a front whose request is with the writer; neither has had anything yet.
-    async fn asked(&self, front: usize, id: u32) -> Stream {
+    /// Sends a request to a front and waits until the writer has accepted it; no event has been sent yet.
+    async fn open_stream(&self, front: usize, id: u32) -> Stream {
         let text =
             if front == 0 { platform(&format!("{id:016x}"), "ask", "9.0") } else { chat("kiln-ask", true) };
         let mut client = TcpStream::connect(self.fronts[front]).await.unwrap();
         client.write_all(text.as_bytes()).await.unwrap();
         let mut read = Vec::new();
         let server = tokio::select! {
-            server = self.taken() => server,
+            server = self.accept_at_writer() => server,
             _ = client.read_buf(&mut read) => {
-                let _ = timeout(IN_TIME, client.read_to_end(&mut read)).await; // what more there is to tell
-                panic!("request {id} does not come to the writer: {}", String::from_utf8_lossy(&read))
+                // Reads the rest of the answer for the message.
+                let _ = timeout(LATENCY_BOUND, client.read_to_end(&mut read)).await;
+                panic!("request {id} does not reach the writer: {}", String::from_utf8_lossy(&read))
             }
         };
         Stream { client, read, server }
     }
 
-    /// The writer's side of the next request, its head sent.
-    async fn taken(&self) -> TcpStream {
-        let (mut server, _) =
-            timeout(NEVER, self.writer.accept()).await.expect("it comes to the writer").unwrap();
+    /// Accepts the next request at the writer and sends the head of its response.
+    async fn accept_at_writer(&self) -> TcpStream {
+        let (mut server, _) = timeout(EVENT_TIMEOUT, self.writer.accept())
+            .await
+            .expect("the request reaches the writer")
+            .unwrap();
         server.set_nodelay(true).unwrap();
         let mut read = Vec::new();
         while !read.windows(4).any(|window| window == b"\r\n\r\n") {
@@ -96,16 +109,16 @@
     }
 }
 
-/// A client's stream, from both ends.
+/// A client's stream, with its client's and its writer's connection.
 struct Stream {
     client: TcpStream,
-    /// All that the client has had.
+    /// All bytes that the client has received.
     read: Vec<u8>,
     server: TcpStream,
 }
 
-/// The body of an answer as far as it has come, without its chunks.
-fn so_far(read: &[u8]) -> Vec<u8> {
+/// The part of an answer's body that has been received, with its chunked encoding removed.
+fn decoded_body(read: &[u8]) -> Vec<u8> {
     let found = |text: &[u8], what: &[u8]| text.windows(what.len()).position(|window| window == what);
     let (mut whole, mut rest) = (Vec::new(), found(read, b"\r\n\r\n").map_or(&[][..], |at| &read[at + 4..]));
     while let Some(at) = found(rest, b"\r\n") {
@@ -117,165 +130,174 @@
     whole
 }
 
-/// An event with a word of its own and so much more.
-fn event(word: usize, more: usize) -> String {
-    let content = format!("{}<{word}>", "x".repeat(more));
+/// An event whose content is `padding` bytes, followed by `marker` in angle brackets.
+fn event(marker: usize, padding: usize) -> String {
+    let content = format!("{}<{marker}>", "x".repeat(padding));
     format!("data: {{\"choices\":[{{\"index\":0,\"delta\":{{\"content\":\"{content}\"}},\"finish_reason\":null}}]}}\n\n")
 }
 
 impl Stream {
-    async fn writes(&mut self, text: &str) {
+    async fn write(&mut self, text: &str) {
         self.server.write_all(text.as_bytes()).await.unwrap();
     }
 
-    /// The client has this word now; how long that took.
-    async fn has(&mut self, word: usize) -> Duration {
-        let (since, word) = (Instant::now(), format!("<{word}>"));
-        let comes = async {
-            while !String::from_utf8_lossy(&so_far(&self.read)).contains(&word) {
-                assert!(self.client.read_buf(&mut self.read).await.unwrap() > 0, "it ends before {word}");
+    /// Waits until the client has received the event with this marker; returns how long that took.
+    async fn wait_for(&mut self, marker: usize) -> Duration {
+        let (since, marker) = (Instant::now(), format!("<{marker}>"));
+        let arrival = async {
+            while !String::from_utf8_lossy(&decoded_body(&self.read)).contains(&marker) {
+                assert!(
+                    self.client.read_buf(&mut self.read).await.unwrap() > 0,
+                    "the connection ends before {marker}"
+                );
             }
         };
-        timeout(NEVER, comes).await.unwrap_or_else(|_| panic!("{word} is held back"));
+        timeout(EVENT_TIMEOUT, arrival).await.unwrap_or_else(|_| panic!("{marker} is held back"));
         since.elapsed()
     }
 
-    async fn passes(&mut self, word: usize, more: usize) -> Duration {
-        self.writes(&chunk(&event(word, more))).await;
-        self.has(word).await
+    /// Sends an event and waits until the client has received it; returns how long that took.
+    async fn relay(&mut self, marker: usize, padding: usize) -> Duration {
+        self.write(&chunk(&event(marker, padding))).await;
+        self.wait_for(marker).await
     }
 
-    /// The stream's end reaches the client; all that it got.
-    async fn ends(mut self) -> String {
-        self.writes(&(chunk(LAST_EVENTS) + "0\r\n\r\n")).await;
-        timeout(NEVER, self.client.read_to_end(&mut self.read)).await.expect("the end is passed on").unwrap();
+    /// Sends the last events and the last chunk; returns all that the client received.
+    async fn finish(mut self) -> String {
+        self.write(&(chunk(LAST_EVENTS) + "0\r\n\r\n")).await;
+        timeout(EVENT_TIMEOUT, self.client.read_to_end(&mut self.read))
+            .await
+            .expect("the end is relayed")
+            .unwrap();
         String::from_utf8(self.read).unwrap()
     }
 }
 
-/// Events are in time. The middle one is held against the bound: a machine that stands still for a moment is no lump.
-fn in_time(mut took: Vec<Duration>) {
-    took.sort_unstable();
-    let middle = took[took.len() / 2];
-    assert!(middle < IN_TIME, "half of the events take over {middle:?}");
+/// Checks the median latency of events against the bound; the median, since a machine that stalls for a moment delays
+/// single events without any buffering.
+fn assert_in_time(mut latencies: Vec<Duration>) {
+    latencies.sort_unstable();
+    let median = latencies[latencies.len() / 2];
+    assert!(median < LATENCY_BOUND, "half of the events take over {median:?}");
 }
 
-/// A writer's events cross nothing: small ones, such that nearly fill what an event may hold, and small ones right after
-/// those each reach the client before the next is written (events are passed on as they come).
+/// Small events, events near the maximum size, and small events right after those each reach the client before the next
+/// one is written.
 #[tokio::test]
 async fn each_event_reaches_its_client_before_the_next_is_written() {
-    let place = Place::start().await;
+    let site = Site::start().await;
     for front in [0, 1] {
-        let (mut stream, mut took, mut sent) = (place.asked(front, 1).await, Vec::new(), String::new());
-        for (word, more) in
+        let (mut stream, mut latencies, mut sent) =
+            (site.open_stream(front, 1).await, Vec::new(), String::new());
+        for (marker, padding) in
             [0, 0, 65_000, 0, 1, 65_000, 65_000, 0, 1_460, 0, 16_000, 3].into_iter().enumerate()
         {
-            took.push(stream.passes(word, more).await);
-            sent += &event(word, more);
+            latencies.push(stream.relay(marker, padding).await);
+            sent += &event(marker, padding);
         }
-        in_time(took);
-        let answer = stream.ends().await;
+        assert_in_time(latencies);
+        let answer = stream.finish().await;
         assert!(answer.starts_with("HTTP/1.1 200 "), "{}", &answer[..100]);
         let (got, whole) = body(&answer);
-        assert!(whole, "the last chunk comes");
+        assert!(whole, "the last chunk arrives");
         assert!(front == 1 || got == sent + LAST_EVENTS, "unchanged");
     }
 }
 
-/// A writer's writes cross the ends of events: what is whole goes on although half of the next event came with it, and an
-/// event that comes byte by byte goes on with its last byte.
+/// The writer's writes don't match event boundaries: a complete event is relayed although a part of the next one came
+/// with it, and an event that arrives byte by byte is relayed with its last byte.
 #[tokio::test]
-async fn a_whole_event_does_not_wait_for_the_rest_of_the_next_one() {
-    let place = Place::start().await;
+async fn a_complete_event_does_not_wait_for_the_rest_of_the_next_one() {
+    let site = Site::start().await;
     for front in [0, 1] {
-        let mut stream = place.asked(front, 1).await;
+        let mut stream = site.open_stream(front, 1).await;
         let (first, second, third) = (event(0, 0), event(1, 5_000), event(2, 0));
         let (half, rest) = second.split_at(40);
-        stream.writes(&chunk(&format!("{first}{half}"))).await;
-        stream.has(0).await;
-        stream.writes(&chunk(rest)).await;
-        stream.has(1).await;
+        stream.write(&chunk(&format!("{first}{half}"))).await;
+        stream.wait_for(0).await;
+        stream.write(&chunk(rest)).await;
+        stream.wait_for(1).await;
         for at in 0..third.len() {
-            stream.writes(&chunk(&third[at..=at])).await;
+            stream.write(&chunk(&third[at..=at])).await;
         }
-        stream.has(2).await;
-        // Of two events in one chunk, the chunk's second half comes later.
+        stream.wait_for(2).await;
+        // One chunk holds two events, and the part with the second one arrives later.
         let both = format!("{}{}", event(3, 0), event(4, 0));
         let framed = chunk(&both);
         let (now, later) = framed.split_at(framed.len() - event(4, 0).len());
-        stream.writes(now).await;
-        stream.has(3).await;
-        stream.writes(later).await;
-        stream.has(4).await;
-        let (got, whole) = body(&stream.ends().await);
+        stream.write(now).await;
+        stream.wait_for(3).await;
+        stream.write(later).await;
+        stream.wait_for(4).await;
+        let (got, whole) = body(&stream.finish().await);
         let all = [first, second, third, both, LAST_EVENTS.to_owned()].concat();
         assert!(whole && (front == 1 || got == all), "unchanged");
     }
 }
 
-/// A client that reads nothing crosses many that do: its writer comes to a stand, and all other events still go on one by
-/// one, in turn over 40 streams.
+/// Two clients read nothing, so the writes to their streams block; the events of 40 other streams, sent in turn, are
+/// still relayed one by one.
 #[tokio::test]
-async fn a_client_that_reads_nothing_holds_up_no_other_stream() {
-    let place = Place::start().await;
-    let mut deaf = Vec::new();
+async fn a_client_that_reads_nothing_delays_no_other_stream() {
+    let site = Site::start().await;
+    let mut stalled = Vec::new();
     for front in [0, 1] {
         let socket = TcpSocket::new_v4().unwrap();
         socket.set_recv_buffer_size(4_096).unwrap();
-        let mut client = socket.connect(place.fronts[front]).await.unwrap();
+        let mut client = socket.connect(site.fronts[front]).await.unwrap();
         let text = if front == 0 { platform("ffff", "ask", "9.0") } else { chat("kiln-ask", true) };
         client.write_all(text.as_bytes()).await.unwrap();
-        let mut server = place.taken().await;
-        // Until nothing more is taken, neither by the dispatcher nor by any system's buffers.
+        let mut server = site.accept_at_writer().await;
+        // Writes until neither the dispatcher nor any socket buffer takes more.
         let large = chunk(&event(0, 60_000));
         while timeout(Duration::from_millis(400), server.write_all(large.as_bytes())).await.is_ok() {}
-        deaf.push((client, server));
+        stalled.push((client, server));
     }
-    let (mut streams, mut took) = (Vec::new(), Vec::new());
+    let (mut streams, mut latencies) = (Vec::new(), Vec::new());
     for id in 0..40 {
-        let mut stream = place.asked(id as usize % 2, id + 1).await;
-        took.push(stream.passes(0, 10).await);
+        let mut stream = site.open_stream(id as usize % 2, id + 1).await;
+        latencies.push(stream.relay(0, 10).await);
         streams.push(stream);
     }
-    for word in 1..6 {
+    for marker in 1..6 {
         for stream in &mut streams {
-            took.push(stream.passes(word, if word == 3 { 30_000 } else { 10 }).await);
+            latencies.push(stream.relay(marker, if marker == 3 { 30_000 } else { 10 }).await);
         }
     }
-    in_time(took);
+    assert_in_time(latencies);
     for stream in streams {
-        assert!(body(&stream.ends().await).1);
+        assert!(body(&stream.finish().await).1);
     }
 }
 
-/// The word to end crosses streams that have begun, are about to, and rest between two events: all go on one by one to the
-/// last chunk, and only then does the process end.
+/// The shutdown begins while some streams have sent an event and others have not yet: the events of all of them are
+/// relayed one by one up to the last chunk, and only then does the dispatcher end.
 #[tokio::test]
-async fn told_to_end_it_still_passes_events_on_one_by_one() {
-    let mut place = Place::start().await;
+async fn events_are_relayed_one_by_one_during_shutdown() {
+    let mut site = Site::start().await;
     let mut streams = Vec::new();
     for front in [0, 1] {
-        let mut begun = place.asked(front, 2 * front as u32 + 1).await;
-        begun.passes(0, 0).await;
+        let mut begun = site.open_stream(front, 2 * front as u32 + 1).await;
+        begun.relay(0, 0).await;
         streams.push((begun, 1));
-        // Its first event comes after the word to end.
-        streams.push((place.asked(front, 2 * front as u32 + 2).await, 0));
+        // The first event of this stream comes after the shutdown has begun.
+        streams.push((site.open_stream(front, 2 * front as u32 + 2).await, 0));
     }
-    place.end.take().unwrap().send(()).unwrap();
-    let told = Instant::now();
-    let (mut took, mut word) = (Vec::new(), 0);
-    // Well past the time at which idle connections are closed.
-    while word < 20 || told.elapsed() < Duration::from_millis(1_200) {
+    site.shutdown.take().unwrap().send(()).unwrap();
+    let shutdown_start = Instant::now();
+    let (mut latencies, mut marker) = (Vec::new(), 0);
+    // Runs well past the time at which a shutdown closes idle connections.
+    while marker < 20 || shutdown_start.elapsed() < Duration::from_millis(1_200) {
         for (stream, next) in &mut streams {
-            took.push(stream.passes(*next, if *next % 5 == 2 { 50_000 } else { 0 }).await);
+            latencies.push(stream.relay(*next, if *next % 5 == 2 { 50_000 } else { 0 }).await);
             *next += 1;
         }
-        word += 1;
+        marker += 1;
     }
-    in_time(took);
-    assert!(!place.running.is_finished(), "streams are open");
+    assert_in_time(latencies);
+    assert!(!site.dispatcher_task.is_finished(), "streams are open");
     for (stream, _) in streams {
-        assert!(body(&stream.ends().await).1, "the last chunk comes");
+        assert!(body(&stream.finish().await).1, "the last chunk arrives");
     }
-    timeout(NEVER, place.running).await.expect("it ends").unwrap().unwrap();
+    timeout(EVENT_TIMEOUT, site.dispatcher_task).await.expect("the dispatcher ends").unwrap().unwrap();
 }
--- a/tests/transitions.rs
+++ b/tests/transitions.rs
@@ -1,4 +1,4 @@
-//! What becomes of attempts and requests is counted by its reason, and rules that are found broken are counted.
+//! Attempts are counted by outcome, requests by the reason of their end, and violations of the rules by rule.
 
 use dewladder::edge::core::{AttemptResult, Core, Effect, Input};
 use dewladder::edge::guard::Rule;
@@ -16,7 +16,7 @@
     Core::new(from_key_values(pairs).expect("settings"), 1, SECOND, most_open)
 }
 
-fn call(class: u32, not_after: Micros) -> Input {
+fn request_arrived(class: u32, not_after: Micros) -> Input {
     Input::RequestArrived(RequestInfo {
         id: ID,
         class,
@@ -30,7 +30,7 @@
     })
 }
 
-fn list() -> Input {
+fn endpoints_updated() -> Input {
     let entry = ServerEntry {
         server: ServerId(1),
         zone: ZoneId(0),
@@ -43,17 +43,17 @@
     Input::EndpointsUpdated { how: ListUpdateKind::Full, entries: vec![entry] }
 }
 
-/// The figures' lines that are not 0, of those that count by reason.
-fn counted(core: &Core) -> Vec<String> {
+/// The lines of the statistics that count attempts by outcome or requests by reason, without those that are 0.
+fn nonzero_counters(core: &Core) -> Vec<String> {
     let mut record = Record::default();
     record.transitions = *core.transitions();
     let lines = record.lines();
-    let ours = lines.lines().filter(|line| line.contains(".attempts.") || line.contains(".answered."));
-    ours.filter(|line| !line.ends_with(":0|c")).map(str::to_owned).collect()
+    let by_reason = lines.lines().filter(|line| line.contains(".attempts.") || line.contains(".answered."));
+    by_reason.filter(|line| !line.ends_with(":0|c")).map(str::to_owned).collect()
 }
 
 #[test]
-fn every_reason_has_a_figure_of_its_own() {
+fn every_outcome_and_reason_has_its_own_counter() {
     let lines = Record::default().lines();
     let names = OUTCOMES.iter().map(|(_, name)| format!("edge_router.attempts.{name}:0|c"));
     let names =
@@ -67,29 +67,29 @@
 fn a_request_that_is_answered_without_a_stream_is_counted_by_its_reason() {
     let later = 4 * SECOND;
     let cases = [
-        (core(0), call(0, later), "too_many_open"),
-        (core(8), call(9, later), "class_gone"),
-        (core(8), call(0, later), "no_servers"),
-        (core(8), call(0, SECOND), "deadline"),
+        (core(0), request_arrived(0, later), "too_many_open"),
+        (core(8), request_arrived(9, later), "class_gone"),
+        (core(8), request_arrived(0, later), "no_servers"),
+        (core(8), request_arrived(0, SECOND), "deadline"),
     ];
-    for (mut core, asks, reason) in cases {
-        let effects = core.step(SECOND, asks);
+    for (mut core, input, reason) in cases {
+        let effects = core.step(SECOND, input);
         assert!(effects.iter().any(|effect| matches!(effect, Effect::Reject { .. } | Effect::Fail { .. })));
-        assert_eq!(counted(&core), [format!("edge_router.answered.{reason}:1|c")]);
+        assert_eq!(nonzero_counters(&core), [format!("edge_router.answered.{reason}:1|c")]);
     }
 }
 
 #[test]
-fn an_attempt_is_counted_by_its_outcome_and_an_answer_that_comes_too_late_as_broken() {
+fn an_attempt_is_counted_by_its_outcome_and_a_late_answer_as_a_violation() {
     let mut core = core(8);
-    core.step(SECOND, list());
-    let sent = core.step(SECOND, call(0, 2 * SECOND));
+    core.step(SECOND, endpoints_updated());
+    let sent = core.step(SECOND, request_arrived(0, 2 * SECOND));
     let [Effect::Send { attempt, .. }] = sent[..] else { panic!("{sent:?}") };
     assert_eq!(core.guard().violations().iter().sum::<u64>(), 0);
-    // The driver was held up for long: the attempt's end comes with no tick before it.
+    // The driver was delayed for long: the attempt ends after the deadline, with no tick before it.
     let ending = AttemptResult::from(Outcome::ConnectFailed);
     core.step(3 * SECOND, Input::AttemptFinished { id: ID, attempt, result: ending });
-    let lines = counted(&core);
+    let lines = nonzero_counters(&core);
     assert_eq!(lines, ["edge_router.attempts.connect_failed:1|c", "edge_router.answered.deadline:1|c"]);
     assert_eq!(core.guard().violations()[Rule::LateAnswer as usize], 1);
     assert_eq!(core.guard().violations().iter().sum::<u64>(), 1);
