--- a/benches/repeats.rs
+++ b/benches/repeats.rs
@@ -33,12 +33,12 @@
         });
         println!(
             "{configuration:<24} {:>8} {:>9} {:>9} {:>10} {:>10} {:>8} {:>8.1}",
-            counts.doubled,
+            counts.ran_more_than_once,
             counts.never_ran,
             counts.answered,
-            counts.refused_for_good,
-            counts.asked_back,
-            counts.unclear,
+            counts.retry_forbidden,
+            counts.retry_later,
+            counts.unexpected,
             start.elapsed().as_secs_f64()
         );
     }
