--- a/tests/reducer.rs
+++ b/tests/reducer.rs
@@ -50,7 +50,11 @@
     let event = step.events.pop_front();
     let is_refused_send = matches!(
         event,
-        Some(Event::AttemptFinished(AttemptFinished { outcome: Outcome::NotSent, last: true, .. }))
+        Some(Event::AttemptFinished(AttemptFinished {
+            outcome: Outcome::NotSent,
+            completes_request: true,
+            ..
+        }))
     );
     assert!(is_refused_send, "{event:?}");
 }
