--- a/src/edge/config_reload.rs
+++ b/src/edge/config_reload.rs
@@ -54,7 +54,7 @@
             match self.config.read_again(path, &environment) {
                 Ok(reloaded) => return self.take_over(reloaded),
                 Err(error) if error.is_transient() && Instant::now() < retry_until => {
-                    tokio::time::sleep(transient::PAUSE).await;
+                    tokio::time::sleep(transient::RETRY_INTERVAL).await;
                 }
                 Err(error) => return self.reject(&error),
             }
--- a/src/edge/connections.rs
+++ b/src/edge/connections.rs
@@ -199,9 +199,11 @@
                 Err(_) => return Err(local_failure.unwrap_or_else(|| io::ErrorKind::TimedOut.into())),
                 // A local failure says nothing about the server, and the missing resource may be free in a
                 // moment.
-                Ok(Err(error)) if is_transient(&error) && Instant::now() + transient::PAUSE < until => {
+                Ok(Err(error))
+                    if is_transient(&error) && Instant::now() + transient::RETRY_INTERVAL < until =>
+                {
                     local_failure = Some(error);
-                    sleep_until(Instant::now() + transient::PAUSE).await;
+                    sleep_until(Instant::now() + transient::RETRY_INTERVAL).await;
                 }
                 Ok(opened) => return opened,
             }
--- a/src/edge/dispatcher.rs
+++ b/src/edge/dispatcher.rs
@@ -188,6 +188,6 @@
     let cluster = cluster.map(Cluster::view);
     let sources = Sources { health: health.clone(), cluster, driver: driver.clone() };
     let start = || Admin::start(at, sources.clone());
-    retry_transient("second address", transient::START, is_transient, start)
+    retry_transient("second address", transient::STARTUP_RETRY_TIME, is_transient, start)
         .map_err(|error: io::Error| ListenError { address: at, error })
 }
--- a/src/edge/dispatcher/listeners.rs
+++ b/src/edge/dispatcher/listeners.rs
@@ -35,17 +35,17 @@
 /// address. Blocks the thread while it retries after transient errors, which is harmless as nothing is served yet.
 pub(super) fn listen(address: SocketAddr, shared: bool) -> Result<TcpListener, ListenError> {
     let listen = || listener::listen(address, shared);
-    let listening = retry_transient("listener", transient::START, is_transient, listen);
+    let listening = retry_transient("listener", transient::STARTUP_RETRY_TIME, is_transient, listen);
     listening.map_err(|error| ListenError { address, error })
 }
 
 /// Like [`listen`] on a shared address, without blocking the thread: for use while other tasks are running.
 pub(super) async fn listen_while_running(address: SocketAddr) -> Result<TcpListener, ListenError> {
-    let retry_until = Instant::now() + transient::START;
+    let retry_until = Instant::now() + transient::STARTUP_RETRY_TIME;
     loop {
         match listener::listen(address, true) {
             Err(error) if is_transient(&error) && Instant::now() < retry_until => {
-                tokio::time::sleep(transient::PAUSE).await;
+                tokio::time::sleep(transient::RETRY_INTERVAL).await;
             }
             listening => return listening.map_err(|error| ListenError { address, error }),
         }
--- a/src/edge/transient.rs
+++ b/src/edge/transient.rs
@@ -9,9 +9,9 @@
 use log::warn;
 
 /// How long calls that are needed at startup are retried. The platform waits 10 s for a process to be ready.
-pub const START: Duration = Duration::from_secs(6);
+pub const STARTUP_RETRY_TIME: Duration = Duration::from_secs(6);
 /// Time between two tries of a call.
-pub const PAUSE: Duration = Duration::from_millis(20);
+pub const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Errnos of `socket(2)`, `bind(2)`, `listen(2)`, `accept(2)`, `connect(2)`, `open(2)`, `write(2)` and `flock(2)`
 /// whose cause is on this machine rather than at the peer, and may be gone a moment later.
@@ -57,7 +57,7 @@
                 if !std::mem::replace(&mut is_logged, true) {
                     warn!(part = part, reason:% = error; "start: failed for now, retrying");
                 }
-                thread::sleep(PAUSE);
+                thread::sleep(RETRY_INTERVAL);
             }
             other => return other,
         }
--- a/src/main.rs
+++ b/src/main.rs
@@ -84,7 +84,7 @@
 /// Starts the runtime, which uses the main thread only.
 fn runtime() -> Result<tokio::runtime::Runtime, CommandError> {
     let build = || tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = retry_transient("runtime", transient::START, is_transient, build);
+    let runtime = retry_transient("runtime", transient::STARTUP_RETRY_TIME, is_transient, build);
     runtime.map_err(|error: io::Error| format!("can't start the runtime: {error}").into())
 }
 
@@ -115,10 +115,10 @@
     let config_path = config_path.ok_or("no configuration: give --config or set ROUTER_CONFIG")?;
     let is_transient = ConfigError::is_transient;
     let read_config = || Config::read(&config_path, environment);
-    let config = retry_transient("configuration", transient::START, is_transient, read_config)?;
+    let config = retry_transient("configuration", transient::STARTUP_RETRY_TIME, is_transient, read_config)?;
     let read_fronts =
         || Fronts::read(fronts_path.as_deref().unwrap_or(DEFAULT_FRONTS_PATH), fronts_path.is_some());
-    let fronts = retry_transient("fronts", transient::START, is_transient, read_fronts)?;
+    let fronts = retry_transient("fronts", transient::STARTUP_RETRY_TIME, is_transient, read_fronts)?;
     Ok(Files { config_path, config, fronts })
 }
 
