--- a/src/edge/dispatcher/running.rs
+++ b/src/edge/dispatcher/running.rs
@@ -227,7 +227,7 @@
     for front in tasks {
         report_panic("front", front.await);
     }
-    while !figures.nothing_held() {
+    while !figures.is_idle() {
         tokio::time::sleep(DRAIN_POLL).await;
     }
 }
--- a/src/edge/stats.rs
+++ b/src/edge/stats.rs
@@ -231,7 +231,7 @@
 
     /// Whether no request is open and no release is in progress.
     #[must_use]
-    pub fn nothing_held(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         let record = self.record();
         record.open == 0 && record.releases == 0
     }
