--- a/src/edge/clients/chat/mod.rs
+++ b/src/edge/clients/chat/mod.rs
@@ -56,7 +56,7 @@
 ///
 /// # Errors
 /// See [`check`].
-pub fn front(
+pub fn router(
     chat: &ChatSettings,
     config: &Config,
     clock: Clock,
--- a/src/edge/dispatcher.rs
+++ b/src/edge/dispatcher.rs
@@ -105,7 +105,7 @@
         let mut fronts = vec![open_front(config.listen, platform)?];
         if let Some(chat) = settings.chat.as_ref().filter(|chat| chat.enabled) {
             let quorum = cluster.as_ref().and_then(Cluster::quorum);
-            let routes = chat::front(chat, &config, clock, to_driver.clone(), quorum)?;
+            let routes = chat::router(chat, &config, clock, to_driver.clone(), quorum)?;
             fronts.push(open_front(chat.listen, routes)?);
         }
         let agent = settings.agent_check.as_ref().filter(|agent| agent.enabled);
