--- a/crates/conform/src/runner.rs
+++ b/crates/conform/src/runner.rs
@@ -68,7 +68,7 @@
 fn variables(target: &Target, case: &Case) -> Variables {
     let mut variables = Variables::from([
         ("model".to_owned(), target.model.clone()),
-        ("once".to_owned(), target.once.clone()),
+        ("once".to_owned(), target.at_most_once_model.clone()),
         ("nonce".to_owned(), format!("{}-{}", target.nonce, case.name.replace('/', "-"))),
         ("key".to_owned(), target.key.clone().unwrap_or_default()),
     ]);
--- a/crates/conform/src/target.rs
+++ b/crates/conform/src/target.rs
@@ -14,7 +14,7 @@
     /// A model of an idempotent class: the front may run a request again.
     pub model: String,
     /// A model of an at-most-once class: the front must never run a request twice.
-    pub once: String,
+    pub at_most_once_model: String,
     /// Unique per run: makes idempotency keys and prompts differ from those of earlier runs against the same front.
     pub nonce: String,
 }
--- a/crates/conform/tests/findings.rs
+++ b/crates/conform/tests/findings.rs
@@ -28,7 +28,7 @@
         key: Some("key".to_owned()),
         other_key: None,
         model: "kiln-ask".to_owned(),
-        once: "kiln-book".to_owned(),
+        at_most_once_model: "kiln-book".to_owned(),
         nonce: "nonce".to_owned(),
     };
     let reports = run(&target, &[case]).await;
--- a/src/conform.rs
+++ b/src/conform.rs
@@ -112,7 +112,8 @@
         let once = once.ok_or(missing("model", "--once, one whose requests must not run twice"))?;
         let nonce = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |time| time.as_nanos());
         let address = loopback_address(&url).map_err(|reason| ConformError::Url { url, reason })?;
-        let target = Target { address, key, other_key, model, once, nonce: format!("{nonce:x}") };
+        let target =
+            Target { address, key, other_key, model, at_most_once_model: once, nonce: format!("{nonce:x}") };
         Ok(Self { target, only, verbose, faults })
     }
 }
--- a/tests/conform.rs
+++ b/tests/conform.rs
@@ -16,7 +16,7 @@
         key: Some("key-of-clay".to_owned()),
         other_key: Some("key-of-jars".to_owned()),
         model: "kiln-ask".to_owned(),
-        once: "kiln-book".to_owned(),
+        at_most_once_model: "kiln-book".to_owned(),
         nonce: nonce.to_owned(),
     }
 }
