--- a/crates/conform/src/cases.rs
+++ b/crates/conform/src/cases.rs
@@ -19,7 +19,7 @@
     pub step: Vec<Step>,
     /// The fields of a case that has a single request; ignored if `step` is not empty.
     #[serde(flatten)]
-    single_step: Step,
+    only: Step,
 }
 
 /// One request and its expected answer. `{NAME}` in texts is replaced by a variable: `model`, `once`, `nonce`, `key`,
@@ -84,7 +84,7 @@
     #[must_use]
     pub fn steps(&self) -> Vec<Step> {
         if self.step.is_empty() {
-            vec![self.single_step.clone()]
+            vec![self.only.clone()]
         } else {
             self.step.clone()
         }
