--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -220,7 +220,7 @@
     match values.text("discovery") {
         "subscribe" => Ok(true),
         "automatic" | "" | "-" => Ok(false),
-        other => Err(unknown_word("discovery", "mode (expected subscribe or automatic)", other)),
+        other => Err(unknown_word("discovery", "way (expected subscribe or automatic)", other)),
     }
 }
 
