--- a/src/edge/servers.rs
+++ b/src/edge/servers.rs
@@ -54,7 +54,8 @@
     pub reads: bool,
     /// When the reducer cancels the attempt at the latest. The time left until then is sent to the server.
     pub attempt_deadline: Instant,
-    /// Writing must begin before this; a request of which only a part is written by then is given up.
+    /// Writing the request must begin before this time. If the request is only partly written at this time, the
+    /// attempt fails.
     pub begin_by: Instant,
     /// Whether the attempt must open a new connection, which is closed afterwards instead of being kept.
     pub new_connection: bool,
--- a/src/edge/servers/last_answers.rs
+++ b/src/edge/servers/last_answers.rs
@@ -1,5 +1,6 @@
-//! The times at which servers last answered anything. A call that any server can take goes first to those that
-//! answered lately: most servers may have fallen silent together.
+//! The time of the last answer of each server, whatever the answer was. A call that any server can handle is sent
+//! first to the servers that answered most recently, because most of the others may have stopped answering at the
+//! same time.
 
 use std::num::NonZeroUsize;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
