--- a/src/edge/admin.rs
+++ b/src/edge/admin.rs
@@ -1,4 +1,4 @@
-//! The admin server, which operators and the platform query at a second address. Each connection carries one command
+//! The admin server, which operators and the platform query at the admin address. Each connection carries one command
 //! line; the server answers it and closes the connection. `READY` tells whether this process can serve, `STATS` lists
 //! the metrics, `HELD` the statistics of the state that servers hold, and `REQUESTS` the histories of open requests.
 //! `GET /cluster/members` returns the members of the cluster, if there is one.
--- a/src/edge/core/held_statistics.rs
+++ b/src/edge/core/held_statistics.rs
@@ -90,7 +90,7 @@
         self.releases_in_flight
     }
 
-    /// The metrics as the admin listener shows them, one per line. `ages` says how long each currently held
+    /// The metrics as the admin address shows them, one per line. `ages` says how long each currently held
     /// state has been held (us).
     #[must_use]
     pub fn lines(&self, ages: &[Micros]) -> String {
--- a/src/edge/core/request_history.rs
+++ b/src/edge/core/request_history.rs
@@ -1,5 +1,5 @@
 //! History of an open request, transition by transition, in bounded memory. `history_reports.rs` logs the
-//! histories of requests that met a fault (see `ReportReason`); the admin listener shows those of all open requests.
+//! histories of requests that met a fault (see `ReportReason`); the admin address shows those of all open requests.
 
 use std::collections::VecDeque;
 use std::fmt;
--- a/src/edge/dispatcher.rs
+++ b/src/edge/dispatcher.rs
@@ -81,13 +81,13 @@
     /// A setting of an optional front is invalid, or listening on an address failed.
     pub fn bind(config: Config, settings: &Fronts) -> Result<Self, StartError> {
         let clock = Clock::start();
-        // With a second address, a new process may be started on the same addresses while this one serves.
+        // With an admin address, a new process may be started on the same addresses while this one serves.
         let shared = config.admin.is_some();
         let (mut driver, to_driver) = Driver::new(&config, clock);
         let gossip = open_gossip_transport(&config, shared);
         driver.set_gossip_transport(gossip.clone().unwrap_or_default());
         let figures = driver.figures();
-        // Without a second address, no new process can be started beside this one: hot restart is off.
+        // Without an admin address, no new process can be started beside this one: hot restart is off.
         let folder = std::env::var("TMPDIR").ok().filter(|_| shared);
         let hot_restart = folder.map(|folder| HotRestartTask::start(&config, &folder, clock));
         let starts_joining =
@@ -158,7 +158,7 @@
         self.health.clone()
     }
 
-    /// The second address as it was bound; `None` if there is none.
+    /// The admin address as it was bound; `None` if there is none.
     #[must_use]
     pub fn admin(&self) -> Option<SocketAddr> {
         self.admin.as_ref().map(Admin::address)
@@ -178,7 +178,7 @@
     }
 }
 
-/// Starts answering on the second address; retries for a while if listening fails with a transient error.
+/// Starts answering on the admin address; retries for a while if listening fails with a transient error.
 fn start_admin(
     at: SocketAddr,
     health: &Health,
--- a/src/edge/dispatcher/running.rs
+++ b/src/edge/dispatcher/running.rs
@@ -103,7 +103,7 @@
         if let Some(cluster) = cluster {
             cluster.leave().await;
         }
-        drop::<Option<Admin>>(self.admin); // the second address answers until shutdown is complete
+        drop::<Option<Admin>>(self.admin); // the admin address answers until shutdown is complete
         info!("dispatcher: shutdown complete; no request is open and no release is in flight");
         Ok(())
     }
--- a/src/edge/hot_restart.rs
+++ b/src/edge/hot_restart.rs
@@ -1,6 +1,6 @@
 //! Hot restart: a newer process takes over from this one, or this one from an older process, on the same addresses.
 //!
-//! Hot restart is on if there is a second address and `$TMPDIR` is set. The two processes find each other by locked
+//! Hot restart is on if there is an admin address and `$TMPDIR` is set. The two processes find each other by locked
 //! files ([`lock_files`]), and the older one exports the state that its router has learned to a file for the newer
 //! one ([`state_file`]). `crates/hot-restart` decides which share of the limits each process has and when the newer
 //! one may serve; this module reads and writes the files and applies those decisions.
--- a/src/edge/settings/config.rs
+++ b/src/edge/settings/config.rs
@@ -99,7 +99,8 @@
     /// For load gossip: the address that receives datagrams of other dispatchers, and the address that reaches all of
     /// them. `None` if the settings forbid such messages, or if one of the two is not configured.
     pub peers: Option<(SocketAddr, SocketAddr)>,
-    /// The address for operators and the platform, called the second address in logs; `None` if it is not configured.
+    /// The admin address, for operators and the platform; log lines call it the second address. `None` if it is not
+    /// configured.
     pub admin: Option<SocketAddr>,
     /// The seed of the random number generators: the value of a hexadecimal `seed`, a hash of any other text.
     pub seed: u64,
@@ -189,7 +190,7 @@
 
     /// The maximum number of client connections, idle ones included. They take half of the descriptors. The other
     /// half is for a server connection per open request (a third of all), idle connections to servers (a sixth), and
-    /// a few for releases, the server list, clients rejected because no connection slot is free, and the second
+    /// a few for releases, the server list, clients rejected because no connection slot is free, and the admin
     /// address.
     #[must_use]
     pub fn max_client_connections(&self) -> usize {
