--- a/src/edge/dispatcher/running.rs
+++ b/src/edge/dispatcher/running.rs
@@ -103,7 +103,7 @@
         if let Some(cluster) = cluster {
             cluster.leave().await;
         }
-        drop::<Option<Admin>>(self.admin); // the second address answers until shutdown is complete
+        drop::<Option<Admin>>(self.admin); // the admin address answers until shutdown is complete
         info!("dispatcher: shutdown complete; no request is open and no release is in flight");
         Ok(())
     }
@@ -227,7 +227,7 @@
     for front in tasks {
         report_panic("front", front.await);
     }
-    while !figures.nothing_held() {
+    while !figures.is_idle() {
         tokio::time::sleep(DRAIN_POLL).await;
     }
 }
