--- a/crates/router/src/prefix_table.rs
+++ b/crates/router/src/prefix_table.rs
@@ -5,7 +5,7 @@
 
 use crate::interface::{Key, Micros, RequestInfo};
 
-/// How long a sent prefix is believed to stay cached (us). The design documentation sets this time.
+/// How long a sent prefix is believed to stay cached (us). The design fixes this time at 60 s.
 pub(crate) const PREFIX_EXPIRY_US: Micros = 60_000_000;
 /// Keys remembered for each server. The number scales with the sessions that one reader sees within the
 /// expiry.
--- a/crates/router/tests/slow_start.rs
+++ b/crates/router/tests/slow_start.rs
@@ -252,8 +252,8 @@
     });
 }
 
-/// The limit that the platform's standing test applies, where N is the number of allowed requests:
-/// N + 2 x root of N + 2, and N + 3 x root of N + 3 for N below 30.
+/// The number of requests above which the platform counts a server in slow start as overloaded, where N is the number
+/// of allowed requests: N + 2 x root of N + 2, and N + 3 x root of N + 3 for N below 30.
 fn standing_test_limit(allowed: f64) -> f64 {
     let root = allowed.sqrt();
     allowed + if allowed < 30.0 { 3.0 * root + 3.0 } else { 2.0 * root + 2.0 }
--- a/crates/scale/src/target.rs
+++ b/crates/scale/src/target.rs
@@ -1,5 +1,5 @@
-//! The target size of the fleet and the budgets for control, as the operators state them (issue "the size that is
-//! coming"). Control is everything but the relaying of streams: decisions, and communication with agents and other
+//! The size to which the platform is going to grow and the budgets for control at that size, as its operators state
+//! them. Control is everything but the relaying of streams: decisions, and communication with agents and other
 //! dispatchers.
 
 /// Number of dispatchers.
--- a/crates/soak/src/oracle.rs
+++ b/crates/soak/src/oracle.rs
@@ -16,8 +16,8 @@
 
 /// One millisecond.
 const MS: Micros = 1_000;
-/// Added to every time limit: the tolerance that the protocol page grants on sockets, and as much again for the lag of
-/// the event log itself.
+/// Added to every time limit: the tolerance of 50 ms that the platform's protocol allows over sockets, and as much
+/// again for the lag of the event log itself.
 const TOLERANCE: Micros = 100 * MS;
 
 /// Time limits from the dispatcher's settings.
--- a/src/edge/clients/accept_queue.rs
+++ b/src/edge/clients/accept_queue.rs
@@ -15,8 +15,8 @@
 /// The pause after an accept that failed with an error of this machine, such as too few descriptors.
 pub const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// When a listener closes, failing accepts are retried for this long. That is enough: each queued request has
-/// a deadline of its own, and a process that is shutting down gets longer than the longest request deadline
-/// (see the protocol page).
+/// a deadline of its own, and the platform gives a process that is shutting down longer than the longest
+/// request deadline.
 const CLOSE_RETRY_TIME: Duration = Duration::from_secs(2);
 
 /// Tracks a series of failing accepts: a connection accepted after them may have been queued since the first
--- a/src/edge/connections.rs
+++ b/src/edge/connections.rs
@@ -44,8 +44,8 @@
 /// With less idle time, not even the two calls for one request would share a connection.
 const MIN_IDLE_TIME: Duration = Duration::from_millis(100);
 /// A connection takes the next request only once nothing has arrived on it for this long after its last
-/// response. A second response may arrive some milliseconds late, as the platform's standing test says, and
-/// would be taken for that of the next request.
+/// response. A server of the platform may send a second response some milliseconds late, which would be taken
+/// for that of the next request.
 const QUIET_TIME: Duration = Duration::from_millis(50);
 
 /// Lower limit of the acknowledgement timeout: a machine delays acknowledgements by up to 40 ms.
@@ -62,7 +62,7 @@
 
 /// How long bytes written to a server may stay unacknowledged. At most as long as a connect may take, as the
 /// same machine answers both; and at most half of the time that state may be held, as held state is sent on
-/// until that time is over, and the protocol page adds 300 ms to it.
+/// until that time is over, and the platform's protocol allows 300 ms more over sockets.
 fn acknowledgement_timeout(config: &Config) -> Duration {
     let max_hold_time = Duration::from_micros(config.settings.max_hold_time);
     config.connect_timeout.min(max_hold_time / 2).max(MIN_ACKNOWLEDGEMENT_TIME)
--- a/src/edge/core/request_table.rs
+++ b/src/edge/core/request_table.rs
@@ -24,7 +24,7 @@
 use dewladder_router::EndReason;
 
 /// A final answer counts as late when it is given more than this after the client's deadline (us). The
-/// platform's standing test counts such an answer as lost.
+/// platform counts an answer that is more than 500 ms late as lost.
 const LATE_ANSWER_TOLERANCE: Micros = 500_000;
 
 /// What the guard checks a send against, apart from the state of the request itself.
--- a/src/edge/core/request_table/held.rs
+++ b/src/edge/core/request_table/held.rs
@@ -11,8 +11,8 @@
 use crate::edge::transitions::Transitions;
 use crate::interface::{HeldStateAfter, Micros, Outcome, RequestId};
 
-/// Tolerance on the time for which state may be held (us): the protocol page allows so much more where servers
-/// are reached over sockets.
+/// Tolerance on the time for which state may be held (us): the platform's protocol allows 300 ms more where
+/// servers are reached over sockets.
 const HOLD_TOLERANCE: Micros = 300_000;
 
 impl RequestTable {
--- a/tests/crossings_retries.rs
+++ b/tests/crossings_retries.rs
@@ -16,7 +16,7 @@
 
 /// Time to wait for a message that must not be sent. The dispatcher decides within microseconds, so this is ample.
 const SETTLE_TIME: Duration = Duration::from_millis(150);
-/// Tolerance on each time limit (s), from the rules for tests on sockets.
+/// Tolerance on each time limit (s): the platform's protocol allows 50 ms over sockets.
 const TOLERANCE_S: f64 = 0.05;
 
 /// Sets a latency objective of 2 s for all classes, so that on a busy machine no attempt times out in tests about
